--- a/packages/cli/src/daemon-tools.ts
+++ b/packages/cli/src/daemon-tools.ts
@@ -1,6 +1,6 @@
 import { readManifest } from '@heathroad/plugin-api'
 import { type Loaded, type PluginInfo, type Problem, scanFolder } from '@heathroad/plugins'
-import { isMap, makeCaller } from '@heathroad/wire'
+import { createHttpClient, isMap } from '@heathroad/wire'
 import { Effect } from 'effect'
 
 /** The running controllers that a verb is for, at their internal addresses, and how to print. */
@@ -22,10 +22,10 @@
 	body: unknown,
 	heard: (address: string, body: Record<string, unknown>) => void,
 ): Promise<void> => {
-	const caller = makeCaller(1)
+	const httpClient = createHttpClient(1)
 	for (const address of at.admin) {
-		const asked = caller
-			.call(address, 'POST', path, body, ANSWER_MS)
+		const asked = httpClient
+			.request(address, 'POST', path, body, ANSWER_MS)
 			.pipe(Effect.match({ onFailure: (e) => e.reason, onSuccess: (a) => a }))
 		const answer = await Effect.runPromise(asked)
 		if (typeof answer !== 'string' && answer.status < 300) {
@@ -37,7 +37,7 @@
 		process.stderr.write(`heathroad: ${address}: ${why}\n`)
 		process.exitCode = REFUSED
 	}
-	caller.close()
+	httpClient.close()
 }
 
 const COLUMNS = [
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,4 +1,4 @@
-import { ConfigError, loadConfig } from '@heathroad/config'
+import { ConfigError, loadConfig, printedLimits } from '@heathroad/config'
 import { makeLog, Running } from '@heathroad/daemon'
 import { PRIORITIES } from '@heathroad/wire'
 import { Command, InvalidArgumentError, Option } from 'commander'
@@ -21,14 +21,14 @@
 const serve = async (options: { config: string; ini?: string }): Promise<void> => {
 	const config = guarded(() => loadConfig(options.config, options.ini))
 	const running = new Running(config, options.ini, makeLog(), (code) => process.exit(code))
-	running.service.onTooNew = (why) => {
+	running.service.onUnsupportedFormat = (why) => {
 		process.stderr.write(`heathroad: ${why}: refusing to start\n`)
 		process.exit(EXIT.usage)
 	}
-	process.on('uncaughtException', (e) => running.service.recover(e))
-	process.on('unhandledRejection', (e) => running.service.recover(e))
+	process.on('uncaughtException', (e) => running.service.recoverFromError(e))
+	process.on('unhandledRejection', (e) => running.service.recoverFromError(e))
 	for (const signal of ['SIGTERM', 'SIGINT'] as const) process.on(signal, () => running.signalled())
-	process.on('SIGHUP', () => void running.reload().catch((e) => running.service.recover(e)))
+	process.on('SIGHUP', () => void running.reload().catch((e) => running.service.recoverFromError(e)))
 	try {
 		await running.start()
 	} catch (e) {
@@ -65,8 +65,8 @@
 	.option('--ini <file>', "operators' own settings")
 	.requiredOption('--config <file>', "the platform's settings (JSON)")
 	.action((options: { config: string; ini?: string }) => {
-		const { derived } = guarded(() => loadConfig(options.config, options.ini))
-		process.stdout.write(`${JSON.stringify({ ok: true, derived }, null, 2)}\n`)
+		const { limits } = guarded(() => loadConfig(options.config, options.ini))
+		process.stdout.write(`${JSON.stringify({ ok: true, derived: printedLimits(limits) }, null, 2)}\n`)
 	})
 
 const ADDRESS = /^[\w.-]+:\d{1,5}$/
--- a/packages/client/src/http.ts
+++ b/packages/client/src/http.ts
@@ -1,10 +1,10 @@
 import {
-	type Answer,
+	createHttpClient,
+	encodeSubmission,
+	type HttpResponse,
 	isMap,
 	type JobSpec,
 	type JobStatus,
-	makeCaller,
-	writeSubmission,
 } from '@heathroad/wire'
 import { Effect, Exit } from 'effect'
 import { type Outcome, stateFrom, type Transport } from './transport.js'
@@ -16,12 +16,12 @@
 	422: 'never runs',
 }
 
-const textOf = (a: Answer): string => {
+const textOf = (a: HttpResponse): string => {
 	const said = isMap(a.body) && typeof a.body.error === 'string' ? `: ${a.body.error}` : ''
 	return `${a.status}${said}`
 }
 
-const read = (a: Answer): Outcome => {
+const read = (a: HttpResponse): Outcome => {
 	if ((a.status === 200 || a.status === 201) && isMap(a.body) && typeof a.body.uid === 'string')
 		return {
 			kind: 'job',
@@ -41,7 +41,7 @@
 
 /** A controller's HTTP face. */
 export class HttpTransport implements Transport {
-	private readonly caller = makeCaller(8)
+	private readonly caller = createHttpClient(8)
 
 	constructor(readonly address: string) {}
 
@@ -52,7 +52,7 @@
 		timeoutMs: number,
 		signal: AbortSignal,
 	): Promise<Outcome> {
-		const asked = this.caller.call(this.address, method, path, body, timeoutMs).pipe(
+		const asked = this.caller.request(this.address, method, path, body, timeoutMs).pipe(
 			Effect.match({
 				onFailure: (e): Outcome => {
 					const unreached = /ECONNREFUSED|EHOSTUNREACH|ENETUNREACH/.test(e.reason)
@@ -67,7 +67,7 @@
 	}
 
 	submit(job: JobSpec, timeoutMs: number, signal: AbortSignal): Promise<Outcome> {
-		return this.call('POST', RUNS, writeSubmission(job), timeoutMs, signal)
+		return this.call('POST', RUNS, encodeSubmission(job), timeoutMs, signal)
 	}
 
 	get(uid: string, timeoutMs: number, signal: AbortSignal): Promise<Outcome> {
--- a/packages/cloud/src/index.ts
+++ b/packages/cloud/src/index.ts
@@ -1,55 +1,55 @@
-import type { Caller, MachineType } from '@heathroad/wire'
-import { isMap, readCatalog, readHosts } from '@heathroad/wire'
+import type { HttpClient, MachineType } from '@heathroad/wire'
+import { isMap, parseMachineIds, parseMachineTypes } from '@heathroad/wire'
 import { Effect } from 'effect'
 
 export interface RentalRequest {
 	name: string
-	type: string
+	machineType: string
 	zone: string
 	spot: boolean
 	count: number
 }
 
 export type RentResult =
-	| { kind: 'rented'; machines: string[] }
+	| { kind: 'rented'; machineIds: string[] }
 	| { kind: 'none' }
 	/** not carried out for certain, or unknown: the same name has to be asked again */
 	| { kind: 'again' }
 	| { kind: 'invalid' }
 
 /** The cloud's interface, within this controller's slice of its call rate. */
-export class Cloud {
+export class CloudClient {
 	private tokens: number
-	private filled: number
+	private refilledAt: number
 
 	constructor(
-		private readonly caller: Caller,
+		private readonly httpClient: HttpClient,
 		private readonly address: string,
-		private readonly perS: number,
+		private readonly callsPerS: number,
 		private readonly timeoutMs: number,
 		private readonly now: () => number,
 	) {
 		this.tokens = this.burst()
-		this.filled = now()
+		this.refilledAt = now()
 	}
 
 	/** Two seconds' worth, but one call at least, or a small slice would never hold one. */
 	private burst(): number {
-		return Math.max(1, this.perS * 2)
+		return Math.max(1, this.callsPerS * 2)
 	}
 
 	private refill(): void {
 		const now = this.now()
-		this.tokens = Math.min(this.burst(), this.tokens + ((now - this.filled) / 1000) * this.perS)
-		this.filled = now
+		this.tokens = Math.min(this.burst(), this.tokens + ((now - this.refilledAt) / 1000) * this.callsPerS)
+		this.refilledAt = now
 	}
 
 	/** Waits for its turn within the slice; bursts are worth two seconds. */
-	private turn(): Effect.Effect<void> {
+	private waitForToken(): Effect.Effect<void> {
 		return Effect.suspend(() => {
 			this.refill()
 			this.tokens -= 1
-			return this.tokens >= 0 ? Effect.void : Effect.sleep((-this.tokens / this.perS) * 1000)
+			return this.tokens >= 0 ? Effect.void : Effect.sleep((-this.tokens / this.callsPerS) * 1000)
 		})
 	}
 
@@ -57,29 +57,29 @@
 	 * Calls that would go out at once. It looks at the bucket as it is by now: one that is filled only by calls stays
 	 * empty for as long as nobody calls because it is empty (incident 4).
 	 */
-	callsNow(): number {
+	availableCalls(): number {
 		this.refill()
 		return Math.max(0, Math.floor(this.tokens))
 	}
 
 	private call(method: string, path: string, body: unknown) {
-		return this.turn().pipe(
-			Effect.andThen(this.caller.call(this.address, method, path, body, this.timeoutMs)),
+		return this.waitForToken().pipe(
+			Effect.andThen(this.httpClient.request(this.address, method, path, body, this.timeoutMs)),
 			Effect.option,
 			Effect.map((o) => (o._tag === 'Some' ? o.value : null)),
 		)
 	}
 
-	catalog(): Effect.Effect<MachineType[] | null> {
+	fetchMachineTypes(): Effect.Effect<MachineType[] | null> {
 		return this.call('GET', '/catalog', undefined).pipe(
-			Effect.map((a) => (a !== null && a.status === 200 ? readCatalog(a.body) : null)),
+			Effect.map((a) => (a !== null && a.status === 200 ? parseMachineTypes(a.body) : null)),
 		)
 	}
 
 	rent(r: RentalRequest): Effect.Effect<RentResult> {
 		const body = {
 			rental: r.name,
-			flavour: r.type,
+			flavour: r.machineType,
 			site: r.zone,
 			reclaimable: r.spot,
 			howMany: r.count,
@@ -88,8 +88,8 @@
 			Effect.map((a): RentResult => {
 				if (a === null) return { kind: 'again' }
 				if (a.status === 200) {
-					const machines = readHosts(a.body)
-					return machines === null ? { kind: 'again' } : { kind: 'rented', machines }
+					const machines = parseMachineIds(a.body)
+					return machines === null ? { kind: 'again' } : { kind: 'rented', machineIds: machines }
 				}
 				if (a.status === 503 && isMap(a.body) && a.body.error === 'no capacity') return { kind: 'none' }
 				return a.status === 400 ? { kind: 'invalid' } : { kind: 'again' }
--- a/packages/cluster/src/cancellations.ts
+++ b/packages/cluster/src/cancellations.ts
@@ -1,17 +1,17 @@
 import { isMap } from '@heathroad/wire'
 
-/** A cancelled job, and the epoch of the change that made that durable. */
-export interface Cancelled {
+/** A cancelled job, and the revision of the change that made that durable. */
+export interface CancelledJob {
 	uid: string
-	epoch: number
+	revision: number
 }
 
 /**
- * What the records tell of cancellations, for owners that are cut off from the state: by epoch, however long ago it was.
+ * What the records tell of cancellations, for owners that are cut off from the state: by revision, however long ago it was.
  * An owner that stood still, or whose peers have restarted, may have missed one of long before (incident 21).
  */
-export class Cancellations {
-	private readonly known = new Map<string, { epoch: number; at: number }>()
+export class CancellationLog {
+	private readonly known = new Map<string, { revision: number; at: number }>()
 	/** of what became durable up to here, something may not be known any more */
 	private floor = -1
 
@@ -22,69 +22,70 @@
 	) {}
 
 	/** The records, as of now, tell that a job is cancelled. */
-	add(uid: string, epoch: number): void {
+	record(uid: string, revision: number): void {
 		if (this.known.has(uid)) return
-		this.known.set(uid, { epoch, at: this.now() })
+		this.known.set(uid, { revision, at: this.now() })
 		// In batches, so that dropping costs little for each.
 		if (this.known.size > this.most * 1.25) this.trim()
 	}
 
 	private trim(): void {
-		const all = [...this.known].sort(([, a], [, b]) => a.epoch - b.epoch)
-		for (const [uid, { epoch }] of all.slice(0, all.length - this.most)) {
+		const all = [...this.known].sort(([, a], [, b]) => a.revision - b.revision)
+		for (const [uid, { revision }] of all.slice(0, all.length - this.most)) {
 			this.known.delete(uid)
-			this.floor = Math.max(this.floor, epoch)
+			this.floor = Math.max(this.floor, revision)
 		}
 	}
 
-	/** What was read as of an epoch need not have told of all that was cancelled before. */
-	incomplete(epoch: number): void {
-		this.floor = Math.max(this.floor, epoch)
+	/** What was read as of an revision need not have told of all that was cancelled before. */
+	markIncompleteUpTo(revision: number): void {
+		this.floor = Math.max(this.floor, revision)
 	}
 
-	/** All that became durable behind an epoch; null: not all of it is known. */
-	since(epoch: number): Cancelled[] | null {
-		if (epoch < this.floor) return null
-		const out: Cancelled[] = []
-		for (const [uid, c] of this.known) if (c.epoch > epoch) out.push({ uid, epoch: c.epoch })
+	/** All that became durable behind a revision; null: not all of it is known. */
+	since(revision: number): CancelledJob[] | null {
+		if (revision < this.floor) return null
+		const out: CancelledJob[] = []
+		for (const [uid, c] of this.known) if (c.revision > revision) out.push({ uid, revision: c.revision })
 		return out
 	}
 
 	/** For how many ms a cancellation has been known here; older ones than are kept: for ever. */
-	knownMs(uid: string): number {
+	knownForMs(uid: string): number {
 		const one = this.known.get(uid)
 		return one === undefined ? Number.POSITIVE_INFINITY : this.now() - one.at
 	}
 }
 
 /** Cancellations as controllers tell them to each other. */
-export const writeCancelled = (all: readonly Cancelled[]): unknown => all.map((c) => [c.uid, c.epoch])
+export const encodeCancellations = (all: readonly CancelledJob[]): unknown =>
+	all.map((c) => [c.uid, c.revision])
 
 /** null: not such a list, as of a controller of an older version. */
-export const readCancelled = (data: unknown): Cancelled[] | null => {
+export const decodeCancellations = (data: unknown): CancelledJob[] | null => {
 	if (!Array.isArray(data)) return null
-	const out: Cancelled[] = []
+	const out: CancelledJob[] = []
 	for (const item of data) {
 		if (!Array.isArray(item) || typeof item[0] !== 'string' || typeof item[1] !== 'number') return null
-		out.push({ uid: item[0], epoch: item[1] })
+		out.push({ uid: item[0], revision: item[1] })
 	}
 	return out
 }
 
-/** A member's question whether its parts are left alone. `epoch`: up to where it knows the records. */
-export interface PromiseQuestion {
-	name: string
+/** A member's question whether its parts are left alone. `revision`: up to where it knows the records. */
+export interface TakeoverPromiseRequest {
+	member: string
 	/** part -> token */
-	owned: ReadonlyMap<number, number>
-	epoch: number
+	ownedShards: ReadonlyMap<number, number>
+	revision: number
 }
 
-export const readQuestion = (message: unknown): PromiseQuestion | null => {
+export const decodePromiseRequest = (message: unknown): TakeoverPromiseRequest | null => {
 	if (!isMap(message) || typeof message.name !== 'string' || typeof message.epoch !== 'number') return null
 	const owned = isMap(message.owned) ? Object.entries(message.owned) : []
 	return {
-		name: message.name,
-		owned: new Map(owned.map(([part, token]) => [Number(part), Number(token)])),
-		epoch: message.epoch,
+		member: message.name,
+		ownedShards: new Map(owned.map(([part, token]) => [Number(part), Number(token)])),
+		revision: message.epoch,
 	}
 }
--- a/packages/cluster/src/membership.ts
+++ b/packages/cluster/src/membership.ts
@@ -1,70 +1,59 @@
-import type { Derived } from '@heathroad/config'
-import type { Mirror, StoreClient } from '@heathroad/store'
-import { ROOT } from '@heathroad/store'
-import { type Caller, isMap } from '@heathroad/wire'
+import type { DerivedLimits } from '@heathroad/config'
+import type { StoreClient, WatchCache } from '@heathroad/store'
+import { KEY_PREFIX } from '@heathroad/store'
+import { type HttpClient, isMap } from '@heathroad/wire'
 import { Effect } from 'effect'
-import { type Cancelled, readCancelled, readQuestion, writeCancelled } from './cancellations.js'
-import { asPart, lastOwnerKey, partKey } from './records.js'
+import {
+	type CancelledJob,
+	decodeCancellations,
+	decodePromiseRequest,
+	encodeCancellations,
+} from './cancellations.js'
+import { decodePeerStatus, encodePeerStatus, type PeerStatus } from './peer-status.js'
+import { decodeShardOwner, encodeShardOwner, lastOwnerKey, shardKey } from './records.js'
 
 /** What an owner may do at this moment. */
-export type Right = 'grant' | 'promise' | 'none'
-
-export interface PeerNews {
-	name: string
-	life: string
-	grant: number | null
-	upMs: number
-	ready: boolean
-	/** tasks running, by job, of the parts it owns */
-	running: Record<string, number>
-	/** offers of the cloud found empty: ms for which nobody need ask */
-	empty: Record<string, number>
-	/** jobs of the parts it owns that fail wherever they are tried */
-	suspect: string[]
-	/** what teams with a guarantee use in the parts it owns */
-	used: Record<string, { cpus: number; gpus: number }>
-	/** parts it owns most of whose machines it does not hear */
-	unheard: number[]
-	/** parts it owns most of whose machines are out of its reach, those being rebuilt included */
-	stranded: number[]
-	/** machines of parts it does not own that reported to it lately, by part */
-	sought: Record<string, number>
-	/** may the records move to a form that archives jobs which are over? */
-	history: boolean
-}
+export type LeadershipStatus = 'lease' | 'promise' | 'none'
 
 interface Peer {
 	name: string
 	address: string
-	heard: number
-	news: PeerNews | null
+	lastSeen: number
+	status: PeerStatus | null
 	/** until when it has promised not to adopt our parts */
-	promised: number
+	promisedUntil: number
 }
 
-export interface Owned {
-	part: number
-	token: number
-	since: number
+export interface OwnedShard {
+	shardId: number
+	fencingToken: number
+	acquiredAt: number
 }
 
 export interface MembershipEvents {
-	took(part: number, token: number): void
-	lost(part: number, why: string): void
+	onShardAcquired(shardId: number, fencingToken: number): void
+	onShardLost(shardId: number, why: string): void
 	/** is this part quiet enough to change hands? */
-	quiet(part: number): boolean
+	isQuiescent(shardId: number): boolean
 	/** machines of a part that should have reported long ago, if they are most of it; else 0 */
-	unheard(part: number): number
+	unreachableMachines(shardId: number): number
 	/** news for the peers */
-	news(): Pick<
-		PeerNews,
-		'running' | 'ready' | 'empty' | 'suspect' | 'sought' | 'stranded' | 'used' | 'history'
+	localStatus(): Pick<
+		PeerStatus,
+		| 'runningTasks'
+		| 'ready'
+		| 'exhaustedOffers'
+		| 'quarantinedJobs'
+		| 'ownerLookups'
+		| 'partitionedShards'
+		| 'teamUsage'
+		| 'supportsArchive'
 	>
-	heard(news: PeerNews): void
-	/** jobs that were cancelled behind an epoch, for a peer cut off from the state; null: not all of them are known */
-	cancelled(epoch: number): Cancelled[] | null
+	onPeerStatus(status: PeerStatus): void
+	/** jobs that were cancelled behind an revision, for a peer cut off from the state; null: not all of them are known */
+	cancellationsSince(revision: number): CancelledJob[] | null
 	/** a peer told what it knows of cancellations while we are cut off from the state */
-	applyCancelled(all: readonly Cancelled[]): void
+	applyCancellations(all: readonly CancelledJob[]): void
 	log(level: 'info' | 'debug' | 'error', event: string, fields?: Record<string, unknown>): void
 }
 
@@ -73,67 +62,72 @@
  * last successful extend was sent, for the grant's time less a margin, on the steady clock.
  */
 export class Membership {
-	readonly owned = new Map<number, Owned>()
+	readonly ownedShards = new Map<number, OwnedShard>()
 	readonly peers: Peer[]
-	readonly life: string
-	grant: number | null = null
-	private rightUntil = 0
-	private readonly started: number
+	readonly incarnation: string
+	leaseId: number | null = null
+	private leaseValidUntil = 0
+	private readonly startedAt: number
 	/** start, or end of the last standstill */
-	private awakeSince: number
-	private lastPulse: number
+	private resumedAt: number
+	private lastTickAt: number
 	/** until then no part comes back to us */
-	private restUntil = 0
+	private noFailbackUntil = 0
 	/** a part was handed over because its machines reach others and not us; nothing comes back until one answers us */
-	deaf = false
+	cutFromWorkers = false
 	/** this controller is about to end: its parts go to others, and none comes to it */
-	leaving = false
-	private lastStateOk = Number.NEGATIVE_INFINITY
+	draining = false
+	private lastStoreContactAt = Number.NEGATIVE_INFINITY
 	/** promises we gave: member -> until when we adopt none of its parts */
-	private readonly given = new Map<string, number>()
+	private readonly promisesGiven = new Map<string, number>()
 	private readonly absentSince = new Map<number, number>()
-	private taking = new Set<number>()
+	private acquiring = new Set<number>()
 
 	constructor(
-		private readonly d: Derived,
-		private readonly mirror: Mirror,
+		private readonly limits: DerivedLimits,
+		private readonly cache: WatchCache,
 		private readonly client: StoreClient,
-		private readonly caller: Caller,
+		private readonly httpClient: HttpClient,
 		private readonly now: () => number,
 		private readonly events: MembershipEvents,
 	) {
-		this.peers = d.peers.map((p) => ({ ...p, heard: Number.NEGATIVE_INFINITY, news: null, promised: 0 }))
-		this.started = now()
-		this.awakeSince = this.started
-		this.lastPulse = this.started
-		this.life = `${d.self}:${Date.now().toString(36)}${Math.floor(Math.random() * 1e9).toString(36)}`
+		this.peers = limits.peers.map((p) => ({
+			...p,
+			lastSeen: Number.NEGATIVE_INFINITY,
+			status: null,
+			promisedUntil: 0,
+		}))
+		this.startedAt = now()
+		this.resumedAt = this.startedAt
+		this.lastTickAt = this.startedAt
+		this.incarnation = `${limits.self}:${Date.now().toString(36)}${Math.floor(Math.random() * 1e9).toString(36)}`
 	}
 
 	/** Since when this process has run without standing still: its start, or the end of its last standstill. */
-	get awake(): number {
-		return this.awakeSince
+	get runningSince(): number {
+		return this.resumedAt
 	}
 
-	stateHeard(ok: boolean): void {
-		if (ok) this.lastStateOk = this.now()
+	onStoreContact(ok: boolean): void {
+		if (ok) this.lastStoreContactAt = this.now()
 	}
 
 	/** Did the state answer us within that time? */
-	stateHeardWithin(ms: number): boolean {
-		return this.now() - this.lastStateOk < ms
+	reachedStoreWithin(ms: number): boolean {
+		return this.now() - this.lastStoreContactAt < ms
 	}
 
 	/**
 	 * Called often. A process that stood still finds everything late at once: that it heard nothing of the state says
 	 * nothing about the state, and one that stands still now and then must not get its parts back each time in between.
 	 */
-	pulse(): void {
+	detectStandstill(): void {
 		const now = this.now()
-		const stoodMs = now - this.lastPulse
-		this.lastPulse = now
-		if (stoodMs < this.d.grantMs * 0.2) return
-		this.awakeSince = now
-		this.restUntil = now + Math.min(stoodMs, this.d.leaseMs * 2)
+		const stoodMs = now - this.lastTickAt
+		this.lastTickAt = now
+		if (stoodMs < this.limits.controllerLeaseMs * 0.2) return
+		this.resumedAt = now
+		this.noFailbackUntil = now + Math.min(stoodMs, this.limits.agentLeaseMs * 2)
 		this.events.log('info', 'stood still', { ms: Math.round(stoodMs) })
 	}
 
@@ -141,160 +135,166 @@
 	 * With a grant that is extended and records that nothing is heard of any more, an owner would never learn of a
 	 * cancellation (incident 21): it acts on its grant only if it knows the records as of not long ago.
 	 */
-	right(now = this.now()): Right {
-		if (now < this.rightUntil && this.mirror.ageMs(now) < this.d.staleMs) return 'grant'
-		if (this.grant !== null && this.peers.every((p) => now < p.promised)) return 'promise'
+	leadership(now = this.now()): LeadershipStatus {
+		if (now < this.leaseValidUntil && this.cache.ageMs(now) < this.limits.maxStalenessMs) return 'lease'
+		if (this.leaseId !== null && this.peers.every((peer) => now < peer.promisedUntil)) return 'promise'
 		return 'none'
 	}
 
 	/** The owner of a part as far as is known, and whether it was heard of lately and hears its machines. */
-	ownerOf(part: number): { name: string; alive: boolean; hears: boolean } | null {
-		const record = asPart(this.mirror.get(partKey(part))?.data)
+	ownerOf(shardId: number): { name: string; alive: boolean; hears: boolean } | null {
+		const record = decodeShardOwner(this.cache.get(shardKey(shardId))?.data)
 		if (record === null) return null
 		const name = record.owner
-		if (name === this.d.self) return { name, alive: this.owned.has(part), hears: true }
-		const news = this.peers.find((p) => p.name === name)?.news
-		return { name, alive: this.alive(name), hears: !news?.unheard.includes(part) }
+		if (name === this.limits.self) return { name, alive: this.ownedShards.has(shardId), hears: true }
+		const status = this.peers.find((peer) => peer.name === name)?.status
+		return { name, alive: this.isAlive(name), hears: !status?.unreachableShards.includes(shardId) }
 	}
 
-	alive(name: string): boolean {
+	isAlive(name: string): boolean {
 		const peer = this.peers.find((p) => p.name === name)
-		return peer !== undefined && this.now() - peer.heard < this.aliveMs()
+		return peer !== undefined && this.now() - peer.lastSeen < this.livenessTimeoutMs()
 	}
 
-	private aliveMs(): number {
-		return this.d.grantMs * 0.6
+	private livenessTimeoutMs(): number {
+		return this.limits.controllerLeaseMs * 0.6
 	}
 
-	private promisedTo(member: string): boolean {
-		return this.now() < (this.given.get(member) ?? 0)
+	private hasPromisedTo(member: string): boolean {
+		return this.now() < (this.promisesGiven.get(member) ?? 0)
 	}
 
 	/** Keeps the grant alive. */
-	keepGrant(): Effect.Effect<never> {
-		const lifeMs = this.d.grantMs
+	maintainLease(): Effect.Effect<never> {
+		const lifeMs = this.limits.controllerLeaseMs
 		const step = Effect.suspend((): Effect.Effect<void, unknown> => {
 			const sent = this.now()
-			const until = sent + lifeMs * 0.999 - this.d.marginMs
-			if (this.grant === null)
-				return this.client.grant(lifeMs).pipe(
+			const until = sent + lifeMs * 0.999 - this.limits.clockMarginMs
+			if (this.leaseId === null)
+				return this.client.grantLease(lifeMs).pipe(
 					Effect.map((g) => {
-						this.grant = g
-						this.rightUntil = until
-						this.takeWhatIsFree()
+						this.leaseId = g
+						this.leaseValidUntil = until
+						this.acquireFreeShards()
 					}),
 				)
-			const grant = this.grant
+			const leaseId = this.leaseId
 			// Whoever can extend its grant and does not hear of changes keeps its parts from those who do.
-			if (this.owned.size > 0 && this.mirror.ageMs(sent) >= this.d.staleMs) return Effect.fail('stale')
-			return this.client.extend(grant).pipe(
+			if (this.ownedShards.size > 0 && this.cache.ageMs(sent) >= this.limits.maxStalenessMs)
+				return Effect.fail('stale')
+			return this.client.renewLease(leaseId).pipe(
 				Effect.map(() => {
-					if (this.grant === grant) this.rightUntil = Math.max(this.rightUntil, until)
+					if (this.leaseId === leaseId) this.leaseValidUntil = Math.max(this.leaseValidUntil, until)
 				}),
-				Effect.catchTag('GrantOver', () => Effect.sync(() => this.loseGrant())),
+				Effect.catchTag('LeaseExpired', () => Effect.sync(() => this.onLeaseExpired())),
 			)
 		})
 		return step.pipe(
 			Effect.match({ onFailure: () => false, onSuccess: () => true }),
 			Effect.flatMap((ok) => {
-				if (!ok) this.askPromises()
-				return Effect.sleep(this.grant === null || !ok ? lifeMs * 0.06 : lifeMs * 0.2)
+				if (!ok) this.requestPromises()
+				return Effect.sleep(this.leaseId === null || !ok ? lifeMs * 0.06 : lifeMs * 0.2)
 			}),
 			Effect.forever,
 		)
 	}
 
-	private loseGrant(): void {
-		this.grant = null
-		this.rightUntil = 0
-		for (const part of [...this.owned.keys()]) this.drop(part, 'the grant ended')
+	private onLeaseExpired(): void {
+		this.leaseId = null
+		this.leaseValidUntil = 0
+		for (const shardId of [...this.ownedShards.keys()]) this.relinquish(shardId, 'the grant ended')
 	}
 
-	private drop(part: number, why: string): void {
-		if (!this.owned.delete(part)) return
-		this.events.lost(part, why)
+	private relinquish(shardId: number, why: string): void {
+		if (!this.ownedShards.delete(shardId)) return
+		this.events.onShardLost(shardId, why)
 	}
 
 	/** Called for every change of a `part/` key. */
-	partChanged(part: number): void {
-		const entry = this.mirror.get(partKey(part))
-		const record = asPart(entry?.data)
-		const mine = record !== null && record.owner === this.d.self && record.life === this.life
-		if (!mine) this.drop(part, record === null ? 'the key is gone' : `${record.owner} has it`)
-		else if (entry !== undefined) this.own(part, entry.stamp)
+	onShardKeyChanged(shardId: number): void {
+		const entry = this.cache.get(shardKey(shardId))
+		const record = decodeShardOwner(entry?.data)
+		const mine =
+			record !== null && record.owner === this.limits.self && record.incarnation === this.incarnation
+		if (!mine) this.relinquish(shardId, record === null ? 'the key is gone' : `${record.owner} has it`)
+		else if (entry !== undefined) this.onAcquired(shardId, entry.modRevision)
 		if (record === null) {
-			if (!this.absentSince.has(part)) this.absentSince.set(part, this.now())
-		} else this.absentSince.delete(part)
-		this.takeWhatIsFree()
+			if (!this.absentSince.has(shardId)) this.absentSince.set(shardId, this.now())
+		} else this.absentSince.delete(shardId)
+		this.acquireFreeShards()
 	}
 
-	private own(part: number, token: number): void {
-		const known = this.owned.get(part)
-		if (known !== undefined && known.token >= token) return
-		if (known !== undefined) this.drop(part, 'taken again')
-		this.owned.set(part, { part, token, since: this.now() })
-		this.events.log('info', 'took part', { part, token })
-		this.events.took(part, token)
+	private onAcquired(shardId: number, fencingToken: number): void {
+		const known = this.ownedShards.get(shardId)
+		if (known !== undefined && known.fencingToken >= fencingToken) return
+		if (known !== undefined) this.relinquish(shardId, 'taken again')
+		this.ownedShards.set(shardId, { shardId: shardId, fencingToken: fencingToken, acquiredAt: this.now() })
+		this.events.log('info', 'took part', { part: shardId, token: fencingToken })
+		this.events.onShardAcquired(shardId, fencingToken)
 	}
 
 	/** Looks at every part; called on changes and regularly. */
-	takeWhatIsFree(): void {
-		if (this.grant === null || this.mirror.epoch < 0 || this.right() !== 'grant') return
-		for (let part = 0; part < this.d.names.length; part++) {
-			if (this.owned.has(part) || this.taking.has(part)) continue
-			if (this.mayTake(part)) this.take(part)
+	acquireFreeShards(): void {
+		if (this.leaseId === null || this.cache.revision < 0 || this.leadership() !== 'lease') return
+		for (let shardId = 0; shardId < this.limits.controllerNames.length; shardId++) {
+			if (this.ownedShards.has(shardId) || this.acquiring.has(shardId)) continue
+			if (this.mayAcquire(shardId)) this.acquire(shardId)
 		}
 	}
 
-	private mayTake(part: number): boolean {
+	private mayAcquire(shardId: number): boolean {
 		const now = this.now()
-		const record = asPart(this.mirror.get(partKey(part))?.data)
+		const record = decodeShardOwner(this.cache.get(shardKey(shardId))?.data)
 		// What stands in our name is ours to renew: a former life's, which has ended, or a hand-over's that did not happen,
 		// as when the state went down that moment; nobody else can take it for as long as our grant lasts (incident 11).
-		if (record !== null) return record.owner === this.d.self
-		if (this.leaving) return false
-		const last = asPart(this.mirror.get(lastOwnerKey(part))?.data)?.owner
-		if (last !== undefined && last !== this.d.self) {
+		if (record !== null) return record.owner === this.limits.self
+		if (this.draining) return false
+		const last = decodeShardOwner(this.cache.get(lastOwnerKey(shardId))?.data)?.owner
+		if (last !== undefined && last !== this.limits.self) {
 			// We may have promised its owner, in this life or one that we cannot remember, to leave it alone.
-			if (this.promisedTo(last) || now - this.started < this.d.promiseMs * 1.01 + 100) return false
+			if (this.hasPromisedTo(last) || now - this.startedAt < this.limits.takeoverPromiseMs * 1.01 + 100)
+				return false
 		}
-		const home = this.d.names[part]
-		if (home === this.d.self && !this.deaf) return true
+		const home = this.limits.controllerNames[shardId]
+		if (home === this.limits.self && !this.cutFromWorkers) return true
 		// Others wait their turn: the home controller first, then its successors one after the other.
-		const step = this.d.grantMs * 0.08
-		const turn = (this.d.names.indexOf(this.d.self) - part + this.d.names.length) % this.d.names.length
-		const patience = last === undefined ? this.d.grantMs : this.alive(home) ? step * 6 : 0
-		const since = Math.max(this.absentSince.get(part) ?? this.started, this.started)
-		return now - since >= patience + step * turn + (this.deaf ? this.d.grantMs : 0)
-	}
-
-	private take(part: number): void {
-		const grant = this.grant
-		if (grant === null) return
-		this.taking.add(part)
-		const data = { owner: this.d.self, life: this.life }
+		const step = this.limits.controllerLeaseMs * 0.08
+		const turn =
+			(this.limits.controllerNames.indexOf(this.limits.self) - shardId + this.limits.controllerNames.length) %
+			this.limits.controllerNames.length
+		const patience = last === undefined ? this.limits.controllerLeaseMs : this.isAlive(home) ? step * 6 : 0
+		const since = Math.max(this.absentSince.get(shardId) ?? this.startedAt, this.startedAt)
+		return now - since >= patience + step * turn + (this.cutFromWorkers ? this.limits.controllerLeaseMs : 0)
+	}
+
+	private acquire(shardId: number): void {
+		const leaseId = this.leaseId
+		if (leaseId === null) return
+		this.acquiring.add(shardId)
+		const data = encodeShardOwner({ owner: this.limits.self, incarnation: this.incarnation })
 		// The key of the last owner too: a take that is applied late, after others have had the part and lost it, would
 		// find the part's own key absent again, and take what we may have promised to leave alone by then.
-		const conditions = [partKey(part), lastOwnerKey(part)].map((key) => ({
-			key: ROOT + key,
-			stamp: this.mirror.stamp(key),
+		const conditions = [shardKey(shardId), lastOwnerKey(shardId)].map((key) => ({
+			key: KEY_PREFIX + key,
+			modRevision: this.cache.modRevision(key),
 		}))
 		Effect.runFork(
 			this.client
-				.txn(conditions, [
-					{ set: ROOT + partKey(part), data, grant },
-					{ set: ROOT + lastOwnerKey(part), data },
+				.transact(conditions, [
+					{ set: KEY_PREFIX + shardKey(shardId), data, leaseId: leaseId },
+					{ set: KEY_PREFIX + lastOwnerKey(shardId), data },
 				])
 				.pipe(
 					Effect.match({
 						onSuccess: (r) => {
-							this.taking.delete(part)
-							if (r.ok && this.grant === grant) this.mirror.wrote(partKey(part), data, r.epoch)
+							this.acquiring.delete(shardId)
+							if (r.ok && this.leaseId === leaseId)
+								this.cache.applyOwnWrite(shardKey(shardId), data, r.revision)
 						},
 						onFailure: (e) => {
-							if (e._tag === 'GrantOver' && this.grant === grant) this.loseGrant()
+							if (e._tag === 'LeaseExpired' && this.leaseId === leaseId) this.onLeaseExpired()
 							// Unanswered: if it was or is yet applied, the watch will tell.
-							setTimeout(() => this.taking.delete(part), this.d.grantMs * 0.1)
+							setTimeout(() => this.acquiring.delete(shardId), this.limits.controllerLeaseMs * 0.1)
 						},
 					}),
 				),
@@ -302,30 +302,30 @@
 	}
 
 	/** Gives parts back to their home controller once that has been up and ready for a while. */
-	handBack(): void {
-		if (!this.mayHandOver()) return
-		for (const { part, since } of [...this.owned.values()]) {
-			const home = this.d.names[part]
-			if (home === this.d.self) continue
+	failBack(): void {
+		if (!this.mayHandOff()) return
+		for (const { shardId, acquiredAt: since } of [...this.ownedShards.values()]) {
+			const home = this.limits.controllerNames[shardId]
+			if (home === this.limits.self) continue
 			const peer = this.peers.find((p) => p.name === home)
-			const news = this.taker(peer)
-			if (!peer || !news || news.upMs < this.d.grantMs * 0.4) continue
-			if (this.now() - since < this.d.grantMs * 0.4) continue
-			if (!this.events.quiet(part) && this.now() - since < this.d.leaseMs * 2) continue
-			return this.handOver(part, home, news, `handed back to ${home}`)
+			const status = this.statusIfEligible(peer)
+			if (!peer || !status || status.uptimeMs < this.limits.controllerLeaseMs * 0.4) continue
+			if (this.now() - since < this.limits.controllerLeaseMs * 0.4) continue
+			if (!this.events.isQuiescent(shardId) && this.now() - since < this.limits.agentLeaseMs * 2) continue
+			return this.handOff(shardId, home, status, `handed back to ${home}`)
 		}
 	}
 
 	/** Only while the state answers: a hand-over that it does not confirm costs the part more than it gains. */
-	private mayHandOver(): boolean {
-		return this.right() === 'grant' && this.stateHeardWithin(this.d.grantMs * 0.3)
+	private mayHandOff(): boolean {
+		return this.leadership() === 'lease' && this.reachedStoreWithin(this.limits.controllerLeaseMs * 0.3)
 	}
 
 	/** A peer's news if it could own one more part right now. */
-	private taker(peer: Peer | undefined): (PeerNews & { grant: number }) | null {
-		const news = peer?.news
-		if (!news?.ready || news.grant === null || !this.alive(news.name)) return null
-		return news as PeerNews & { grant: number }
+	private statusIfEligible(peer: Peer | undefined): (PeerStatus & { leaseId: number }) | null {
+		const status = peer?.status
+		if (!status?.ready || status.leaseId === null || !this.isAlive(status.name)) return null
+		return status as PeerStatus & { leaseId: number }
 	}
 
 	/**
@@ -334,17 +334,19 @@
 	 * have it; machines that are cut themselves reach nobody. Not twice within a lease, or a zone that is cut in two
 	 * would have its parts change hands for ever.
 	 */
-	handToWhoHears(): void {
-		if (!this.mayHandOver()) return
-		for (const { part, since } of [...this.owned.values()]) {
-			const unheard = this.events.unheard(part)
-			if (unheard === 0 || this.now() - since < this.d.leaseMs) continue
-			const hears = (p: Peer) => p.news?.sought[part] ?? 0
-			const best = this.peers.filter((p) => this.taker(p)).sort((a, b) => hears(b) - hears(a))[0]
-			const news = this.taker(best)
-			if (news === null || hears(best) < 2 || hears(best) * 8 < unheard) continue
-			this.deaf = true
-			return this.handOver(part, best.name, news, `its machines reach ${best.name} and not us`)
+	handOffUnreachableShards(): void {
+		if (!this.mayHandOff()) return
+		for (const { shardId, acquiredAt: since } of [...this.ownedShards.values()]) {
+			const unheard = this.events.unreachableMachines(shardId)
+			if (unheard === 0 || this.now() - since < this.limits.agentLeaseMs) continue
+			const hears = (peer: Peer) => peer.status?.ownerLookups[shardId] ?? 0
+			const best = this.peers
+				.filter((peer) => this.statusIfEligible(peer))
+				.sort((a, b) => hears(b) - hears(a))[0]
+			const status = this.statusIfEligible(best)
+			if (status === null || hears(best) < 2 || hears(best) * 8 < unheard) continue
+			this.cutFromWorkers = true
+			return this.handOff(shardId, best.name, status, `its machines reach ${best.name} and not us`)
 		}
 	}
 
@@ -352,119 +354,114 @@
 	 * We are about to end: every part goes to its home, or to the peer that owns the fewest. One whose machines are not all
 	 * accounted for stays until they are, since its next owner would have to wait for them; `atOnce`: it goes all the same.
 	 */
-	handAllOver(atOnce: boolean): void {
-		if (!this.leaving || !this.mayHandOver()) return
+	handOffAll(atOnce: boolean): void {
+		if (!this.draining || !this.mayHandOff()) return
 		const owns = new Map<string, number>()
-		for (let part = 0; part < this.d.names.length; part++) {
-			const owner = asPart(this.mirror.get(partKey(part))?.data)?.owner
+		for (let shardId = 0; shardId < this.limits.controllerNames.length; shardId++) {
+			const owner = decodeShardOwner(this.cache.get(shardKey(shardId))?.data)?.owner
 			if (owner !== undefined) owns.set(owner, (owns.get(owner) ?? 0) + 1)
 		}
-		for (const { part } of [...this.owned.values()]) {
-			if (!atOnce && !this.events.quiet(part)) continue
-			const able = this.peers.filter((p) => this.taker(p) !== null)
-			const count = (p: Peer) => (p.name === this.d.names[part] ? -1 : (owns.get(p.name) ?? 0))
+		for (const { shardId } of [...this.ownedShards.values()]) {
+			if (!atOnce && !this.events.isQuiescent(shardId)) continue
+			const able = this.peers.filter((peer) => this.statusIfEligible(peer) !== null)
+			const count = (peer: Peer) =>
+				peer.name === this.limits.controllerNames[shardId] ? -1 : (owns.get(peer.name) ?? 0)
 			const best = able.sort((a, b) => count(a) - count(b))[0]
-			const news = this.taker(best)
-			if (news === null) return
+			const status = this.statusIfEligible(best)
+			if (status === null) return
 			owns.set(best.name, (owns.get(best.name) ?? 0) + 1)
-			this.handOver(part, best.name, news, `handed to ${best.name} at our end`)
+			this.handOff(shardId, best.name, status, `handed to ${best.name} at our end`)
 		}
 	}
 
-	private handOver(part: number, to: string, news: PeerNews & { grant: number }, why: string): void {
-		const token = this.owned.get(part)!.token
-		const data = { owner: to, life: news.life }
-		this.drop(part, why)
-		this.taking.add(part)
+	private handOff(shardId: number, to: string, status: PeerStatus & { leaseId: number }, why: string): void {
+		const fencingToken = this.ownedShards.get(shardId)!.fencingToken
+		const data = encodeShardOwner({ owner: to, incarnation: status.incarnation })
+		this.relinquish(shardId, why)
+		this.acquiring.add(shardId)
 		Effect.runFork(
 			this.client
-				.txn(
-					[{ key: ROOT + partKey(part), stamp: token }],
+				.transact(
+					[{ key: KEY_PREFIX + shardKey(shardId), modRevision: fencingToken }],
 					[
-						{ set: ROOT + partKey(part), data, grant: news.grant },
-						{ set: ROOT + lastOwnerKey(part), data },
+						{ set: KEY_PREFIX + shardKey(shardId), data, leaseId: status.leaseId },
+						{ set: KEY_PREFIX + lastOwnerKey(shardId), data },
 					],
 				)
 				.pipe(
 					Effect.match({
 						onSuccess: (r) => {
-							if (r.ok) this.mirror.wrote(partKey(part), data, r.epoch)
+							if (r.ok) this.cache.applyOwnWrite(shardKey(shardId), data, r.revision)
 						},
 						onFailure: () => {},
 					}),
-					Effect.andThen(Effect.sleep(this.d.grantMs * 0.2)),
+					Effect.andThen(Effect.sleep(this.limits.controllerLeaseMs * 0.2)),
 					// One that did not happen leaves the key in our name: then we take it again under a new token.
-					Effect.map(() => this.taking.delete(part)),
+					Effect.map(() => this.acquiring.delete(shardId)),
 				),
 		)
 	}
 
 	/** Takes every owned part again, under new tokens. */
-	retake(): void {
-		for (const { part } of [...this.owned.values()]) {
-			this.drop(part, 'taken anew after an error')
-			if (this.right() === 'grant') this.take(part)
+	reacquireAll(): void {
+		for (const { shardId } of [...this.ownedShards.values()]) {
+			this.relinquish(shardId, 'taken anew after an error')
+			if (this.leadership() === 'lease') this.acquire(shardId)
 		}
 	}
 
 	// ---- between controllers ----
 
 	private post(peer: Peer, path: string, body: unknown): Effect.Effect<unknown> {
-		return this.caller
-			.call(peer.address, 'POST', path, body, this.d.grantMs * 0.25)
+		return this.httpClient
+			.request(peer.address, 'POST', path, body, this.limits.controllerLeaseMs * 0.25)
 			.pipe(Effect.match({ onFailure: () => null, onSuccess: (a) => (a.status === 200 ? a.body : null) }))
 	}
 
-	private ownNews(): PeerNews {
-		const { ready, ...news } = this.events.news()
+	private localStatus(): PeerStatus {
+		const { ready, ...news } = this.events.localStatus()
 		return {
-			name: this.d.self,
-			life: this.life,
-			grant: this.grant,
-			upMs: Math.round(this.now() - this.awakeSince),
-			ready: ready && this.right() === 'grant' && !this.deaf && !this.leaving && this.now() >= this.restUntil,
-			unheard: [...this.owned.keys()].filter((part) => this.events.unheard(part) > 0),
+			name: this.limits.self,
+			incarnation: this.incarnation,
+			leaseId: this.leaseId,
+			uptimeMs: Math.round(this.now() - this.resumedAt),
+			ready:
+				ready &&
+				this.leadership() === 'lease' &&
+				!this.cutFromWorkers &&
+				!this.draining &&
+				this.now() >= this.noFailbackUntil,
+			unreachableShards: [...this.ownedShards.keys()].filter(
+				(shardId) => this.events.unreachableMachines(shardId) > 0,
+			),
 			...news,
 		}
 	}
 
 	gossip(): void {
-		const news = this.ownNews()
+		const message = encodePeerStatus(this.localStatus())
 		for (const peer of this.peers)
-			Effect.runFork(this.post(peer, '/peer/news', news).pipe(Effect.map((answer) => this.hear(answer))))
+			Effect.runFork(
+				this.post(peer, '/peer/news', message).pipe(Effect.map((answer) => this.onPeerMessage(answer))),
+			)
 	}
 
-	private hear(message: unknown): void {
-		if (
-			!isMap(message) ||
-			typeof message.name !== 'string' ||
-			!isMap(message.running) ||
-			!isMap(message.empty) ||
-			!Array.isArray(message.suspect) ||
-			!isMap(message.sought) ||
-			!isMap(message.used) ||
-			!Array.isArray(message.unheard)
-		)
-			return
-		const peer = this.peers.find((p) => p.name === message.name)
-		if (peer === undefined) return
-		peer.heard = this.now()
-		// Peers of an older version, during a rolling restart, say nothing of stranded parts and know no archive.
-		peer.news = {
-			stranded: [],
-			history: false,
-			...(message as unknown as Omit<PeerNews, 'stranded' | 'history'>),
-		}
-		this.events.heard(peer.news)
+	private onPeerMessage(message: unknown): void {
+		const status = decodePeerStatus(message)
+		const peer = this.peers.find((p) => p.name === status?.name)
+		if (status === null || peer === undefined) return
+		peer.lastSeen = this.now()
+		peer.status = status
+		this.events.onPeerStatus(status)
 	}
 
 	/** Answers a message of another controller. */
-	answer(path: string, message: unknown): unknown {
+	handlePeerRequest(path: string, message: unknown): unknown {
 		if (path === '/peer/news') {
-			this.hear(message)
-			return this.ownNews()
+			this.onPeerMessage(message)
+			return encodePeerStatus(this.localStatus())
 		}
-		if (path === '/peer/promise') return this.promise(message)
+		if (path === '/peer/promise') return this.answerPromiseRequest(message)
 		return null
 	}
 
@@ -472,44 +469,48 @@
 	 * A member that cannot reach the state asks us not to adopt its parts for a short while. Only if we cannot
 	 * reach it either: otherwise the part is better off with somebody who can.
 	 */
-	private promise(message: unknown): unknown {
+	private answerPromiseRequest(message: unknown): unknown {
 		const refused = { promised: false }
 		// A controller of an older version does not say what it knows: it falls silent, which is safe.
-		const question = readQuestion(message)
+		const question = decodePromiseRequest(message)
 		if (question === null) return refused
-		this.pulse()
+		this.detectStandstill()
 		const now = this.now()
-		if (this.stateHeardWithin(this.d.grantMs * 0.25) || now - this.awakeSince < this.d.promiseMs)
+		if (
+			this.reachedStoreWithin(this.limits.controllerLeaseMs * 0.25) ||
+			now - this.resumedAt < this.limits.takeoverPromiseMs
+		)
 			return refused
 		// Only for parts that are its own as far as we know, under the very token that it acts by. A take of ours that
 		// is still under way then began before that token and can no longer be applied: it names an older `last/` key.
-		for (const [part, token] of question.owned) {
-			const entry = this.mirror.get(partKey(part))
-			if (entry?.stamp !== token || asPart(entry?.data)?.owner !== question.name) return refused
-			if (this.taking.has(part) || this.owned.has(part)) return refused
+		for (const [shardId, fencingToken] of question.ownedShards) {
+			const entry = this.cache.get(shardKey(shardId))
+			if (entry?.modRevision !== fencingToken || decodeShardOwner(entry?.data)?.owner !== question.member)
+				return refused
+			if (this.acquiring.has(shardId) || this.ownedShards.has(shardId)) return refused
 		}
 		// Whatever anybody here was ever told to be cancelled, and it does not know: it goes on only knowing that.
-		const cancelled = this.events.cancelled(question.epoch)
+		const cancelled = this.events.cancellationsSince(question.revision)
 		if (cancelled === null) return refused
-		this.given.set(question.name, now + this.d.promiseMs * 1.002)
-		return { promised: true, cancelled: writeCancelled(cancelled) }
+		this.promisesGiven.set(question.member, now + this.limits.takeoverPromiseMs * 1.002)
+		return { promised: true, cancelled: encodeCancellations(cancelled) }
 	}
 
-	private askPromises(): void {
-		if (this.owned.size === 0 || this.grant === null) return
+	private requestPromises(): void {
+		if (this.ownedShards.size === 0 || this.leaseId === null) return
 		const owned: Record<string, number> = {}
-		for (const { part, token } of this.owned.values()) owned[part] = token
-		const message = { name: this.d.self, owned, epoch: this.mirror.epoch }
+		for (const { shardId, fencingToken } of this.ownedShards.values()) owned[shardId] = fencingToken
+		const message = { name: this.limits.self, owned, epoch: this.cache.revision }
 		for (const peer of this.peers) {
 			const sent = this.now()
 			Effect.runFork(
 				this.post(peer, '/peer/promise', message).pipe(
 					Effect.map((answer) => {
 						const cancelled =
-							isMap(answer) && answer.promised === true ? readCancelled(answer.cancelled) : null
+							isMap(answer) && answer.promised === true ? decodeCancellations(answer.cancelled) : null
 						if (cancelled === null) return
-						this.events.applyCancelled(cancelled)
-						peer.promised = Math.max(peer.promised, sent + this.d.promiseMs * 0.998)
+						this.events.applyCancellations(cancelled)
+						peer.promisedUntil = Math.max(peer.promisedUntil, sent + this.limits.takeoverPromiseMs * 0.998)
 					}),
 				),
 			)
--- a/packages/config/src/index.ts
+++ b/packages/config/src/index.ts
@@ -53,9 +53,9 @@
 /** Operators' own settings, each with what it does when it is not given. */
 export interface Tuning {
 	/** An empty machine goes back after this many report periods. */
-	idleReports: number
+	idleHeartbeats: number
 	/** Progress of unfinished jobs is written every so many report periods. */
-	progressReports: number
+	progressHeartbeats: number
 	/** A job's default budget: 0 is the cheapest sequential cost, 1 the parallel cost. */
 	budgetMix: number
 }
@@ -107,8 +107,8 @@
 	listen: string
 }
 
-export const GRANTS = ['node', 'team-jobs'] as const
-export type Grant = (typeof GRANTS)[number]
+export const PLUGIN_PERMISSIONS = ['node', 'team-jobs'] as const
+export type PluginPermission = (typeof PLUGIN_PERMISSIONS)[number]
 
 /** What an operator has settled for one plug-in. */
 export interface PluginSettings {
@@ -124,7 +124,7 @@
 	/** null: as its manifest says */
 	classes: readonly string[] | null
 	teams: readonly string[] | null
-	grant: readonly Grant[]
+	permissions: readonly PluginPermission[]
 }
 
 /** Checks of the operators' own, on only if the INI file has their section. */
@@ -145,8 +145,8 @@
 }
 
 const TUNING: { [K in keyof Tuning]: Key } = {
-	idleReports: { section: 'machines', key: 'idle_reports', value: 6, min: 1, max: 10_000 },
-	progressReports: { section: 'store', key: 'progress_reports', value: 3, min: 1, max: 10_000 },
+	idleHeartbeats: { section: 'machines', key: 'idle_reports', value: 6, min: 1, max: 10_000 },
+	progressHeartbeats: { section: 'store', key: 'progress_reports', value: 3, min: 1, max: 10_000 },
 	budgetMix: { section: 'budget', key: 'mix', value: 0.5, min: 0, max: 1 },
 }
 
@@ -259,15 +259,15 @@
 	if (unsure !== 'release' && unsure !== 'hold-until-limit')
 		throw new ConfigError(`${path}: ${at}.when_unsure: must be release or hold-until-limit`)
 	const grant = names(path, `${at}.grant`, section.grant) ?? []
-	const unknown = grant.find((g) => !GRANTS.includes(g as Grant))
+	const unknown = grant.find((g) => !PLUGIN_PERMISSIONS.includes(g as PluginPermission))
 	if (unknown !== undefined)
-		throw new ConfigError(`${path}: ${at}.grant: ${unknown} is none of ${GRANTS.join(', ')}`)
+		throw new ConfigError(`${path}: ${at}.grant: ${unknown} is none of ${PLUGIN_PERMISSIONS.join(', ')}`)
 	return {
 		...readNumbers(path, { [at]: section }, table as Record<Figures, Key>),
 		whenUnsure: unsure === 'release' ? 'release' : 'hold',
 		classes: names(path, `${at}.classes`, section.classes),
 		teams: names(path, `${at}.teams`, section.teams),
-		grant: grant as Grant[],
+		permissions: grant as PluginPermission[],
 	}
 }
 
@@ -292,7 +292,7 @@
 }
 
 /** What an INI file settles. */
-export interface Options {
+export interface OperatorSettings {
 	tuning: Tuning
 	daemon: DaemonSettings
 	/** null: none are loaded */
@@ -306,7 +306,7 @@
 }
 
 /** Reads the operators' settings; without a file all are at their defaults and nothing optional is on. */
-export const readIni = (path: string | undefined): Options => {
+export const readOperatorSettings = (path: string | undefined): OperatorSettings => {
 	const sections = path === undefined ? {} : readSections(path)
 	const file = path ?? ''
 	const tuning = readNumbers(file, sections, TUNING)
@@ -324,57 +324,82 @@
 }
 
 /** What is in force where no file says otherwise. */
-export const DEFAULTS = readIni(undefined)
+export const DEFAULT_OPERATOR_SETTINGS = readOperatorSettings(undefined)
 /** The face for gRPC as it is when its section holds nothing but `listen`. */
-export const grpcDefaults = (listen: string): GrpcSettings => ({ listen, ...readNumbers('', {}, GRPC) })
-export const historyDefaults: HistorySettings = readNumbers('', {}, HISTORY)
+export const defaultGrpcSettings = (listen: string): GrpcSettings => ({
+	listen,
+	...readNumbers('', {}, GRPC),
+})
+export const defaultHistorySettings: HistorySettings = readNumbers('', {}, HISTORY)
 
 /**
  * Figures that the service derives from the settings. All are ratios, so that a deployment with other
  * leases or rates gets proportionate behaviour without any change here.
  */
-export interface Derived {
+export interface DerivedLimits {
 	/** All controllers, sorted: part number K is at home at names[K]. */
-	names: string[]
+	controllerNames: string[]
 	self: string
 	peers: { name: string; address: string }[]
-	reportMs: number
+	heartbeatMs: number
 	/** A worker's lease, stretched by what two clocks can drift apart and a margin for late timers. */
-	leaseMs: number
+	agentLeaseMs: number
 	cancelMs: number
-	grantMs: number
+	controllerLeaseMs: number
 	/** How long one promise of a member not to adopt a part lasts. */
-	promiseMs: number
+	takeoverPromiseMs: number
 	/** Taken off every right that ends on our clock. */
-	marginMs: number
+	clockMarginMs: number
 	/** How long one watch waits for a change. */
-	watchMs: number
+	watchTimeoutMs: number
 	/** An owner that does not know the records as of so long ago acts on its grant no more. */
-	staleMs: number
+	maxStalenessMs: number
 	/** How long a cancellation must have been known before a user is told of it; 0 unless `cancel_s` is very short. */
-	confirmAfterMs: number
+	cancellationConfirmDelayMs: number
 	writesPerS: number
 	readsPerS: number
-	cloudPerS: number
+	cloudCallsPerS: number
 	/** Submissions a second that our share of the changes can make durable, several in one value. */
-	intakePerS: number
+	submissionsPerS: number
 	/** Bound of submissions waiting for their write. */
-	intakeLimit: number
-	sockets: number
+	maxPendingSubmissions: number
+	maxSockets: number
 }
 
-export interface Config extends Options {
+/** The derived limits as `check-config` prints them, under the names that operators know. */
+export const printedLimits = (limits: DerivedLimits): Record<string, unknown> => ({
+	names: limits.controllerNames,
+	self: limits.self,
+	peers: limits.peers,
+	reportMs: limits.heartbeatMs,
+	leaseMs: limits.agentLeaseMs,
+	cancelMs: limits.cancelMs,
+	grantMs: limits.controllerLeaseMs,
+	promiseMs: limits.takeoverPromiseMs,
+	marginMs: limits.clockMarginMs,
+	watchMs: limits.watchTimeoutMs,
+	staleMs: limits.maxStalenessMs,
+	confirmAfterMs: limits.cancellationConfirmDelayMs,
+	writesPerS: limits.writesPerS,
+	readsPerS: limits.readsPerS,
+	cloudPerS: limits.cloudCallsPerS,
+	intakePerS: limits.submissionsPerS,
+	intakeLimit: limits.maxPendingSubmissions,
+	sockets: limits.maxSockets,
+})
+
+export interface Config extends OperatorSettings {
 	settings: Settings
-	derived: Derived
+	limits: DerivedLimits
 }
 
 /** Characters that a value may have, as JSON, less some for what goes around it. */
-export const valueRoom = (s: Settings): number => s.deployment.state.value_kb * 1024 - 200
+export const maxValueChars = (s: Settings): number => s.deployment.state.value_kb * 1024 - 200
 
 /** What a page of final states holds: a value, and no more jobs than go into the archive together. */
-export const pageRoom = (c: Config): { value: number; jobs: number } => ({
-	value: valueRoom(c.settings),
-	jobs: (c.history ?? historyDefaults).batch,
+export const terminalPageLimits = (c: Config): { maxValueChars: number; maxJobs: number } => ({
+	maxValueChars: maxValueChars(c.settings),
+	maxJobs: (c.history ?? defaultHistorySettings).batch,
 })
 
 /**
@@ -386,7 +411,7 @@
 const confirmAfterMs = (cancelMs: number, staleMs: number, leaseMs: number): number =>
 	Math.max(0, staleMs + leaseMs - cancelMs)
 
-export const derive = (s: Settings): Derived => {
+export const deriveLimits = (s: Settings): DerivedLimits => {
 	const names = [s.host_name, ...s.members.map((m) => m.host_name)].sort()
 	const d = s.deployment
 	const w = d.workers
@@ -401,31 +426,31 @@
 	// A job's record takes about half a KiB.
 	const intakePerS = (d.state.write_rps / names.length) * Math.max(1, d.state.value_kb * 2 - 1)
 	return {
-		names,
+		controllerNames: names,
 		self: s.host_name,
 		peers: s.members.map((m) => ({ name: m.host_name, address: m.peer_addr })),
-		reportMs: w.report_s * 1000,
-		leaseMs,
+		heartbeatMs: w.report_s * 1000,
+		agentLeaseMs: leaseMs,
 		cancelMs: w.cancel_s * 1000,
-		grantMs: Math.round(grantMs),
-		promiseMs: Math.min(grantMs, 1000 * slackS * 0.15),
-		marginMs,
-		watchMs,
-		staleMs,
-		confirmAfterMs: confirmAfterMs(w.cancel_s * 1000, staleMs, leaseMs),
+		controllerLeaseMs: Math.round(grantMs),
+		takeoverPromiseMs: Math.min(grantMs, 1000 * slackS * 0.15),
+		clockMarginMs: marginMs,
+		watchTimeoutMs: watchMs,
+		maxStalenessMs: staleMs,
+		cancellationConfirmDelayMs: confirmAfterMs(w.cancel_s * 1000, staleMs, leaseMs),
 		writesPerS: d.state.write_rps / names.length,
 		readsPerS: d.state.rps / names.length,
-		cloudPerS: d.cloud.rps / names.length,
-		intakePerS,
+		cloudCallsPerS: d.cloud.rps / names.length,
+		submissionsPerS: intakePerS,
 		// What two seconds of our share can take: well within the time for which a user waits for an answer.
-		intakeLimit: Math.max(8, Math.ceil(intakePerS * 2)),
-		sockets: Math.floor(d.resources.fd_limit * 0.8),
+		maxPendingSubmissions: Math.max(8, Math.ceil(intakePerS * 2)),
+		maxSockets: Math.floor(d.resources.fd_limit * 0.8),
 	}
 }
 
 const decodeSettings = Schema.decodeUnknownResult(Settings)
 
-export const checkSettings = (value: unknown): Settings => {
+export const parseSettings = (value: unknown): Settings => {
 	const read = decodeSettings(value)
 	if (Result.isFailure(read)) {
 		const text = String(read.failure.message ?? read.failure).replace(/\s+/g, ' ')
@@ -451,16 +476,16 @@
 	}
 	let settings: Settings
 	try {
-		settings = checkSettings(value)
+		settings = parseSettings(value)
 	} catch (e) {
 		throw new ConfigError(`${settingsPath}: ${(e as Error).message}`)
 	}
-	const options = readIni(iniPath)
-	const derived = derive(settings)
+	const options = readOperatorSettings(iniPath)
+	const derived = deriveLimits(settings)
 	// Users over HTTP can be told to come back; a stream tells final states in their order, or not at all.
-	if (options.grpc !== null && derived.confirmAfterMs > 0) {
-		const leastS = settings.deployment.workers.cancel_s + derived.confirmAfterMs / 1000
+	if (options.grpc !== null && derived.cancellationConfirmDelayMs > 0) {
+		const leastS = settings.deployment.workers.cancel_s + derived.cancellationConfirmDelayMs / 1000
 		throw new ConfigError(`${iniPath}: [grpc]: needs a cancel_s of ${leastS.toFixed(1)} at least`)
 	}
-	return { settings, ...options, derived }
+	return { settings, ...options, limits: derived }
 }
--- a/packages/controller/src/boots.ts
+++ b/packages/controller/src/boots.ts
@@ -10,10 +10,10 @@
  * figure; some take several times as long, a few never end. In a spell of late boots fixed multiples of the figure gave
  * up, and rented anew, what was about to come (protocol: boot time).
  */
-export class Boots {
+export class BootTimeEstimator {
 	private readonly seen = new Map<string, number[]>()
 
-	came(type: MachineType, afterMs: number): void {
+	observe(type: MachineType, afterMs: number): void {
 		const list = this.seen.get(type.name) ?? []
 		list.push(afterMs / (type.bootS * 1000))
 		this.seen.set(type.name, list.slice(-KEPT))
@@ -27,12 +27,12 @@
 	}
 
 	/** After this long a machine is no longer counted on, and another is rented for its work. */
-	givenUpMs(type: MachineType): number {
+	giveUpAfterMs(type: MachineType): number {
 		return type.bootS * 1000 * this.usual(type)
 	}
 
 	/** After this long it is returned. */
-	returnedMs(type: MachineType): number {
-		return this.givenUpMs(type) * (5 / 3)
+	returnAfterMs(type: MachineType): number {
+		return this.giveUpAfterMs(type) * (5 / 3)
 	}
 }
--- a/packages/controller/src/checks.ts
+++ b/packages/controller/src/checks.ts
@@ -8,7 +8,7 @@
 	| { kind: 'unsure'; why: string; againMs: number }
 
 /** What an operator has settled for a check. */
-export interface Terms {
+export interface CheckTerms {
 	/** from its acceptance on; then the job is released whatever the check says */
 	atMostMs: number
 	whenUnsure: 'release' | 'hold'
@@ -17,7 +17,7 @@
 }
 
 /** What a check is told beside the job. */
-export interface Seen {
+export interface CheckContext {
 	waitedS: number
 	leftS: number
 	asked: number
@@ -25,7 +25,7 @@
 }
 
 /** Checks of the operators' own, before jobs are accepted and before they first start. Nothing here waits. */
-export interface Checks {
+export interface AdmissionChecks {
 	/** which of them a job that is accepted now has to pass before its first start */
 	required(spec: JobSpec): readonly string[]
 	/**
@@ -34,12 +34,12 @@
 	 */
 	admit(spec: JobSpec, done: (refusal: string | null, released: readonly string[]) => void): void
 	/** null: there is no such check here */
-	terms(name: string): Terms | null
-	ask(name: string, spec: JobSpec, seen: Seen, done: (verdict: Verdict) => void): void
+	terms(name: string): CheckTerms | null
+	ask(name: string, spec: JobSpec, seen: CheckContext, done: (verdict: Verdict) => void): void
 }
 
 /** What holds where operators have no checks: jobs that were accepted elsewhere with some are released. */
-export const NO_CHECKS: Checks = {
+export const NO_CHECKS: AdmissionChecks = {
 	required: () => [],
 	admit: (_spec, done) => done(null, []),
 	terms: () => null,
--- a/packages/controller/src/faults.ts
+++ b/packages/controller/src/faults.ts
@@ -1,63 +1,70 @@
 import type { Attempt, JobRun, Machine } from './model.js'
-import type { PartState } from './state.js'
+import type { ShardState } from './state.js'
 
 /**
  * An error is the machine's or the job's. Only what succeeds elsewhere tells them apart, so a job that has not succeeded
  * yet is no evidence against a machine: a wide array submitted with a mistake starts on dozens of machines before its
  * first error is known, and healthy machines were drained for it (incident 8).
  */
-export class Faults {
-	constructor(private readonly s: PartState) {}
+export class CrashLoopDetector {
+	constructor(private readonly state: ShardState) {}
 
-	failed(m: Machine, job: JobRun, a: Attempt, now: number): void {
-		const { leaseMs, reportMs } = this.s.config.derived
-		const before = job.suspect
-		job.failedOn.add(m.id)
-		if (now - job.failedAt > reportMs) job.failures++
-		job.failedAt = now
-		m.faults.set(job, (m.faults.get(job) ?? 0) + 1)
-		this.s.ports.log('info', 'task failed', { task: a.name, machine: m.id, failures: job.failures })
-		const tries = Math.max(job.failures, job.failedOn.size)
+	onTaskFailed(machine: Machine, job: JobRun, attempt: Attempt, now: number): void {
+		const { agentLeaseMs: leaseMs, heartbeatMs: reportMs } = this.state.config.limits
+		const before = job.isQuarantined
+		job.failedMachineIds.add(machine.id)
+		if (now - job.lastFailureAt > reportMs) job.failureCount++
+		job.lastFailureAt = now
+		machine.failuresByJob.set(job, (machine.failuresByJob.get(job) ?? 0) + 1)
+		this.state.ports.log('info', 'task failed', {
+			task: attempt.taskName,
+			machine: machine.id,
+			failures: job.failureCount,
+		})
+		const tries = Math.max(job.failureCount, job.failedMachineIds.size)
 		const waitMs = Math.min(leaseMs * 4, reportMs * 2 ** Math.min(10, tries))
-		job.retryAt = now + waitMs
-		if (job.suspect) {
+		job.retryFailedMachinesAt = now + waitMs
+		if (job.isQuarantined) {
 			// The machines that it has not failed on yet come first.
-			job.notBefore = now + waitMs / 2
+			job.retryNotBefore = now + waitMs / 2
 			if (!before) {
-				this.s.queueDirty = true
-				this.s.ports.log('info', 'job is suspect', { uid: job.spec.uid, machines: [...job.failedOn] })
+				this.state.queueDirty = true
+				this.state.ports.log('info', 'job is suspect', {
+					uid: job.spec.uid,
+					machines: [...job.failedMachineIds],
+				})
 			}
 		}
-		this.judge(m)
+		this.judge(machine)
 	}
 
 	/** A task ended well here: what failed before was the jobs' fault. */
-	succeeded(m: Machine): void {
-		m.faults.clear()
-		if (m.leaving === 'faulty') m.leaving = null
+	onTaskSucceeded(machine: Machine): void {
+		machine.failuresByJob.clear()
+		if (machine.drainReason === 'faulty') machine.drainReason = null
 	}
 
 	/** A job's first success: what failed elsewhere speaks against those machines, and nothing holds it back. */
-	proven(job: JobRun): void {
-		if (job.failedOn.size === 0) return
-		job.notBefore = 0
-		this.s.queueDirty = true
-		for (const id of job.failedOn) {
-			const m = this.s.machines.get(id)
+	onJobSucceeded(job: JobRun): void {
+		if (job.failedMachineIds.size === 0) return
+		job.retryNotBefore = 0
+		this.state.queueDirty = true
+		for (const id of job.failedMachineIds) {
+			const m = this.state.machines.get(id)
 			if (m !== undefined) this.judge(m)
 		}
 	}
 
 	/** Faulty: what runs elsewhere failed here twice, or three jobs of which nothing is known yet failed only here. */
-	private judge(m: Machine): void {
-		if (m.leaving !== null) return
+	private judge(machine: Machine): void {
+		if (machine.drainReason !== null) return
 		let certain = 0
 		let open = 0
-		for (const [job, times] of m.faults)
-			if (job.proven) certain += times
-			else if (!job.suspect) open++
+		for (const [job, times] of machine.failuresByJob)
+			if (job.hasSucceeded) certain += times
+			else if (!job.isQuarantined) open++
 		if (certain < 2 && open < 3) return
-		m.leaving = 'faulty'
-		this.s.ports.log('info', 'draining a faulty machine', { machine: m.id, certain, open })
+		machine.drainReason = 'faulty'
+		this.state.ports.log('info', 'draining a faulty machine', { machine: machine.id, certain, open })
 	}
 }
--- a/packages/controller/src/fleet.ts
+++ b/packages/controller/src/fleet.ts
@@ -1,6 +1,11 @@
-import { asFleet, type FleetRecord, fleetKey } from '@heathroad/cluster'
-import { type Content, ROOT, Urgency, type Write } from '@heathroad/store'
-import type { PartState } from './state.js'
+import {
+	decodeMachineGroup,
+	encodeMachineGroup,
+	type MachineGroupRecord,
+	machineGroupKey,
+} from '@heathroad/cluster'
+import { KEY_PREFIX, type QueuedWrite, type TransactionContent, WritePriority } from '@heathroad/store'
+import type { ShardState } from './state.js'
 
 /** What is asked of one record and not durable yet. */
 interface Pending {
@@ -10,33 +15,33 @@
 	gone: Set<string>
 	/** the answer to the rental */
 	answer: readonly string[] | null
-	write: Write | null
+	write: QueuedWrite | null
 }
 
 /**
  * The records of a part's machines. Whatever is asked of one record while a write of it waits goes out with that
  * write: the changes per second follow the number of records, not of machines.
  */
-export class Fleet {
+export class MachineGroupWriter {
 	private readonly pending = new Map<string, Pending>()
 
-	constructor(private readonly s: PartState) {}
+	constructor(private readonly state: ShardState) {}
 
 	/** May get start commands once this is durable; then the record's change tells the part. */
-	markUsed(name: string, id: string, addr: string): void {
-		this.of(name).used.set(id, addr)
-		this.flush(name, Urgency.outcome)
+	recordAddress(name: string, id: string, address: string): void {
+		this.of(name).used.set(id, address)
+		this.flush(name, WritePriority.outcome)
 	}
 
-	remove(name: string, id: string): void {
+	removeMachine(name: string, id: string): void {
 		this.of(name).gone.add(id)
-		this.flush(name, Urgency.progress)
+		this.flush(name, WritePriority.progress)
 	}
 
 	/** The rental's machines are recorded, or the record goes if there are none. */
-	answered(name: string, ids: readonly string[]): void {
+	recordRentalResult(name: string, ids: readonly string[]): void {
 		this.of(name).answer = ids
-		this.flush(name, Urgency.rental)
+		this.flush(name, WritePriority.rental)
 	}
 
 	private of(name: string): Pending {
@@ -48,20 +53,20 @@
 	}
 
 	/** The record as it is and as it should be; null if there is nothing to write. */
-	private wanted(name: string): { stamp: number; data: FleetRecord | null } | null {
+	private wanted(name: string): { modRevision: number; record: MachineGroupRecord | null } | null {
 		const p = this.of(name)
-		const entry = this.s.ports.entry(fleetKey(name))
-		const record = asFleet(entry?.data)
-		if (entry === undefined || record === null || record.part !== this.s.k) return null
-		const hosts = { ...record.hosts }
+		const entry = this.state.ports.entry(machineGroupKey(name))
+		const record = decodeMachineGroup(entry?.data)
+		if (entry === undefined || record === null || record.shardId !== this.state.shardId) return null
+		const hosts = { ...record.addresses }
 		let changed = false
-		if (p.answer !== null && record.asked > 0) {
+		if (p.answer !== null && record.requestedCount > 0) {
 			changed = true
 			for (const id of p.answer) hosts[id] = null
 		}
-		for (const [id, addr] of p.used)
+		for (const [id, address] of p.used)
 			if (hosts[id] === null) {
-				hosts[id] = addr
+				hosts[id] = address
 				changed = true
 			}
 		for (const id of p.gone)
@@ -70,46 +75,48 @@
 				changed = true
 			}
 		if (!changed) return null
-		const asked = p.answer === null ? record.asked : 0
-		if (asked === 0 && Object.keys(hosts).length === 0) return { stamp: entry.stamp, data: null }
-		return { stamp: entry.stamp, data: { ...record, asked, hosts } }
+		const asked = p.answer === null ? record.requestedCount : 0
+		if (asked === 0 && Object.keys(hosts).length === 0)
+			return { modRevision: entry.modRevision, record: null }
+		return { modRevision: entry.modRevision, record: { ...record, requestedCount: asked, addresses: hosts } }
 	}
 
-	private flush(name: string, urgency: number): void {
+	private flush(name: string, priority: number): void {
 		const p = this.of(name)
-		if (p.write !== null) return this.s.ports.raise(p.write, urgency)
-		let sent: { data: FleetRecord | null } | null = null
-		p.write = this.s.ports.write({
-			urgency,
-			build: (): Content | null => {
-				const wanted = this.s.stopped ? null : this.wanted(name)
-				sent = wanted
+		if (p.write !== null) return this.state.ports.raisePriority(p.write, priority)
+		let sent: { data: unknown } | null = null
+		p.write = this.state.ports.enqueueWrite({
+			priority: priority,
+			build: (): TransactionContent | null => {
+				const wanted = this.state.stopped ? null : this.wanted(name)
+				const data = wanted === null || wanted.record === null ? null : encodeMachineGroup(wanted.record)
+				sent = wanted === null ? null : { data }
 				if (wanted === null) return null
-				const key = ROOT + fleetKey(name)
+				const key = KEY_PREFIX + machineGroupKey(name)
 				return {
-					conditions: [this.s.owning(), { key, stamp: wanted.stamp }],
-					changes: [wanted.data === null ? { delete: key } : { set: key, data: wanted.data }],
+					conditions: [this.state.ownershipCondition(), { key, modRevision: wanted.modRevision }],
+					mutations: [data === null ? { delete: key } : { set: key, data }],
 				}
 			},
-			done: (result) => {
+			onResult: (result) => {
 				p.write = null
-				if (this.s.stopped) return
+				if (this.state.stopped) return
 				if (result.kind === 'ok') {
 					// A deletion is left to the watch: older news of the key may still be on their way to the mirror.
 					if (sent === null || sent.data === null) {
 						this.pending.delete(name)
 						return
 					}
-					this.s.ports.wrote(fleetKey(name), sent.data, result.epoch)
+					this.state.ports.applyOwnWrite(machineGroupKey(name), sent.data, result.revision)
 				}
 				const goOn = () => {
-					if (this.s.stopped || p.write !== null) return
+					if (this.state.stopped || p.write !== null) return
 					if (this.wanted(name) === null) this.pending.delete(name)
-					else if (p.answer !== null) this.flush(name, Urgency.rental)
-					else this.flush(name, p.used.size > 0 ? Urgency.outcome : Urgency.progress)
+					else if (p.answer !== null) this.flush(name, WritePriority.rental)
+					else this.flush(name, p.used.size > 0 ? WritePriority.outcome : WritePriority.progress)
 				}
 				if (result.kind === 'ok' || result.kind === 'refused') goOn()
-				else this.s.ports.refresh(goOn)
+				else this.state.ports.refreshCache(goOn)
 			},
 		})
 	}
--- a/packages/controller/src/gate.ts
+++ b/packages/controller/src/gate.ts
@@ -1,10 +1,10 @@
-import { type JobRecord, release } from '@heathroad/cluster'
-import { valueRoom } from '@heathroad/config'
-import { type Content, ROOT, Urgency } from '@heathroad/store'
+import { type JobRecord, markReleased } from '@heathroad/cluster'
+import { maxValueChars } from '@heathroad/config'
+import { KEY_PREFIX, type TransactionContent, WritePriority } from '@heathroad/store'
 import type { JobSpec } from '@heathroad/wire'
 import TinyQueue from 'tinyqueue'
-import type { Seen, Verdict } from './checks.js'
-import type { PartState } from './state.js'
+import type { CheckContext, Verdict } from './checks.js'
+import type { ShardState } from './state.js'
 
 /** Questions of one part that are under way at a time. */
 const MOST_ASKED = 8
@@ -51,7 +51,7 @@
  * and conditional on the ownership: so nothing that an owner was told counts once it has lost the part, and a job
  * that has started is never held again.
  */
-export class Gate {
+export class AdmissionGate {
 	private readonly held = new Map<string, Held>()
 	private readonly questions = new Map<string, Question>()
 	private readonly asks = new TinyQueue<Question>([], (a, b) => a.askAt - b.askAt)
@@ -62,7 +62,7 @@
 	private writing = false
 
 	constructor(
-		private readonly s: PartState,
+		private readonly state: ShardState,
 		/** the job may start: it is durable that it may, or shown */
 		private readonly open: (uid: string) => void,
 	) {}
@@ -79,14 +79,14 @@
 		const job: Held = {
 			uid: spec.uid,
 			spec,
-			at: record.at ?? 0,
-			waits: new Set(record.checks ?? []),
+			at: record.acceptedAtMs ?? 0,
+			waits: new Set(record.requiredChecks ?? []),
 		}
 		this.held.set(job.uid, job)
-		const now = this.s.ports.now()
-		const waitedMs = this.s.ports.wallClock() - job.at
+		const now = this.state.ports.now()
+		const waitedMs = this.state.ports.wallClockMs() - job.at
 		for (const name of [...job.waits]) {
-			const terms = this.s.ports.checks().terms(name)
+			const terms = this.state.ports.checks().terms(name)
 			if (terms === null) {
 				this.releasedBy(job, name, 'there is no such check here')
 				continue
@@ -116,7 +116,7 @@
 			this.questions.set(key, q)
 			this.asks.push(q)
 		}
-		this.look(now)
+		this.tick(now)
 	}
 
 	/** It is over, belongs to another part, or may start: nothing is asked about it any more. */
@@ -144,20 +144,20 @@
 	}
 
 	/** A task of a held job is on a machine: it was released, though the mark is not known here yet. */
-	started(uid: string): void {
+	onTaskSeen(uid: string): void {
 		if (!this.held.has(uid)) return
 		this.drop(uid)
 		this.open(uid)
 	}
 
 	/** Marks became known, our own among them. */
-	released(uids: readonly string[]): void {
-		for (const uid of uids) this.started(uid)
+	onJobsReleased(uids: readonly string[]): void {
+		for (const uid of uids) this.onTaskSeen(uid)
 	}
 
 	/** The regular look: whose time is over, who is to be asked again, and what is to be made durable. */
-	look(now: number): void {
-		if (this.s.stopped || this.held.size === 0) return
+	tick(now: number): void {
+		if (this.state.stopped || this.held.size === 0) return
 		for (let l = this.limits.peek(); l !== undefined && l.at <= now; l = this.limits.peek()) {
 			this.limits.pop()
 			if (this.held.get(l.job.uid) === l.job && l.job.waits.has(l.name))
@@ -172,7 +172,7 @@
 	}
 
 	private ask(q: Question): void {
-		const { ports } = this.s
+		const { ports } = this.state
 		const terms = ports.checks().terms(q.name)
 		const jobs = [...q.jobs]
 		if (terms === null) {
@@ -180,8 +180,8 @@
 			return
 		}
 		const [first] = jobs
-		const waitedMs = ports.wallClock() - first.at
-		const seen: Seen = {
+		const waitedMs = ports.wallClockMs() - first.at
+		const seen: CheckContext = {
 			waitedS: waitedMs / 1000,
 			leftS: Math.max(0, terms.atMostMs - waitedMs) / 1000,
 			asked: q.asked,
@@ -197,13 +197,13 @@
 			over = true
 			q.open = false
 			this.asking--
-			if (this.s.stopped) return
+			if (this.state.stopped) return
 			this.heard(q, jobs, verdict, terms.whenUnsure)
 		})
 	}
 
 	private heard(q: Question, jobs: readonly Held[], verdict: Verdict, whenUnsure: 'release' | 'hold'): void {
-		const now = this.s.ports.now()
+		const now = this.state.ports.now()
 		if (verdict.kind === 'release' || (verdict.kind === 'unsure' && whenUnsure === 'release')) {
 			const why = verdict.kind === 'release' ? 'released' : `unsure: ${verdict.why}`
 			for (const job of jobs) if (this.held.get(job.uid) === job) this.releasedBy(job, q.name, why)
@@ -221,51 +221,52 @@
 			if (jobs.length < q.jobs.size || !jobs.some((j) => q.jobs.has(j))) q.askAt = now
 			this.asks.push(q)
 		}
-		this.look(now)
+		this.tick(now)
 	}
 
 	private say(q: Question, event: string, why: string): void {
 		const [first] = q.jobs
 		if (first !== undefined)
-			this.s.ports.log('info', event, { uid: first.uid, check: q.name, jobs: q.jobs.size, why })
+			this.state.ports.log('info', event, { uid: first.uid, check: q.name, jobs: q.jobs.size, why })
 	}
 
 	private releasedBy(job: Held, name: string, why: string): void {
 		for (const [key, q] of this.ofJob(job)) if (q.name === name) this.withdraw(job, key, q)
 		job.waits.delete(name)
-		this.s.ports.log('info', 'check passed', { uid: job.uid, check: name, why })
+		this.state.ports.log('info', 'check passed', { uid: job.uid, check: name, why })
 		if (job.waits.size === 0) this.passed.add(job)
 	}
 
 	/** One write at a time, with all that were released meanwhile. */
 	private flush(): void {
-		if (this.writing || this.passed.size === 0 || this.s.stopped) return
-		if (this.s.ports.right() !== 'grant') return
+		if (this.writing || this.passed.size === 0 || this.state.stopped) return
+		if (this.state.ports.leadership() !== 'lease') return
 		this.writing = true
-		let sent: { content: Content; taken: readonly string[] } | null = null
-		this.s.ports.write({
+		let sent: { content: TransactionContent; taken: readonly string[] } | null = null
+		this.state.ports.enqueueWrite({
 			// A user waits for the start, as others do for their outcomes.
-			urgency: Urgency.outcome,
+			priority: WritePriority.outcome,
 			build: () => {
 				sent = null
-				if (this.s.stopped || this.passed.size === 0) return null
+				if (this.state.stopped || this.passed.size === 0) return null
 				const uids = [...this.passed].map((j) => j.uid)
-				const { config, known, k } = this.s
+				const { config, records: known, shardId } = this.state
 				const { txn_ops } = config.settings.deployment.state
-				const limits = { room: valueRoom(config.settings), ops: Math.min(4, txn_ops) }
-				sent = release(known, k, uids, (uid) => this.s.ports.marked(uid), limits)
-				const { conditions, changes } = sent.content
-				return { conditions: [this.s.owning(), ...conditions], changes }
+				const limits = { room: maxValueChars(config.settings), ops: Math.min(4, txn_ops) }
+				sent = markReleased(known, shardId, uids, (uid) => this.state.ports.keepsReleaseMark(uid), limits)
+				const { conditions, mutations } = sent.content
+				return { conditions: [this.state.ownershipCondition(), ...conditions], mutations: mutations }
 			},
-			done: (result) => {
+			onResult: (result) => {
 				this.writing = false
-				if (this.s.stopped || sent === null) return
+				if (this.state.stopped || sent === null) return
 				if (result.kind === 'ok') {
 					// The pages tell who may start; what is not on them, though it was sent, is asked to be sent again.
-					for (const c of sent.content.changes)
-						if ('set' in c) this.s.ports.wrote(c.set.slice(ROOT.length), c.data, result.epoch)
+					for (const c of sent.content.mutations)
+						if ('set' in c)
+							this.state.ports.applyOwnWrite(c.set.slice(KEY_PREFIX.length), c.data, result.revision)
 					this.flush()
-				} else if (result.kind !== 'refused') this.s.ports.refresh(() => this.flush())
+				} else if (result.kind !== 'refused') this.state.ports.refreshCache(() => this.flush())
 			},
 		})
 	}
--- a/packages/controller/src/model.ts
+++ b/packages/controller/src/model.ts
@@ -1,34 +1,42 @@
 import type { RentalRequest, RentResult } from '@heathroad/cloud'
-import type { JobRecord } from '@heathroad/cluster'
-import type { Ledger } from '@heathroad/policy'
-import { Ranges } from '@heathroad/policy'
-import type { Entry, Write } from '@heathroad/store'
-import type { Count, EndCause, JobSpec, MachineType, Order, Report, TaskState } from '@heathroad/wire'
-import type { CapacityBook } from './capacity.js'
-import type { Checks } from './checks.js'
+import type { JobRecord, LeadershipStatus } from '@heathroad/cluster'
+import type { BudgetLedger } from '@heathroad/policy'
+import { RangeSet } from '@heathroad/policy'
+import type { CacheEntry, QueuedWrite } from '@heathroad/store'
+import type {
+	Command,
+	ExitReason,
+	Heartbeat,
+	JobSpec,
+	MachineType,
+	TaskState,
+	WireInteger,
+} from '@heathroad/wire'
+import type { OfferAvailability } from './capacity.js'
+import type { AdmissionChecks } from './checks.js'
 
 /** `planned`: chosen for a machine, nothing sent yet. `sent`: in a report's response, not settled yet. */
 export type AttemptState = 'planned' | 'sent' | TaskState
 
 export interface Attempt {
 	key: string
-	name: string
+	taskName: string
 	uid: string
 	machine: Machine
-	task: number
-	attempt: Count
+	taskIndex: number
+	attempt: WireInteger
 	job: JobRun | null
 	state: AttemptState
-	cause: EndCause | null
+	exitReason: ExitReason | null
 	/** its end was taken into account */
-	handled: boolean
+	accountedFor: boolean
 	/** of no use here: stopped as soon as it is seen */
-	stray: boolean
+	orphaned: boolean
 	/** stop it, granting so many seconds to save */
-	stopGraceS: number | null
+	stopGracePeriodS: number | null
 	startedAt: number | null
-	share: number
-	need: { cpus: number; gpus: number; ramGb: number; team: string }
+	budgetShare: number
+	resources: { cpus: number; gpus: number; ramGb: number; team: string }
 }
 
 export interface Machine {
@@ -36,152 +44,158 @@
 	type: MachineType
 	zone: string
 	spot: boolean
-	addr: string | null
-	token: number
+	address: string | null
+	fencingToken: number
 	/** the fleet record that holds it */
-	fleet: string
+	groupName: string
 	/** has its address been recorded, so that it may get start commands? */
-	used: boolean
+	addressRecorded: boolean
 	/** a report under our token was seen: what it does not list is not there */
-	confirmed: boolean
-	up: boolean
-	tenure: Count
-	counter: Count
+	reconciled: boolean
+	booted: boolean
+	agentEpoch: WireInteger
+	heartbeatSequence: WireInteger
 	/** latest moment at which anybody can have answered one of its reports */
-	answeredAt: number
+	lastHeartbeatAt: number
 	/** when it was rented, or found in the records */
-	knownAt: number
+	discoveredAt: number
 	attempts: Map<string, Attempt>
-	images: Map<string, number>
-	noticeUntil: number | null
+	cachedImages: Map<string, number>
+	preemptionDeadline: number | null
 	/** being returned: nothing new goes there */
-	leaving: string | null
+	drainReason: string | null
 	releasing: boolean
 	/** an unconfirmed release is asked for again then */
-	releaseAgainAt: number
+	retryReleaseAt: number
 	idleSince: number | null
-	blockedUntil: number
+	cordonedUntil: number
 	/** room is kept for this job: those behind it in the order get nothing here */
-	heldFor: JobRun | null
+	reservedFor: JobRun | null
 	/** failed attempts here since its last success, by job */
-	faults: Map<JobRun, number>
+	failuresByJob: Map<JobRun, number>
 	probing: boolean
-	free: { cpus: number; gpus: number; ramGb: number }
+	freeResources: { cpus: number; gpus: number; ramGb: number }
 }
 
 export class JobRun {
 	/** absent everywhere and not done: may be started */
-	ready = new Ranges()
-	done = new Ranges()
-	durable = new Ranges()
+	readyTasks = new RangeSet()
+	doneTasks = new RangeSet()
+	durableDoneTasks = new RangeSet()
 	/** task -> the attempt that may be on a machine, or is planned for one */
-	placed = new Map<number, Attempt>()
+	placements = new Map<number, Attempt>()
 	/** task -> how many strays of it are on machines: it starts nowhere before they are gone */
-	readonly strays = new Map<number, number>()
-	zones = new Map<string, number>()
+	readonly orphanCounts = new Map<number, number>()
+	taskCountByZone = new Map<string, number>()
 	/** cancelled or done */
-	over = false
+	isTerminal = false
 	/** its record's next write, waiting or under way */
-	write: Write | null = null
-	lastWrite = 0
-	notBefore = 0
+	pendingWrite: QueuedWrite | null = null
+	lastWrittenAt = 0
+	retryNotBefore = 0
 	/** since when it has been in this part, steady time in ms */
 	arrivedAt = 0
 	/** on its way to another part: nothing of it may start here */
-	moving = false
+	migrating = false
 	/** see `orderRank` */
 	rank = 0
 	/** by what ages its tasks have to start for its objectives */
-	bounds: readonly number[] = []
+	startBounds: readonly number[] = []
 	/** machines on which it failed */
-	readonly failedOn = new Set<string>()
+	readonly failedMachineIds = new Set<string>()
 	/** it goes to those again from then on */
-	retryAt = 0
+	retryFailedMachinesAt = 0
 	/** failures, those that come together counted once */
-	failures = 0
-	failedAt = Number.NEGATIVE_INFINITY
-	stayedUp = false
+	failureCount = 0
+	lastFailureAt = Number.NEGATIVE_INFINITY
+	outlivedLease = false
 	/** seconds that stopped attempts of a task have run and saved */
-	readonly savedS = new Map<number, number>()
+	readonly checkpointedS = new Map<number, number>()
 	/** a former owner told that it was suspect */
-	suspectBefore = false
+	wasQuarantined = false
 
 	constructor(
 		readonly spec: JobSpec,
-		readonly at: number,
-		readonly ledger: Ledger,
-		public settled: boolean,
+		readonly acceptedAtMs: number,
+		readonly budget: BudgetLedger,
+		public isReconciled: boolean,
 	) {}
 
 	/** Some task of it has succeeded somewhere: what fails is not the job. A service succeeds by staying up. */
-	get proven(): boolean {
-		return this.done.size > 0 || this.stayedUp
+	get hasSucceeded(): boolean {
+		return this.doneTasks.size > 0 || this.outlivedLease
 	}
 
 	/**
 	 * Failed on several machines, or again and again, and succeeded nowhere: it was rather submitted with a mistake. It gets one trial at a
 	 * time until its first success or its cancellation, and nothing is rented, held, stopped or moved ahead for it.
 	 */
-	get suspect(): boolean {
-		return !this.proven && (this.failedOn.size >= 2 || this.failures >= 3 || this.suspectBefore)
+	get isQuarantined(): boolean {
+		return (
+			!this.hasSucceeded && (this.failedMachineIds.size >= 2 || this.failureCount >= 3 || this.wasQuarantined)
+		)
 	}
 
 	runningCount(): number {
 		let n = 0
-		for (const a of this.placed.values()) if (a.state === 'running' || a.state === 'flushing') n++
+		for (const attempt of this.placements.values())
+			if (attempt.state === 'running' || attempt.state === 'flushing') n++
 		return n
 	}
 }
 
 /** Time to grant a task that is stopped: what it needs to save and half as much again; none if it cannot save. */
-export const graceS = (spec: JobSpec): number => (spec.checkpointS > 0 ? spec.saveS * 1.5 : 0)
+export const gracePeriodS = (spec: JobSpec): number => (spec.checkpointS > 0 ? spec.saveS * 1.5 : 0)
 
 /** What a part needs from the world. All of it may fail or come late; nothing here blocks. */
-export interface Ports {
+export interface ShardPorts {
 	now(): number
 	/** time of day in ms, for ages that outlive an owner */
-	wallClock(): number
-	right(): 'grant' | 'promise' | 'none'
-	entry(key: string): Entry | undefined
-	under(prefix: string): Iterable<[string, Entry]>
-	/** a job's record, and the stamp that its own key must still have for a write */
-	job(uid: string): { record: JobRecord; stamp: number } | undefined
+	wallClockMs(): number
+	leadership(): LeadershipStatus
+	entry(key: string): CacheEntry | undefined
+	withPrefix(prefix: string): Iterable<[string, CacheEntry]>
+	/** a job's record, and the modRevision that its own key must still have for a write */
+	job(uid: string): { record: JobRecord; modRevision: number } | undefined
 	/** was this job suspect when a former owner last told its peers? */
-	suspected(uid: string): boolean
+	wasQuarantined(uid: string): boolean
 	/** what a team with a guarantee uses in the other parts */
-	usedElsewhere(part: number, team: string): { cpus: number; gpus: number }
+	usageInOtherShards(shardId: number, team: string): { cpus: number; gpus: number }
 	/** says of waiting jobs of a part which other part would serve them better by far, given those on their way already */
-	leaver(part: number, leaving: readonly { spec: JobSpec; to: number }[]): (spec: JobSpec) => number | null
+	migrationPlanner(
+		shardId: number,
+		leaving: readonly { spec: JobSpec; to: number }[],
+	): (spec: JobSpec) => number | null
 	/** the operators' checks */
-	checks(): Checks
+	checks(): AdmissionChecks
 	/** has the job to be released by checks before anything of it may start? */
-	heldBack(uid: string, record: JobRecord): boolean
+	isPendingRelease(uid: string, record: JobRecord): boolean
 	/** has its mark of a release to stay on record: open, and without progress that would show it */
-	marked(uid: string): boolean
+	keepsReleaseMark(uid: string): boolean
 	/** jobs without a final state */
 	openJobs(): Iterable<string>
-	wrote(key: string, data: unknown, stamp: number): void
-	write(w: Omit<Write, 'until'>): Write
+	applyOwnWrite(key: string, data: unknown, modRevision: number): void
+	enqueueWrite(w: Omit<QueuedWrite, 'deadline'>): QueuedWrite
 	/** a waiting write moves ahead */
-	raise(w: Write, urgency: number): void
+	raisePriority(write: QueuedWrite, priority: number): void
 	/** brings the mirror up to date, then calls back */
-	refresh(done: () => void): void
+	refreshCache(done: () => void): void
 	/** once everything durable before the call is in the mirror; false if that could not be proven in time */
-	fresh(done: (ok: boolean) => void): void
-	/** up to which epoch the records are known */
-	epoch(): number
-	command(
-		addr: string,
-		token: number,
-		tenure: Count,
-		orders: Order[],
-		done: (status: number, report: Report | null) => void,
+	linearizableRead(done: (ok: boolean) => void): void
+	/** up to which revision the records are known */
+	revision(): number
+	sendCommands(
+		address: string,
+		fencingToken: number,
+		agentEpoch: WireInteger,
+		commands: Command[],
+		done: (status: number, report: Heartbeat | null) => void,
 	): void
 	rent(request: RentalRequest, done: (result: RentResult) => void): void
-	release(ids: string[], done: (gone: boolean) => void): void
+	releaseMachines(ids: string[], done: (gone: boolean) => void): void
 	/** calls to the cloud that would go out at once */
-	cloudCalls(): number
-	catalog(): readonly MachineType[]
-	capacity: CapacityBook
+	availableCloudCalls(): number
+	machineTypes(): readonly MachineType[]
+	offerAvailability: OfferAvailability
 	log(level: 'info' | 'debug' | 'error', event: string, fields?: Record<string, unknown>): void
 }
--- a/packages/controller/src/planner.ts
+++ b/packages/controller/src/planner.ts
@@ -1,65 +1,74 @@
 import {
-	allowed,
 	type Candidate,
 	choosePacking,
 	chooseVictims,
 	fits,
-	hourly,
-	inOrder,
-	LIFTED,
+	hourlyPrice,
+	isAllowedOn,
+	isZoneAllowed,
 	offerCost,
 	type PackedMachine,
 	type PackedTask,
-	rank,
+	priorityRank,
+	rankCandidates,
+	URGENCY_CUTOFF_RANK,
 	type Victim,
 	withinLimit,
-	zoneAllowed,
 } from '@heathroad/policy'
 import type { JobSpec } from '@heathroad/wire'
-import { type Attempt, graceS, type JobRun, type Machine } from './model.js'
-import type { Renter } from './renter.js'
-import type { PartState } from './state.js'
+import { type Attempt, gracePeriodS, type JobRun, type Machine } from './model.js'
+import type { ScaleOut } from './renter.js'
+import type { ShardState } from './state.js'
 
 /** Attempts are `token * ATTEMPTS + counter`: unique over owners and restarts, and exact in a double. */
 const ATTEMPTS = 2 ** 20
 
 /** Which ready task goes to which machine, and what is stopped to make room. */
-export class Planner {
+export class Scheduler {
 	private attemptCounter = 0
 	private packAgainAt = 0
 
 	constructor(
-		private readonly s: PartState,
-		private readonly renter: Renter,
+		private readonly state: ShardState,
+		private readonly renter: ScaleOut,
 	) {}
 
 	private mayPlace(spec: JobSpec): boolean {
-		const team = this.s.team(spec.team)
+		const team = this.state.teamLimit(spec.team)
 		if (team === undefined) return false
 		// A team's tasks on machines not heard of yet count against its limit in an unknown way.
-		if (!this.s.settled && (team.cpus_max > 0 || team.gpus_max > 0)) return false
-		return withinLimit(team, this.s.used(spec.team), spec)
+		if (!this.state.reconciled && (team.cpus_max > 0 || team.gpus_max > 0)) return false
+		return withinLimit(team, this.state.teamUsage(spec.team), spec)
 	}
 
 	/** One round over these machines: ready tasks by earliest start within their priority. */
-	plan(machines: Iterable<Machine>): void {
-		const now = this.s.ports.now()
-		if (this.s.stopped || this.s.ports.right() === 'none') return
+	placeTasks(machines: Iterable<Machine>): void {
+		const now = this.state.ports.now()
+		if (this.state.stopped || this.state.ports.leadership() === 'none') return
 		// Jobs may have moved to other parts by changes before our take that are not known here yet.
-		if (this.s.ports.epoch() < this.s.token) return
+		if (this.state.ports.revision() < this.state.fencingToken) return
 		let open: Machine[] = []
-		for (const m of machines)
-			if (m.free.cpus + m.free.gpus > 1e-9 && m.free.ramGb > 1e-9 && this.s.usable(m, now)) open.push(m)
-		for (const job of this.s.waiting(now)) {
+		for (const machine of machines)
+			if (
+				machine.freeResources.cpus + machine.freeResources.gpus > 1e-9 &&
+				machine.freeResources.ramGb > 1e-9 &&
+				this.state.isSchedulable(machine, now)
+			)
+				open.push(machine)
+		for (const job of this.state.waitingJobs(now)) {
 			if (open.length === 0) return
 			const { spec } = job
 			// A gang starts only when every task that is left has a machine.
 			const gang = spec.kind === 'gang'
-			if (gang && (job.placed.size > 0 || job.ready.size < spec.tasks - job.done.size)) continue
+			if (gang && (job.placements.size > 0 || job.readyTasks.size < spec.tasks - job.doneTasks.size)) continue
 			this.fill(job, open)
-			if (gang && job.ready.size > 0)
-				for (const a of [...job.placed.values()]) this.s.dropAttempt(a.machine, a)
-			open = open.filter((m) => m.free.cpus + m.free.gpus > 1e-9 && m.free.ramGb > 1e-9)
+			if (gang && job.readyTasks.size > 0)
+				for (const attempt of [...job.placements.values()]) this.state.removeAttempt(attempt.machine, attempt)
+			open = open.filter(
+				(machine) =>
+					machine.freeResources.cpus + machine.freeResources.gpus > 1e-9 &&
+					machine.freeResources.ramGb > 1e-9,
+			)
 		}
 	}
 
@@ -70,24 +79,44 @@
 	private fill(job: JobRun, open: readonly Machine[]): void {
 		const { spec } = job
 		if (!this.mayPlace(spec)) return
-		const runS = this.s.runS(spec)
-		const now = this.s.ports.now()
+		const runS = this.state.estimatedRunS(spec)
+		const now = this.state.ports.now()
 		const candidates: (Candidate & { m: Machine })[] = []
-		for (const m of open) {
-			if (!fits(spec, m.free) || !allowed(spec, m) || !zoneAllowed(spec, m.zone, job.zones)) continue
-			if (job.failedOn.has(m.id) && now < job.retryAt) continue
-			if (m.heldFor !== null && m.heldFor.rank > job.rank && m.heldFor.ready.size > 0) continue
-			const image = m.images.has(spec.image)
-			const { seconds, cost } = offerCost(spec, runS, m, true, image)
-			candidates.push({ id: m.id, parentOutput: false, image, seconds, cost, slack: m.free.cpus, m })
+		for (const machine of open) {
+			if (
+				!fits(spec, machine.freeResources) ||
+				!isAllowedOn(spec, machine) ||
+				!isZoneAllowed(spec, machine.zone, job.taskCountByZone)
+			)
+				continue
+			if (job.failedMachineIds.has(machine.id) && now < job.retryFailedMachinesAt) continue
+			if (
+				machine.reservedFor !== null &&
+				machine.reservedFor.rank > job.rank &&
+				machine.reservedFor.readyTasks.size > 0
+			)
+				continue
+			const image = machine.cachedImages.has(spec.image)
+			const { seconds, cost } = offerCost(spec, runS, machine, true, image)
+			candidates.push({
+				id: machine.id,
+				parentOutput: false,
+				image,
+				seconds,
+				cost,
+				slack: machine.freeResources.cpus,
+				m: machine,
+			})
 		}
 		if (candidates.length === 0) return
-		const share = job.ledger.share(spec.uid)
-		for (const { m } of inOrder(candidates, share, () => this.renter.affordable(job, runS)))
-			while (fits(spec, m.free) && zoneAllowed(spec, m.zone, job.zones)) {
-				if (job.ready.size === 0 || !this.mayPlace(spec)) return
-				if (job.suspect && spec.kind !== 'gang' && job.placed.size > 0) return
-				this.place(job, m)
+		const share = job.budget.share(spec.uid)
+		for (const { m: machine } of rankCandidates(candidates, share, () =>
+			this.renter.canAffordNewMachine(job, runS),
+		))
+			while (fits(spec, machine.freeResources) && isZoneAllowed(spec, machine.zone, job.taskCountByZone)) {
+				if (job.readyTasks.size === 0 || !this.mayPlace(spec)) return
+				if (job.isQuarantined && spec.kind !== 'gang' && job.placements.size > 0) return
+				this.place(job, machine)
 			}
 	}
 
@@ -96,58 +125,63 @@
 	 * them take every slot that ends, and a task that needs two slots of one machine waits for ever. The machines
 	 * held are those that lack the least, one for each waiting task, and an eighth of all at most.
 	 */
-	hold(now: number): void {
+	reserveMachines(now: number): void {
 		const free: Machine[] = []
-		for (const m of this.s.machines.values()) {
-			m.heldFor = null
-			if (this.s.usable(m, now)) free.push(m)
+		for (const machine of this.state.machines.values()) {
+			machine.reservedFor = null
+			if (this.state.isSchedulable(machine, now)) free.push(machine)
 		}
 		let left = Math.ceil(free.length / 8)
-		for (const job of this.s.worthy(now)) {
+		for (const job of this.state.waitingHealthyJobs(now)) {
 			const { spec } = job
-			if (left <= 0 || job.rank < LIFTED) return
-			if (spec.kind === 'gang' || this.s.ageS(job) < this.patienceS(job)) continue
-			const lacks = (m: Machine) =>
-				Math.max(0, spec.cpus - m.free.cpus) / Math.max(1, m.type.cpus) +
-				Math.max(0, spec.ramGb - m.free.ramGb) / Math.max(1, m.type.ramGb)
+			if (left <= 0 || job.rank < URGENCY_CUTOFF_RANK) return
+			if (spec.kind === 'gang' || this.state.jobAgeS(job) < this.patienceS(job)) continue
+			const lacks = (machine: Machine) =>
+				Math.max(0, spec.cpus - machine.freeResources.cpus) / Math.max(1, machine.type.cpus) +
+				Math.max(0, spec.ramGb - machine.freeResources.ramGb) / Math.max(1, machine.type.ramGb)
 			const able = free
-				.filter((m) => m.heldFor === null && fits(spec, m.type) && allowed(spec, m))
-				.filter((m) => zoneAllowed(spec, m.zone, job.zones) && !job.failedOn.has(m.id))
-				.map((m) => ({ m, lack: lacks(m) }))
+				.filter(
+					(machine) => machine.reservedFor === null && fits(spec, machine.type) && isAllowedOn(spec, machine),
+				)
+				.filter(
+					(machine) =>
+						isZoneAllowed(spec, machine.zone, job.taskCountByZone) && !job.failedMachineIds.has(machine.id),
+				)
+				.map((machine) => ({ m: machine, lack: lacks(machine) }))
 				.sort((a, b) => a.lack - b.lack)
-			for (const { m } of able.slice(0, Math.min(left, job.ready.size))) {
-				m.heldFor = job
+			for (const { m: machine } of able.slice(0, Math.min(left, job.readyTasks.size))) {
+				machine.reservedFor = job
 				left--
 			}
 		}
 	}
 
-	private place(job: JobRun, m: Machine): void {
-		const task = job.ready.first()!
+	private place(job: JobRun, machine: Machine): void {
+		const task = job.readyTasks.first()!
 		const spec = job.spec
 		// The tasks of a gang find each other by their attempt: one number for all of them.
-		const joins = spec.kind === 'gang' && job.placed.size > 0
-		const attempt = this.s.token * ATTEMPTS + (joins ? this.attemptCounter : ++this.attemptCounter)
+		const joins = spec.kind === 'gang' && job.placements.size > 0
+		const attempt = this.state.fencingToken * ATTEMPTS + (joins ? this.attemptCounter : ++this.attemptCounter)
 		const name = `${spec.uid}/${task}`
-		job.ready.delete(task)
-		this.s.addAttempt(m, {
+		job.readyTasks.delete(task)
+		this.state.addAttempt(machine, {
 			key: `${name}#${attempt}`,
-			name,
+			taskName: name,
 			uid: spec.uid,
-			machine: m,
-			task,
+			machine: machine,
+			taskIndex: task,
 			attempt,
 			job,
 			state: 'planned',
-			cause: null,
-			handled: false,
-			stray: false,
-			stopGraceS: null,
+			exitReason: null,
+			accountedFor: false,
+			orphaned: false,
+			stopGracePeriodS: null,
 			startedAt: null,
-			share: job.ledger.start(spec.uid),
-			need: { cpus: spec.cpus, gpus: spec.gpus, ramGb: spec.ramGb, team: spec.team },
+			budgetShare: job.budget.start(spec.uid),
+			resources: { cpus: spec.cpus, gpus: spec.gpus, ramGb: spec.ramGb, team: spec.team },
 		})
-		this.s.hasImage(m, spec)
+		this.state.recordCachedImage(machine, spec)
 	}
 
 	/**
@@ -155,37 +189,37 @@
 	 * that cannot is stopped only where none of those makes room, and where less is lost than the urgent task runs:
 	 * a guest's long tasks would otherwise keep a team from its guarantee for as long as they run.
 	 */
-	preempt(now: number): void {
+	preemptTasks(now: number): void {
 		// Room that earlier stops are about to give counts for those who wait, in their order.
 		let coming = 0
 		const soft: Machine[] = []
 		const hard: Machine[] = []
-		for (const m of this.s.machines.values()) {
-			if (!this.s.usable(m, now)) continue
+		for (const machine of this.state.machines.values()) {
+			if (!this.state.isSchedulable(machine, now)) continue
 			let stopping = false
 			let running = false
 			let savable = false
-			for (const a of m.attempts.values()) {
-				if (a.state === 'ended') continue
-				if (a.stopGraceS !== null) {
-					coming += a.need.cpus
+			for (const attempt of machine.attempts.values()) {
+				if (attempt.state === 'ended') continue
+				if (attempt.stopGracePeriodS !== null) {
+					coming += attempt.resources.cpus
 					stopping = true
-				} else if (a.state === 'running' && a.job !== null) {
+				} else if (attempt.state === 'running' && attempt.job !== null) {
 					running = true
-					savable ||= a.job.spec.checkpointS > 0
+					savable ||= attempt.job.spec.checkpointS > 0
 				}
 			}
 			if (stopping) continue
-			if (savable) soft.push(m)
-			if (running) hard.push(m)
+			if (savable) soft.push(machine)
+			if (running) hard.push(machine)
 		}
-		let left = Math.ceil(this.s.machines.size / 8)
-		for (const job of this.s.worthy(now)) {
+		let left = Math.ceil(this.state.machines.size / 8)
+		for (const job of this.state.waitingHealthyJobs(now)) {
 			const { spec } = job
-			const entitled = this.s.entitled(spec)
-			if (rank(spec.priority) < rank('urgent') && !entitled) continue
-			if (this.s.ageS(job) < this.patienceS(job)) continue
-			coming -= job.ready.size * spec.cpus
+			const entitled = this.state.isWithinGuarantee(spec)
+			if (priorityRank(spec.priority) < priorityRank('urgent') && !entitled) continue
+			if (this.state.jobAgeS(job) < this.patienceS(job)) continue
+			coming -= job.readyTasks.size * spec.cpus
 			while (coming < 0 && left > 0) {
 				const freed =
 					this.preemptFor(job, entitled, soft, true) || this.preemptFor(job, entitled, hard, false)
@@ -199,79 +233,102 @@
 
 	/** A quarter of the time in which a job's tasks should start is left to chance. */
 	private patienceS(job: JobRun): number {
-		return job.bounds.length > 0
-			? Math.min(...job.bounds) * 0.25
-			: (this.s.config.derived.reportMs * 3) / 1000
+		return job.startBounds.length > 0
+			? Math.min(...job.startBounds) * 0.25
+			: (this.state.config.limits.heartbeatMs * 3) / 1000
 	}
 
 	/**
 	 * With nothing waiting, empties machines whose few tasks can save and fit elsewhere: low work that runs for minutes
 	 * in small pieces otherwise keeps most of a fleet half empty, and none of it ever idle.
 	 */
-	pack(now: number): void {
-		const { leaseMs, reportMs } = this.s.config.derived
-		if (this.s.ports.right() !== 'grant' || !this.s.settled) return
-		const waits = this.s.waits(now)
+	consolidate(now: number): void {
+		const { agentLeaseMs: leaseMs, heartbeatMs: reportMs } = this.state.config.limits
+		if (this.state.ports.leadership() !== 'lease' || !this.state.reconciled) return
+		const waits = this.state.hasWaitingJobs(now)
 		const due = now >= this.packAgainAt
 		// Not in the gap between two jobs: what is emptied then is rented anew a moment later.
 		if (waits || due) this.packAgainAt = now + leaseMs / 2
 		if (waits || !due) return
 		const all: (PackedMachine & { m: Machine })[] = []
 		const jobs = new Map<PackedTask, JobRun>()
-		for (const m of this.s.machines.values()) {
-			if (!this.s.usable(m, now)) continue
+		for (const machine of this.state.machines.values()) {
+			if (!this.state.isSchedulable(machine, now)) continue
 			const tasks: PackedTask[] = []
-			for (const a of m.attempts.values()) {
-				if (a.state === 'ended') continue
-				const { job } = a
+			for (const attempt of machine.attempts.values()) {
+				if (attempt.state === 'ended') continue
+				const { job } = attempt
 				// Of a task that is not ours nothing is known: it stays.
-				if (job === null) tasks.push({ need: a.need, leftS: 0, moveS: null })
+				if (job === null) tasks.push({ need: attempt.resources, leftS: 0, moveS: null })
 				else {
 					const { checkpointS, saveS, imageGb } = job.spec
-					const able = a.state === 'running' && a.stopGraceS === null && checkpointS > 0
-					const moveS = saveS + imageGb / Math.max(0.01, m.type.fetchGbPerS) + (reportMs * 3) / 1000
-					const task = { need: a.need, leftS: this.s.leftS(a, job, now), moveS: able ? moveS : null }
+					const able = attempt.state === 'running' && attempt.stopGracePeriodS === null && checkpointS > 0
+					const moveS = saveS + imageGb / Math.max(0.01, machine.type.fetchGbPerS) + (reportMs * 3) / 1000
+					const task = {
+						need: attempt.resources,
+						leftS: this.state.remainingRunS(attempt, job, now),
+						moveS: able ? moveS : null,
+					}
 					tasks.push(task)
 					jobs.set(task, job)
 				}
 			}
-			all.push({ id: m.id, price: hourly(m), cpus: m.type.cpus, free: m.free, tasks, m })
+			all.push({
+				id: machine.id,
+				price: hourlyPrice(machine),
+				cpus: machine.type.cpus,
+				free: machine.freeResources,
+				tasks,
+				m: machine,
+			})
 		}
 		const may = (from: { m: Machine }, task: PackedTask, to: { m: Machine }) => {
 			const { spec } = jobs.get(task)!
 			const zoned = spec.samePlace || spec.apart
-			return allowed(spec, to.m) && (!zoned || from.m.zone === to.m.zone)
+			return isAllowedOn(spec, to.m) && (!zoned || from.m.zone === to.m.zone)
 		}
-		for (const { m } of choosePacking(all, Math.ceil(all.length / 16), may)) {
-			m.leaving = 'packed'
-			for (const a of m.attempts.values())
-				if (a.state === 'running' && a.job !== null) a.stopGraceS = graceS(a.job.spec)
-			this.s.ports.log('info', 'emptying a machine', { machine: m.id, freeCpus: m.free.cpus })
+		for (const { m: machine } of choosePacking(all, Math.ceil(all.length / 16), may)) {
+			machine.drainReason = 'packed'
+			for (const attempt of machine.attempts.values())
+				if (attempt.state === 'running' && attempt.job !== null)
+					attempt.stopGracePeriodS = gracePeriodS(attempt.job.spec)
+			this.state.ports.log('info', 'emptying a machine', {
+				machine: machine.id,
+				freeCpus: machine.freeResources.cpus,
+			})
 		}
 	}
 
 	/** Work that stopping a task now would lose, in seconds. */
-	private lostS(a: Attempt): number {
-		const { checkpointS, saveS } = a.job!.spec
+	private lostS(attempt: Attempt): number {
+		const { checkpointS, saveS } = attempt.job!.spec
 		if (checkpointS > 0) return saveS
-		return a.startedAt === null ? 0 : (this.s.ports.now() - a.startedAt) / 1000
+		return attempt.startedAt === null ? 0 : (this.state.ports.now() - attempt.startedAt) / 1000
 	}
 
 	/** Stops what loses least on one of these machines, which then leaves the list; the CPUs that this frees. */
 	private preemptFor(job: JobRun, entitled: boolean, machines: Machine[], saving: boolean): number {
 		const spec = job.spec
-		const most = entitled ? Number.POSITIVE_INFINITY : this.s.runS(spec)
+		const most = entitled ? Number.POSITIVE_INFINITY : this.state.estimatedRunS(spec)
 		let best: { at: number; victims: (Victim & { a: Attempt })[]; lost: number } | null = null
-		for (const [at, m] of machines.entries()) {
-			if (!allowed(spec, m) || !zoneAllowed(spec, m.zone, job.zones)) continue
+		for (const [at, machine] of machines.entries()) {
+			if (!isAllowedOn(spec, machine) || !isZoneAllowed(spec, machine.zone, job.taskCountByZone)) continue
 			const running: (Victim & { a: Attempt })[] = []
-			for (const a of m.attempts.values()) {
-				if (a.state !== 'running' || a.job === null || a.stopGraceS !== null) continue
-				const lostS = this.lostS(a)
-				if (saving ? a.job.spec.checkpointS > 0 : lostS <= most)
-					running.push({ key: a.key, priority: a.job.spec.priority, lostS, ...a.need, a })
+			for (const attempt of machine.attempts.values()) {
+				if (attempt.state !== 'running' || attempt.job === null || attempt.stopGracePeriodS !== null) continue
+				const lostS = this.lostS(attempt)
+				if (saving ? attempt.job.spec.checkpointS > 0 : lostS <= most)
+					running.push({
+						key: attempt.key,
+						priority: attempt.job.spec.priority,
+						lostS,
+						...attempt.resources,
+						a: attempt,
+					})
 			}
-			const victims = chooseVictims(spec, m.free, running, entitled, (t) => this.s.beyondGuarantee(t))
+			const victims = chooseVictims(spec, machine.freeResources, running, entitled, (t) =>
+				this.state.exceedsGuarantee(t),
+			)
 			if (victims === null || victims.length === 0) continue
 			const lost = victims.reduce((n, v) => n + v.lostS * v.cpus, 0)
 			if (best === null || lost < best.lost) best = { at, victims, lost }
@@ -279,9 +336,13 @@
 		}
 		if (best === null) return 0
 		machines.splice(best.at, 1)
-		for (const { a } of best.victims) {
-			a.stopGraceS = graceS(a.job!.spec)
-			this.s.ports.log('info', 'preempting', { task: a.name, machine: a.machine.id, for: spec.uid })
+		for (const { a: attempt } of best.victims) {
+			attempt.stopGracePeriodS = gracePeriodS(attempt.job!.spec)
+			this.state.ports.log('info', 'preempting', {
+				task: attempt.taskName,
+				machine: attempt.machine.id,
+				for: spec.uid,
+			})
 		}
 		return best.victims.reduce((n, v) => n + v.cpus, 0)
 	}
--- a/packages/controller/src/silence.ts
+++ b/packages/controller/src/silence.ts
@@ -1,5 +1,6 @@
+import type { LeadershipStatus } from '@heathroad/cluster'
 import type { Machine } from './model.js'
-import type { PartState } from './state.js'
+import type { ShardState } from './state.js'
 
 /** Where many machines are silent together they are returned only after so many leases. */
 const MANY_SILENT_LEASES = 3
@@ -8,25 +9,25 @@
 const isMany = (silent: number, machines: number): boolean => silent * 2.5 > machines
 
 /** What the silence of a part's machines says, and what it does not. */
-export class Silence {
+export class FailureDetector {
 	private readonly takenAt: number
 	/** the last moment at which many were silent together */
 	private manyAt = Number.NEGATIVE_INFINITY
 	private lastLook: number
 
-	constructor(private readonly s: PartState) {
-		this.takenAt = s.ports.now()
-		this.s.listeningSince = this.takenAt
+	constructor(private readonly state: ShardState) {
+		this.takenAt = state.ports.now()
+		this.state.listeningSince = this.takenAt
 		this.lastLook = this.takenAt
 	}
 
 	/** The regular look. */
-	look(now: number, right: 'grant' | 'promise' | 'none'): void {
+	tick(now: number, leadership: LeadershipStatus): void {
 		// While the process stood still it heard nobody: that is no silence of the machines'.
-		if (right === 'none' || now - this.lastLook > this.s.config.derived.grantMs * 0.2)
-			this.s.listeningSince = now
+		if (leadership === 'none' || now - this.lastLook > this.state.config.limits.controllerLeaseMs * 0.2)
+			this.state.listeningSince = now
 		this.lastLook = now
-		if (isMany(this.missing(now), this.s.machines.size)) this.manyAt = now
+		if (isMany(this.missedHeartbeats(now), this.state.machines.size)) this.manyAt = now
 	}
 
 	/**
@@ -35,43 +36,44 @@
 	 * with images again (incident 15). Half a lease counts from the end of such a time: as the first come back those
 	 * that have yet to report are few all at once, and each would be returned as it comes (incident 19).
 	 */
-	over(m: Machine, now: number): boolean {
-		const { reportMs, leaseMs } = this.s.config.derived
-		const heard = Math.max(m.answeredAt, this.s.listeningSince)
+	shouldReturn(machine: Machine, now: number): boolean {
+		const { heartbeatMs: reportMs, agentLeaseMs: leaseMs } = this.state.config.limits
+		const heard = Math.max(machine.lastHeartbeatAt, this.state.listeningSince)
 		if (now - heard >= leaseMs * MANY_SILENT_LEASES) return true
 		return now - Math.max(heard, this.manyAt) >= Math.max(reportMs * 3, leaseMs * 0.5)
 	}
 
 	/** Machines that missed a report. */
-	missing(now: number): number {
-		const before = now - this.s.config.derived.reportMs * 1.5
+	missedHeartbeats(now: number): number {
+		const before = now - this.state.config.limits.heartbeatMs * 1.5
 		let n = 0
-		for (const m of this.s.machines.values()) if (m.used && m.answeredAt < before) n++
+		for (const machine of this.state.machines.values())
+			if (machine.addressRecorded && machine.lastHeartbeatAt < before) n++
 		return n
 	}
 
 	/** Machines that missed two reports while we listened, if they are two thirds of the part at least; else 0. */
-	unheard(): number {
-		return this.s.settled ? this.most(() => false) : 0
+	unreachableMachines(): number {
+		return this.state.reconciled ? this.most(() => false) : 0
 	}
 
 	/**
 	 * Are most of the machines out of reach: not accounted for since the part was taken, or silent? Not right after the
 	 * take, when all of them are still to be asked.
 	 */
-	stranded(unconfirmed: ReadonlySet<string>): boolean {
-		if (this.s.ports.now() - this.takenAt < this.s.config.derived.grantMs * 0.4) return false
-		return this.most((m) => unconfirmed.has(m.id)) > 0
+	isPartitioned(unconfirmed: ReadonlySet<string>): boolean {
+		if (this.state.ports.now() - this.takenAt < this.state.config.limits.controllerLeaseMs * 0.4) return false
+		return this.most((machine) => unconfirmed.has(machine.id)) > 0
 	}
 
-	private most(or: (m: Machine) => boolean): number {
-		const before = this.s.ports.now() - this.s.config.derived.reportMs * 2.5
+	private most(or: (machine: Machine) => boolean): number {
+		const before = this.state.ports.now() - this.state.config.limits.heartbeatMs * 2.5
 		let used = 0
 		let away = 0
-		for (const m of this.s.machines.values()) {
-			if (!m.used) continue
+		for (const machine of this.state.machines.values()) {
+			if (!machine.addressRecorded) continue
 			used++
-			if (or(m) || Math.max(m.answeredAt, this.s.listeningSince) < before) away++
+			if (or(machine) || Math.max(machine.lastHeartbeatAt, this.state.listeningSince) < before) away++
 		}
 		return away >= 2 && away * 3 >= used * 2 ? away : 0
 	}
--- a/packages/daemon/src/admin.ts
+++ b/packages/daemon/src/admin.ts
@@ -1,5 +1,5 @@
 import type { PluginHost } from '@heathroad/plugins'
-import type { Tell } from '@heathroad/server'
+import type { Respond } from '@heathroad/server'
 import { isMap } from '@heathroad/wire'
 import type { Drain } from './drain.js'
 
@@ -24,18 +24,18 @@
 }
 
 /** Answers one call; nothing here waits but a reload. */
-export const answerAdmin = (daemon: Daemon, path: string, body: unknown, reply: Tell): void => {
+export const answerAdmin = (daemon: Daemon, path: string, body: unknown, respond: Respond): void => {
 	const host = daemon.plugins
-	if (path === '/admin/plugins') reply({ status: 200, body: { plugins: host?.list() ?? [] } })
-	else if (path === '/admin/disable') reply(named(host, body, true))
-	else if (path === '/admin/enable') reply(named(host, body, false))
+	if (path === '/admin/plugins') respond({ status: 200, body: { plugins: host?.list() ?? [] } })
+	else if (path === '/admin/disable') respond(named(host, body, true))
+	else if (path === '/admin/enable') respond(named(host, body, false))
 	else if (path === '/admin/reload')
 		void daemon.reload().then(
-			(lines) => reply({ status: 200, body: { lines } }),
-			(e) => reply(refusal(409, (e as Error).message)),
+			(lines) => respond({ status: 200, body: { lines } }),
+			(e) => respond(refusal(409, (e as Error).message)),
 		)
 	else if (path === '/admin/drain') {
 		daemon.end()
-		reply({ status: 202, body: { phase: daemon.drain.phase } })
-	} else reply(refusal(404, 'no such path'))
+		respond({ status: 202, body: { phase: daemon.drain.phase } })
+	} else respond(refusal(404, 'no such path'))
 }
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,4 +1,4 @@
-import { type Config, readIni } from '@heathroad/config'
+import { type Config, readOperatorSettings } from '@heathroad/config'
 import type { GrpcFace } from '@heathroad/grpc'
 import type { PluginHost } from '@heathroad/plugins'
 import { type Log, Service } from '@heathroad/server'
@@ -10,7 +10,7 @@
 const LIVE = ['tuning', 'plugins'] as const
 
 /** The settings that differ and are read only at a start, as their sections are called. */
-export const needRestart = (before: Config, after: ReturnType<typeof readIni>): string[] =>
+export const needRestart = (before: Config, after: ReturnType<typeof readOperatorSettings>): string[] =>
 	(Object.keys(after) as (keyof typeof after)[])
 		.filter((key) => !LIVE.includes(key as 'tuning'))
 		.filter((key) => JSON.stringify(before[key]) !== JSON.stringify(after[key]))
@@ -33,7 +33,7 @@
 	) {
 		this.service = new Service(config, log)
 		this.drain = new Drain(this.service, config.daemon, log)
-		this.service.admin = (path, body, reply) => answerAdmin(this, path, body, reply)
+		this.service.adminHandler = (path, body, respond) => answerAdmin(this, path, body, respond)
 	}
 
 	/** Rejects if an address cannot be listened at. What no section asks for is not loaded. */
@@ -48,8 +48,8 @@
 			await this.grpc.start()
 		}
 		if (metrics !== null) {
-			const { tellMetrics } = await import('@heathroad/metrics')
-			this.metrics = await tellMetrics(metrics.listen, {
+			const { serveMetrics } = await import('@heathroad/metrics')
+			this.metrics = await serveMetrics(metrics.listen, {
 				figures: () => this.service.figures(),
 				plugins: () => this.plugins?.list() ?? [],
 			})
@@ -57,7 +57,7 @@
 	}
 
 	async reload(): Promise<string[]> {
-		const fresh = readIni(this.ini)
+		const fresh = readOperatorSettings(this.ini)
 		const lines = needRestart(this.config, fresh).map(
 			(key) => `[${key}] has changed: restart to take it over`,
 		)
@@ -65,7 +65,7 @@
 		Object.assign(this.config.tuning, fresh.tuning)
 		if (fresh.plugins === null) {
 			this.plugins?.stop()
-			if (this.plugins !== null) this.service.dropChecks()
+			if (this.plugins !== null) this.service.disableChecks()
 			this.plugins = null
 		} else if (this.plugins === null) this.plugins = await openPlugins(this.service, fresh.plugins)
 		else {
@@ -97,7 +97,7 @@
 		this.metrics?.close()
 		await this.grpc?.stop(500)
 		await this.service.stop()
-		await this.service.resign()
+		await this.service.revokeLease()
 		this.log('info', 'ended')
 		this.exit(0)
 	}
--- a/packages/daemon/src/drain.ts
+++ b/packages/daemon/src/drain.ts
@@ -65,15 +65,15 @@
 
 	private step(): void {
 		if (this.state === 'over') return
-		const { parts, submissions } = this.service.unfinished
+		const { parts, submissions } = this.service.pendingWork
 		const sinceMs = this.service.now() - this.begunAt
-		const alone = this.service.config.derived.peers.length === 0
+		const alone = this.service.config.limits.peers.length === 0
 		const next = nextPhase({ phase: this.state, sinceMs, parts, submissions, alone }, this.settings)
 		if (next !== this.state)
 			this.log('info', 'draining', { phase: next, sinceMs: Math.round(sinceMs), parts, submissions })
 		this.state = next
-		if (next === 'leaving') this.service.leave()
-		else if (next === 'handing') this.service.handOver(sinceMs > this.settings.drainS * 1000 * AT_ONCE)
+		if (next === 'leaving') this.service.beginDrain()
+		else if (next === 'handing') this.service.handOffShards(sinceMs > this.settings.drainS * 1000 * AT_ONCE)
 		else if (next === 'over') this.finish()
 	}
 }
--- a/packages/daemon/src/plugins.ts
+++ b/packages/daemon/src/plugins.ts
@@ -22,7 +22,7 @@
 				gpusMax: t?.gpus_max ?? 0,
 			}
 		},
-		teamJobs: (name) => service.openJobsOf(name),
+		teamJobs: (name) => service.openJobsOfTeam(name),
 	})
 	await host.start()
 	service.checks = host
--- a/packages/events/src/cursor.ts
+++ b/packages/events/src/cursor.ts
@@ -1,15 +1,15 @@
 import { createHash, createHmac, timingSafeEqual } from 'node:crypto'
-import type { Position } from '@heathroad/cluster'
+import type { LogPosition } from '@heathroad/cluster'
 
 /** What a stream tells: some jobs, or all of a team. */
 export type Selection = { uids: readonly string[] } | { team: string }
 
 /**
  * Where a stream stands. `present`: the present state is being told, in the order of ids, and everything up to
- * `uid` has been; final states later than `epoch` are told afterwards. `live`: every final state up to this place
+ * `uid` has been; final states later than `revision` are told afterwards. `live`: every final state up to this place
  * has been told.
  */
-export interface Place extends Position {
+export interface Place extends LogPosition {
 	phase: 'present' | 'live'
 }
 
@@ -44,7 +44,7 @@
 	}
 
 	write(place: Place): string {
-		const body = `1.${place.phase[0]}.${place.epoch.toString(36)}.${place.uid}`
+		const body = `1.${place.phase[0]}.${place.revision.toString(36)}.${place.uid}`
 		return `${body}.${this.sign(body)}`
 	}
 
@@ -52,9 +52,9 @@
 	read(text: string): Place | null {
 		const parts = FORM.exec(text)
 		if (parts === null) return null
-		const [, phase, epoch, uid, sum] = parts
+		const [, phase, revision, uid, sum] = parts
 		const right = Buffer.from(this.sign(text.slice(0, -sum.length - 1)))
 		if (!timingSafeEqual(Buffer.from(sum), right)) return null
-		return { phase: phase === 'p' ? 'present' : 'live', epoch: Number.parseInt(epoch, 36), uid }
+		return { phase: phase === 'p' ? 'present' : 'live', revision: Number.parseInt(revision, 36), uid }
 	}
 }
--- a/packages/events/src/hub.ts
+++ b/packages/events/src/hub.ts
@@ -1,5 +1,5 @@
-import type { Final, Position } from '@heathroad/cluster'
-import { EPOCH_END } from '@heathroad/cluster'
+import type { LogPosition, TerminalState } from '@heathroad/cluster'
+import { REVISION_END } from '@heathroad/cluster'
 import { Changes } from './changes.js'
 import { Cursors, type Place, type Selection } from './cursor.js'
 import type { JobState, Records } from './records.js'
@@ -9,7 +9,7 @@
 export type NotHere =
 	/** not a cursor of this installation and selection */
 	| 'invalid cursor'
-	/** from a later epoch than the records are at, or from before what is kept */
+	/** from a later revision than the records are at, or from before what is kept */
 	| 'out of range'
 
 export interface Reader {
@@ -33,7 +33,7 @@
 	private readonly dirty = new Set<string>()
 	private runs = new Map<string, number>()
 	/** final states seen that lie behind what all records are known up to */
-	private coming: Final[] = []
+	private coming: TerminalState[] = []
 	private seq = 0
 
 	constructor(
@@ -49,20 +49,20 @@
 	jobChanged(uid: string): void {
 		if (this.all.size === 0) return
 		this.dirty.add(uid)
-		const final = this.records.finals.final(uid)
+		const final = this.records.finals.get(uid)
 		if (final === undefined) return
 		for (const s of this.byUid.get(uid) ?? []) s.arrived(final)
 		this.coming.push(final)
 	}
 
-	/** The records are known up to a later epoch. */
+	/** The records are known up to a later revision. */
 	advanced(): void {
 		if (this.coming.length === 0) return
-		const epoch = this.epoch()
+		const revision = this.revision()
 		const woken = new Set<Subscription>()
-		const still: Final[] = []
+		const still: TerminalState[] = []
 		for (const f of this.coming) {
-			if (f.epoch > epoch) {
+			if (f.revision > revision) {
 				still.push(f)
 				continue
 			}
@@ -148,15 +148,15 @@
 	 */
 	subscribe(selection: Selection, cursor: string, reader: Reader): Subscription | NotHere {
 		const cursors = new Cursors(this.installation, selection)
-		let place: Place = { phase: 'present', epoch: this.epoch(), uid: '' }
+		let place: Place = { phase: 'present', revision: this.revision(), uid: '' }
 		if (cursor !== '') {
 			const read = cursors.read(cursor)
 			if (read === null) return 'invalid cursor'
 			// After a fresh read nothing that was ever told lies ahead of us, unless the state is another one by now.
-			if (read.epoch > this.epoch()) return 'out of range'
+			if (read.revision > this.revision()) return 'out of range'
 			place = read
 		}
-		const behind = place.phase === 'live' ? place : { epoch: place.epoch, uid: EPOCH_END }
+		const behind = place.phase === 'live' ? place : { revision: place.revision, uid: REVISION_END }
 		if ('team' in selection && !this.keeps(selection.team, behind)) return 'out of range'
 		if ('team' in selection && !this.teams.has(selection.team)) this.teams.set(selection.team, new Changes())
 		const subscription = new Subscription(
@@ -202,8 +202,8 @@
 
 	// ---- what streams read ----
 
-	epoch(): number {
-		return this.records.epoch()
+	revision(): number {
+		return this.records.revision()
 	}
 
 	current(uid: string): JobState | null {
@@ -220,20 +220,20 @@
 		return state
 	}
 
-	final(uid: string): Final | undefined {
-		return this.records.finals.final(uid)
+	final(uid: string): TerminalState | undefined {
+		return this.records.finals.get(uid)
 	}
 
-	nextFinal(team: string, after: Position): Final | null {
-		return this.records.finals.next(team, after, this.epoch())
+	nextFinal(team: string, after: LogPosition): TerminalState | null {
+		return this.records.finals.next(team, after, this.revision())
 	}
 
-	behind(team: string, after: Position): number {
-		return this.records.finals.behind(team, after)
+	behind(team: string, after: LogPosition): number {
+		return this.records.finals.countAfter(team, after)
 	}
 
-	keeps(team: string, after: Position): boolean {
-		return this.records.finals.keeps(team, after)
+	keeps(team: string, after: LogPosition): boolean {
+		return this.records.finals.retainsAllAfter(team, after)
 	}
 
 	snapshot(team: string): Snapshot {
--- a/packages/events/src/records.ts
+++ b/packages/events/src/records.ts
@@ -1,4 +1,4 @@
-import type { Finals } from '@heathroad/cluster'
+import type { TerminalStateSource } from '@heathroad/cluster'
 
 export type State = 'pending' | 'running' | 'done' | 'cancelled'
 
@@ -26,13 +26,13 @@
  * can turn out not to have been.
  */
 export interface Records {
-	/** Every change up to this epoch is known here; -1: nothing is. */
-	epoch(): number
+	/** Every change up to this revision is known here; -1: nothing is. */
+	revision(): number
 	/** A job that is accepted and not over. */
 	open(uid: string): OpenJob | undefined
 	/** Ids of a team's jobs that are not over. */
 	openOf(team: string): Iterable<string>
 	/** Jobs of which tasks run, as their owners know or last told, and how many. */
 	running(): Iterable<[uid: string, tasks: number]>
-	readonly finals: Finals
+	readonly finals: TerminalStateSource
 }
--- a/packages/events/src/subscription.ts
+++ b/packages/events/src/subscription.ts
@@ -1,4 +1,4 @@
-import { comparePositions, EPOCH_END, type Final, type Position } from '@heathroad/cluster'
+import { comparePositions, type LogPosition, REVISION_END, type TerminalState } from '@heathroad/cluster'
 import type { Cursors, Place, Selection } from './cursor.js'
 import type { JobState } from './records.js'
 
@@ -26,14 +26,14 @@
 
 /** What a subscription asks of its hub. */
 export interface Source {
-	epoch(): number
+	revision(): number
 	/** the state of a job that is not over, as it is told to everybody at present */
 	current(uid: string): JobState | null
-	final(uid: string): Final | undefined
+	final(uid: string): TerminalState | undefined
 	/** a team's next final state behind a place that may be told by now */
-	nextFinal(team: string, after: Position): Final | null
-	behind(team: string, after: Position): number
-	keeps(team: string, after: Position): boolean
+	nextFinal(team: string, after: LogPosition): TerminalState | null
+	behind(team: string, after: LogPosition): number
+	keeps(team: string, after: LogPosition): boolean
 	/** a team's jobs that are not over, as of a moment ago */
 	snapshot(team: string): Snapshot
 	/** the next changed job of a team behind a sequence number */
@@ -41,12 +41,12 @@
 	left(subscription: Subscription): void
 }
 
-const told = (f: Final): JobState => ({
+const told = (f: TerminalState): JobState => ({
 	uid: f.uid,
 	state: f.state === 'done' ? 'done' : 'cancelled',
-	done: f.done,
+	done: f.doneCount,
 	running: 0,
-	tasks: f.tasks,
+	tasks: f.taskCount,
 })
 
 /**
@@ -64,7 +64,7 @@
 	private at = 0
 	private readonly present: readonly string[]
 	/** final states of the named jobs that lie behind our place, in order */
-	private readonly ready: Final[] = []
+	private readonly ready: TerminalState[] = []
 	/** named jobs that changed, none of them over when it did */
 	private readonly changed = new Set<string>()
 	private seq: number
@@ -94,19 +94,19 @@
 	}
 
 	/** Was the job's final state told before our place? */
-	private passed(uid: string, final: Final | undefined): boolean {
+	private passed(uid: string, final: TerminalState | undefined): boolean {
 		if (final === undefined) return false
 		if (this.place.phase === 'live') return comparePositions(final, this.place) <= 0
-		return final.epoch <= this.place.epoch && uid <= this.place.uid
+		return final.revision <= this.place.revision && uid <= this.place.uid
 	}
 
 	/** Is it told as part of the present state? */
-	private inPresent(final: Final): boolean {
-		return this.place.phase === 'present' && final.epoch <= this.place.epoch
+	private inPresent(final: TerminalState): boolean {
+		return this.place.phase === 'present' && final.revision <= this.place.revision
 	}
 
 	/** A final state of a named job. */
-	arrived(final: Final): void {
+	arrived(final: TerminalState): void {
 		let i = this.ready.length
 		while (i > 0 && comparePositions(this.ready[i - 1], final) > 0) i--
 		if (i > 0 && this.ready[i - 1].uid === final.uid) return
@@ -133,8 +133,8 @@
 		return this.team !== null ? this.source.behind(this.team, this.livePlace()) : this.ready.length
 	}
 
-	private livePlace(): Position {
-		return this.place.phase === 'live' ? this.place : { epoch: this.place.epoch, uid: EPOCH_END }
+	private livePlace(): LogPosition {
+		return this.place.phase === 'live' ? this.place : { revision: this.place.revision, uid: REVISION_END }
 	}
 
 	/** Where a continuation begins. */
@@ -157,41 +157,41 @@
 
 	private nextPresent(): JobState | null {
 		if (this.place.phase !== 'present') return null
-		const { epoch, uid: from } = this.place
+		const { revision, uid: from } = this.place
 		while (this.at < this.present.length) {
 			const uid = this.present[this.at++]
 			if (uid <= from) continue
 			const final = this.source.final(uid)
 			// What became final later is told in its place in the order.
-			if (final !== undefined && (this.team !== null || final.epoch > epoch)) continue
+			if (final !== undefined && (this.team !== null || final.revision > revision)) continue
 			const state = final !== undefined ? told(final) : this.source.current(uid)
 			if (state === null) continue
-			this.place = { phase: 'present', epoch, uid }
+			this.place = { phase: 'present', revision, uid }
 			if (final !== undefined) this.open--
 			return state
 		}
-		this.place = { phase: 'live', epoch, uid: EPOCH_END }
+		this.place = { phase: 'live', revision, uid: REVISION_END }
 		return null
 	}
 
 	private nextFinal(): JobState | null {
-		let final: Final | null
+		let final: TerminalState | null
 		if (this.team !== null) final = this.source.nextFinal(this.team, this.place)
 		else {
 			const [first] = this.ready
-			final = first !== undefined && first.epoch <= this.source.epoch() ? first : null
+			final = first !== undefined && first.revision <= this.source.revision() ? first : null
 			if (final !== null) {
 				this.ready.shift()
 				this.open--
 			}
 		}
 		if (final !== null) {
-			this.place = { phase: 'live', epoch: final.epoch, uid: final.uid }
+			this.place = { phase: 'live', revision: final.revision, uid: final.uid }
 			return told(final)
 		}
 		// All up to here is told: the cursor moves on, so that it does not grow old on a quiet team.
-		const epoch = this.source.epoch()
-		if (epoch > this.place.epoch) this.place = { phase: 'live', epoch, uid: EPOCH_END }
+		const revision = this.source.revision()
+		if (revision > this.place.revision) this.place = { phase: 'live', revision, uid: REVISION_END }
 		return null
 	}
 
--- a/packages/grpc/src/face.ts
+++ b/packages/grpc/src/face.ts
@@ -22,7 +22,14 @@
 	toWire,
 } from '@heathroad/proto'
 import type { Service } from '@heathroad/server'
-import { BODY_LIMIT, isMap, type JobAnswer, type Reply, UID, UID_FORM } from '@heathroad/wire'
+import {
+	type HttpReply,
+	isMap,
+	JOB_ID_FORMAT,
+	JOB_ID_PATTERN,
+	type JobStatusResponse,
+	MAX_BODY_BYTES,
+} from '@heathroad/wire'
 import { Effect } from 'effect'
 import { HealthImplementation } from 'grpc-health-check'
 import { ServiceRecords } from './records.js'
@@ -77,7 +84,7 @@
 		private readonly settings: GrpcSettings,
 	) {
 		const { deployment } = s.config.settings
-		const { sockets, reportMs } = s.config.derived
+		const { maxSockets: sockets, heartbeatMs: reportMs } = s.config.limits
 		this.records = new ServiceRecords(s, settings.history)
 		this.admission = new Admission(
 			{
@@ -90,11 +97,11 @@
 			s.now,
 		)
 		this.pump = new Pump(PER_TURN, setImmediate)
-		this.awakeSince = s.members.awake
+		this.awakeSince = s.membership.runningSince
 		const connections = settings.connections || Math.max(4, Math.floor(sockets / 8))
 		this.server = new Server({
-			'grpc.max_receive_message_length': BODY_LIMIT,
-			'grpc.max_send_message_length': BODY_LIMIT,
+			'grpc.max_receive_message_length': MAX_BODY_BYTES,
+			'grpc.max_send_message_length': MAX_BODY_BYTES,
 			// Each connection may hold as many streams as all may, and as many calls beside them.
 			'grpc.max_concurrent_streams': settings.streams + 100,
 			// Finds out peers that are gone without a word; idle connections make room.
@@ -131,7 +138,7 @@
 	async stop(graceMs = 1000): Promise<void> {
 		this.draining = true
 		if (this.timer !== null) clearInterval(this.timer)
-		if (this.s.watcher === this.records) this.s.watcher = null
+		if (this.s.recordObserver === this.records) this.s.recordObserver = null
 		this.sockets.close()
 		if (graceMs > 0) {
 			this.tellHealth(false)
@@ -156,24 +163,24 @@
 		path: string,
 		body: unknown,
 		done: sendUnaryData<A>,
-		answer: (a: JobAnswer) => A,
+		answer: (a: JobStatusResponse) => A,
 	) {
 		if (this.draining) return done(failure(status.UNAVAILABLE, 'this controller is ending', 100))
-		this.s.face({ method, path, body }, (reply: Reply) => {
+		this.s.handleRequest({ method, path, body }, (reply: HttpReply) => {
 			const ok = reply.status === 200 || reply.status === 201
-			if (ok) return done(null, answer(reply.body as JobAnswer))
+			if (ok) return done(null, answer(reply.body as JobStatusResponse))
 			done(replyFailure(reply, problem(reply.body)))
 		})
 	}
 
-	private readonly job = (a: JobAnswer): JobMessage => {
+	private readonly job = (a: JobStatusResponse): JobMessage => {
 		const record = this.s.jobs.get(a.uid)?.record
 		return {
 			uid: a.uid,
 			state: stateName(a.status),
 			done: a.done ?? 0,
 			running: a.running ?? 0,
-			tasks: record?.spec?.tasks ?? record?.tasks ?? this.s.history.known(a.uid)?.tasks ?? 0,
+			tasks: record?.spec?.tasks ?? record?.taskCount ?? this.s.archive.cached(a.uid)?.taskCount ?? 0,
 		}
 	}
 
@@ -187,8 +194,8 @@
 
 	/** Only an id of the right form becomes part of a path. */
 	private named(uid: string, done: (e: Failure) => void): boolean {
-		if (UID.test(uid)) return true
-		done(failure(status.INVALID_ARGUMENT, `uid: Expected ${UID_FORM}`))
+		if (JOB_ID_PATTERN.test(uid)) return true
+		done(failure(status.INVALID_ARGUMENT, `uid: Expected ${JOB_ID_FORMAT}`))
 		return false
 	}
 
@@ -207,8 +214,8 @@
 	private selection(uids: readonly string[], team: string): Selection | string {
 		if ((uids.length === 0) === (team === '')) return 'uids, team: Expected one of the two'
 		if (team !== '') return { team }
-		const bad = uids.find((u) => !UID.test(u))
-		return bad === undefined ? { uids: [...new Set(uids)] } : `uids: Expected ${UID_FORM} in each`
+		const bad = uids.find((u) => !JOB_ID_PATTERN.test(u))
+		return bad === undefined ? { uids: [...new Set(uids)] } : `uids: Expected ${JOB_ID_FORMAT} in each`
 	}
 
 	/** Whose share of the streams it takes: of several jobs, their first known one's team. */
@@ -216,7 +223,7 @@
 		if ('team' in selection) return selection.team
 		for (const uid of selection.uids) {
 			const record = this.s.jobs.get(uid)?.record
-			if (record !== undefined) return record.spec?.team ?? record.need?.team ?? ''
+			if (record !== undefined) return record.spec?.team ?? record.resources?.team ?? ''
 		}
 		return ''
 	}
@@ -238,7 +245,7 @@
 		})
 		this.streams.add(stream)
 		// Nothing older may be told than anybody was told before the call, and nothing from before its cursor.
-		this.s.whenFresh((ok) => {
+		this.s.afterLinearizableRead((ok) => {
 			if (!ok || 'team' in selection) return this.begin(stream, selection, cursor, ok)
 			this.recall(selection.uids, (all) => this.begin(stream, selection, cursor, all))
 		})
@@ -246,8 +253,10 @@
 
 	/** Final states of named jobs that are in memory no longer are read before the stream begins. */
 	private recall(uids: readonly string[], done: (all: boolean) => void): void {
-		const unknown = uids.filter((uid) => this.s.jobs.get(uid) === undefined && !this.s.history.proves(uid))
-		const read = Effect.forEach(unknown, (uid) => this.s.history.find(uid), { concurrency: 'unbounded' })
+		const unknown = uids.filter(
+			(uid) => this.s.jobs.get(uid) === undefined && !this.s.archive.provesAbsent(uid),
+		)
+		const read = Effect.forEach(unknown, (uid) => this.s.archive.lookUp(uid), { concurrency: 'unbounded' })
 		const told = Effect.map(read, (found) => {
 			for (const f of found) if (typeof f !== 'string') this.records.recall(f)
 			done(!found.includes('unsure'))
@@ -272,7 +281,7 @@
 	// ---- time ----
 
 	private ready(): boolean {
-		return this.hub !== null && !this.draining && this.s.healthy()
+		return this.hub !== null && !this.draining && this.s.isHealthy()
 	}
 
 	/** The regular look: health, what changed, readers that take nothing. */
@@ -288,8 +297,8 @@
 		const ready = this.ready()
 		if (ready !== this.serving) this.tellHealth(ready)
 		// After a standstill others know better: what we would tell next may be long over.
-		const stood = this.s.members.awake !== this.awakeSince
-		this.awakeSince = this.s.members.awake
+		const stood = this.s.membership.runningSince !== this.awakeSince
+		this.awakeSince = this.s.membership.runningSince
 		if (!ready || stood) this.hub?.endAll('not serving')
 		this.hub?.look()
 		const { stallS, behind } = this.settings
--- a/packages/grpc/src/status.ts
+++ b/packages/grpc/src/status.ts
@@ -1,6 +1,6 @@
 import { Metadata, status } from '@grpc/grpc-js'
 import type { Refusal } from '@heathroad/events'
-import type { Reply } from '@heathroad/wire'
+import type { HttpReply } from '@heathroad/wire'
 import protobuf from 'protobufjs'
 
 /** A call's end without an answer, as the library takes it. */
@@ -50,7 +50,7 @@
 }
 
 /** What a reply of the service that is no job means here. What it gave up is UNAVAILABLE, with a time. */
-export const replyFailure = (reply: Reply, text: string): Failure => {
+export const replyFailure = (reply: HttpReply, text: string): Failure => {
 	const code = CODES[reply.status] ?? status.UNAVAILABLE
 	const again = code === status.RESOURCE_EXHAUSTED || code === status.UNAVAILABLE
 	return failure(code, text, again ? (reply.retryAfterS ?? 1) * 1000 : undefined)
--- a/packages/history/src/leaf.ts
+++ b/packages/history/src/leaf.ts
@@ -1,20 +1,20 @@
 import { deflateRawSync, inflateRawSync } from 'node:zlib'
 import { isMap } from '@heathroad/wire'
-import { END, levelPrefix } from './order.js'
+import { levelPrefix, ORDINAL_END } from './order.js'
 
 /** A job that is over, as it is kept for ever. Counts are of tasks. */
-export interface Past {
+export interface ArchivedJob {
 	/** `ordinal` of its id */
-	at: string
+	ordinal: string
 	aborted: boolean
-	tasks: number
-	done: number
+	taskCount: number
+	doneCount: number
 	/** of the change that made it durable: streams tell what came before a cursor from what came after it */
-	epoch: number
+	revision: number
 }
 
 /** A record of the archive: the final states of one range of ids, packed. */
-export interface Leaf {
+export interface ArchivePage {
 	from: string
 	/** not part of it */
 	to: string
@@ -24,11 +24,11 @@
 	deeper: boolean
 	packed: string
 	/** of its key; 0: the level has no leaf yet, and this one stands for it */
-	stamp: number
+	modRevision: number
 }
 
 /** A record of the archive that this program cannot read. */
-export class BadLeaf extends Error {}
+export class InvalidArchivePage extends Error {}
 
 /** What a packed leaf holds, by columns, since like figures compress well together. */
 interface Columns {
@@ -37,27 +37,28 @@
 	done: number[]
 	/** of those aborted: their index and their tasks; all tasks of the others are done */
 	aborted: [index: number, tasks: number][]
-	/** least epoch, and what each lies above it */
+	/** least revision, and what each lies above it */
 	epoch: number
 	epochs: number[]
 }
 
-const byPlace = (a: Past, b: Past): number => (a.at < b.at ? -1 : a.at > b.at ? 1 : 0)
+const byPlace = (a: ArchivedJob, b: ArchivedJob): number =>
+	a.ordinal < b.ordinal ? -1 : a.ordinal > b.ordinal ? 1 : 0
 
 /** Packs final states, which must be in order and distinct. */
-export const pack = (items: readonly Past[]): string => {
+export const packJobs = (items: readonly ArchivedJob[]): string => {
 	if (items.length === 0) return ''
-	const epoch = items.reduce((least, p) => Math.min(least, p.epoch), Number.POSITIVE_INFINITY)
-	const columns: Columns = { ids: [], done: [], aborted: [], epoch, epochs: [] }
+	const leastRevision = items.reduce((least, job) => Math.min(least, job.revision), Number.POSITIVE_INFINITY)
+	const columns: Columns = { ids: [], done: [], aborted: [], epoch: leastRevision, epochs: [] }
 	let width = -1
 	let before = 0n
 	let steps: string[] = []
 	const close = () => {
 		if (steps.length > 0) columns.ids.push([width, steps.join(',')])
 	}
-	for (const [i, p] of items.entries()) {
-		const w = Number(p.at.slice(0, 2))
-		const n = BigInt(p.at.slice(2))
+	for (const [i, job] of items.entries()) {
+		const w = Number(job.ordinal.slice(0, 2))
+		const n = BigInt(job.ordinal.slice(2))
 		if (w !== width) {
 			close()
 			steps = []
@@ -66,20 +67,20 @@
 		}
 		steps.push(String(n - before))
 		before = n
-		columns.done.push(p.done)
-		if (p.aborted) columns.aborted.push([i, p.tasks])
-		columns.epochs.push(p.epoch - epoch)
+		columns.done.push(job.doneCount)
+		if (job.aborted) columns.aborted.push([i, job.taskCount])
+		columns.epochs.push(job.revision - leastRevision)
 	}
 	close()
 	return deflateRawSync(JSON.stringify(columns)).toString('base64')
 }
 
 /** The final states of a packed leaf, in order. Throws `BadLeaf`. */
-export const unpack = (packed: string): Past[] => {
+export const unpackJobs = (packed: string): ArchivedJob[] => {
 	if (packed === '') return []
 	try {
 		const c = JSON.parse(inflateRawSync(Buffer.from(packed, 'base64')).toString()) as Columns
-		const out: Past[] = []
+		const out: ArchivedJob[] = []
 		for (const [width, steps] of c.ids) {
 			let n = 0n
 			const head = String(width).padStart(2, '0')
@@ -87,33 +88,42 @@
 				n += BigInt(step)
 				const done = c.done[out.length]
 				const at = head + String(n).padStart(width, '0')
-				out.push({ at, aborted: false, tasks: done, done, epoch: c.epoch + c.epochs[out.length] })
+				out.push({
+					ordinal: at,
+					aborted: false,
+					taskCount: done,
+					doneCount: done,
+					revision: c.epoch + c.epochs[out.length],
+				})
 			}
 		}
 		for (const [i, tasks] of c.aborted) {
 			out[i].aborted = true
-			out[i].tasks = tasks
+			out[i].taskCount = tasks
 		}
 		const whole = out.every(
-			(p, i) => Number.isFinite(p.done) && Number.isFinite(p.epoch) && (i === 0 || out[i - 1].at < p.at),
+			(job, i) =>
+				Number.isFinite(job.doneCount) &&
+				Number.isFinite(job.revision) &&
+				(i === 0 || out[i - 1].ordinal < job.ordinal),
 		)
 		if (!whole || c.done.length !== out.length) throw new Error('columns that do not fit together')
 		return out
 	} catch (e) {
-		throw new BadLeaf((e as Error).message)
+		throw new InvalidArchivePage((e as Error).message)
 	}
 }
 
 /** One of a sorted list. */
-export const pick = (items: readonly Past[], at: string): Past | undefined => {
+export const findByOrdinal = (items: readonly ArchivedJob[], at: string): ArchivedJob | undefined => {
 	let from = 0
 	let to = items.length
 	while (from < to) {
 		const middle = (from + to) >> 1
-		if (items[middle].at < at) from = middle + 1
+		if (items[middle].ordinal < at) from = middle + 1
 		else to = middle
 	}
-	return items[from]?.at === at ? items[from] : undefined
+	return items[from]?.ordinal === at ? items[from] : undefined
 }
 
 /** Numbers of so many digits are exact as they are. */
@@ -123,7 +133,7 @@
  * One of a packed leaf, without unpacking the others, in half the time: storms of questions about old jobs are answered
  * on a third of a core. Throws `BadLeaf`.
  */
-export const lookup = (packed: string, at: string): Past | undefined => {
+export const findInPacked = (packed: string, at: string): ArchivedJob | undefined => {
 	if (packed === '') return undefined
 	try {
 		const c = JSON.parse(inflateRawSync(Buffer.from(packed, 'base64')).toString()) as Columns
@@ -137,13 +147,19 @@
 				const k = before + i
 				const own = c.aborted.find(([index]) => index === k)
 				const done = c.done[k]
-				return { at, aborted: own !== undefined, tasks: own?.[1] ?? done, done, epoch: c.epoch + c.epochs[k] }
+				return {
+					ordinal: at,
+					aborted: own !== undefined,
+					taskCount: own?.[1] ?? done,
+					doneCount: done,
+					revision: c.epoch + c.epochs[k],
+				}
 			}
 			before += all.length
 		}
 		return undefined
 	} catch (e) {
-		throw new BadLeaf((e as Error).message)
+		throw new InvalidArchivePage((e as Error).message)
 	}
 }
 
@@ -164,36 +180,48 @@
 }
 
 /** Two final states of one job that differ: something wrote what it must not. */
-export class Disagreement extends Error {}
+export class ConflictingTerminalStates extends Error {}
 
 /** Both, in order. What is in both must agree, since a final state never changes. Throws `Disagreement`. */
-export const union = (a: readonly Past[], b: readonly Past[]): Past[] => {
-	const out: Past[] = []
-	for (const p of [...a, ...b].sort(byPlace)) {
+export const mergeArchivedJobs = (a: readonly ArchivedJob[], b: readonly ArchivedJob[]): ArchivedJob[] => {
+	const out: ArchivedJob[] = []
+	for (const job of [...a, ...b].sort(byPlace)) {
 		const last = out.at(-1)
-		if (last?.at !== p.at) out.push(p)
-		else if (last.aborted !== p.aborted || last.done !== p.done)
-			throw new Disagreement(`${p.at}: ${JSON.stringify(last)} and ${JSON.stringify(p)}`)
+		if (last?.ordinal !== job.ordinal) out.push(job)
+		else if (last.aborted !== job.aborted || last.doneCount !== job.doneCount)
+			throw new ConflictingTerminalStates(
+				`${job.ordinal}: ${JSON.stringify(last)} and ${JSON.stringify(job)}`,
+			)
 	}
 	return out
 }
 
-export const covers = (leaf: Leaf, at: string): boolean => leaf.from <= at && at < leaf.to
+export const covers = (leaf: ArchivePage, at: string): boolean => leaf.from <= at && at < leaf.to
 
 /** A level without any leaf. */
-export const emptyLevel = (): Leaf => ({
+export const emptyLevel = (): ArchivePage => ({
 	from: '',
-	to: END,
+	to: ORDINAL_END,
 	depth: 0,
 	deeper: false,
 	packed: '',
-	stamp: 0,
+	modRevision: 0,
 })
 
-export const writeLeaf = ({ from, depth, deeper, packed }: Leaf): unknown => ({ from, depth, deeper, packed })
+export const encodeArchivePage = ({ from, depth, deeper, packed }: ArchivePage): unknown => ({
+	from,
+	depth,
+	deeper,
+	packed,
+})
 
 /** Reads a leaf's record. Throws `BadLeaf`, naming the key. */
-export const readLeaf = (level: number, key: string, data: unknown, stamp: number): Leaf => {
+export const decodeArchivePage = (
+	level: number,
+	key: string,
+	data: unknown,
+	modRevision: number,
+): ArchivePage => {
 	const to = key.slice(levelPrefix(level).length)
 	const fits =
 		isMap(data) &&
@@ -202,7 +230,7 @@
 		typeof data.depth === 'number' &&
 		typeof data.deeper === 'boolean' &&
 		data.from < to
-	if (!fits) throw new BadLeaf(`${key}: is no record of the archive`)
+	if (!fits) throw new InvalidArchivePage(`${key}: is no record of the archive`)
 	const { from, depth, deeper, packed } = data as Record<string, never>
-	return { from, to, depth, deeper, packed, stamp }
+	return { from, to, depth, deeper, packed, modRevision }
 }
--- a/packages/history/src/merge.ts
+++ b/packages/history/src/merge.ts
@@ -1,37 +1,47 @@
-import { covers, type Leaf, type Past, pack, union, unpack } from './leaf.js'
-import { deepest } from './order.js'
+import {
+	type ArchivedJob,
+	type ArchivePage,
+	covers,
+	mergeArchivedJobs,
+	packJobs,
+	unpackJobs,
+} from './leaf.js'
+import { maxDepth } from './order.js'
 
 /** What one transaction may hold. */
-export interface Room {
+export interface ArchiveWriteLimits {
 	/** sets and deletions */
-	ops: number
+	maxOperations: number
 	/** of one value, counted as JSON */
-	value: number
+	maxValueChars: number
 	/** of all values together */
-	bytes: number
+	maxBytes: number
 }
 
-export interface Step {
-	/** leaves to write, each to be conditional on its own stamp */
-	sets: Leaf[]
+export interface MergeStep {
+	/** leaves to write, each to be conditional on its own modRevision */
+	sets: ArchivePage[]
 	/** how many of the given final states these hold, from the first on */
 	taken: number
 	/** a full leaf that cannot be split any more: its content has to go down first */
-	push: Leaf | null
+	push: ArchivePage | null
 }
 
 /** Beside the packed text: names of fields and the bounds of the range. */
 const FRAME = 160
 
-const fill = (leaf: Leaf, items: readonly Past[]): Leaf => ({ ...leaf, packed: pack(items) })
+const fill = (leaf: ArchivePage, items: readonly ArchivedJob[]): ArchivePage => ({
+	...leaf,
+	packed: packJobs(items),
+})
 
 /** A leaf in two halves; the lower one gets a key of its own, which nobody has used before. */
-const split = (leaf: Leaf, items: readonly Past[]): [Leaf, Leaf] => {
+const split = (leaf: ArchivePage, items: readonly ArchivedJob[]): [ArchivePage, ArchivePage] => {
 	const middle = items.length >> 1
-	const { at } = items[middle]
+	const { ordinal: at } = items[middle]
 	const depth = leaf.depth + 1
 	return [
-		fill({ ...leaf, to: at, depth, stamp: 0 }, items.slice(0, middle)),
+		fill({ ...leaf, to: at, depth, modRevision: 0 }, items.slice(0, middle)),
 		fill({ ...leaf, from: at, depth }, items.slice(middle)),
 	]
 }
@@ -42,17 +52,17 @@
  */
 const fit = (
 	level: number,
-	leaf: Leaf,
-	incoming: readonly Past[],
+	leaf: ArchivePage,
+	incoming: readonly ArchivedJob[],
 	value: number,
-): { leaves: Leaf[]; taken: number } | null => {
-	const held = unpack(leaf.packed)
-	const small = (l: Leaf) => l.packed.length + FRAME <= value
+): { leaves: ArchivePage[]; taken: number } | null => {
+	const held = unpackJobs(leaf.packed)
+	const small = (l: ArchivePage) => l.packed.length + FRAME <= value
 	for (let taken = incoming.length; taken > 0; taken >>= 1) {
-		const all = union(held, incoming.slice(0, taken))
+		const all = mergeArchivedJobs(held, incoming.slice(0, taken))
 		const whole = fill(leaf, all)
 		if (small(whole)) return { leaves: [whole], taken }
-		if (leaf.depth < deepest(level) && all.length > 1) {
+		if (leaf.depth < maxDepth(level) && all.length > 1) {
 			const halves = split(leaf, all)
 			if (halves.every(small)) return { leaves: halves, taken }
 		} else if (held.length > 0) return null
@@ -65,24 +75,24 @@
  * which the first covers the first state; `items`: in order. What lies behind the last leaf that was read is left for
  * the next step.
  */
-export const nextStep = (
+export const nextMergeStep = (
 	level: number,
-	leaves: readonly Leaf[],
-	items: readonly Past[],
-	room: Room,
-): Step => {
-	const sets: Leaf[] = []
+	leaves: readonly ArchivePage[],
+	items: readonly ArchivedJob[],
+	room: ArchiveWriteLimits,
+): MergeStep => {
+	const sets: ArchivePage[] = []
 	let taken = 0
 	let bytes = 0
 	for (const leaf of leaves) {
 		let to = taken
-		while (to < items.length && covers(leaf, items[to].at)) to++
+		while (to < items.length && covers(leaf, items[to].ordinal)) to++
 		if (to === taken) continue
-		const fitted = fit(level, leaf, items.slice(taken, to), room.value)
+		const fitted = fit(level, leaf, items.slice(taken, to), room.maxValueChars)
 		// What fits before it goes first; the full leaf is met again by the next step.
 		if (fitted === null) return { sets, taken, push: sets.length === 0 ? leaf : null }
 		const size = fitted.leaves.reduce((n, l) => n + l.packed.length + FRAME, 0)
-		const over = sets.length + fitted.leaves.length > room.ops || bytes + size > room.bytes
+		const over = sets.length + fitted.leaves.length > room.maxOperations || bytes + size > room.maxBytes
 		if (over && sets.length > 0) break
 		sets.push(...fitted.leaves)
 		bytes += size
--- a/packages/history/src/recall.ts
+++ b/packages/history/src/recall.ts
@@ -1,38 +1,45 @@
-import type { Failure, Pace, StoreClient } from '@heathroad/store'
-import { ROOT } from '@heathroad/store'
+import type { RequestPacer, StoreClient, StoreFailure } from '@heathroad/store'
+import { KEY_PREFIX } from '@heathroad/store'
 import { isMap } from '@heathroad/wire'
 import { Effect } from 'effect'
-import { covers, emptyLevel, type Leaf, lookup, type Past, readLeaf } from './leaf.js'
-import { leafKey, levelPrefix, ordinal } from './order.js'
+import {
+	type ArchivedJob,
+	type ArchivePage,
+	covers,
+	decodeArchivePage,
+	emptyLevel,
+	findInPacked,
+} from './leaf.js'
+import { archivePageKey, levelPrefix, ordinalOf } from './order.js'
 
 /** What is known of a job that no record in memory names. */
-export type Found =
-	| Past
+export type ArchiveLookup =
+	| ArchivedJob
 	/** proven: it was not archived when it was asked for */
 	| 'absent'
 	/** not to be had now */
 	| 'unsure'
 
 /** Where final states may lie that are not in memory. */
-export interface Places {
+export interface SearchScope {
 	/** jobs' own keys of the first form, not moved yet */
 	legacy: boolean
 	/** the levels of the archive */
 	levels: boolean
 }
 
-export interface RecallLimits {
+export interface ArchiveReaderLimits {
 	/** of all packed leaves kept, in characters */
-	cache: number
+	maxCacheChars: number
 	/** questions that may wait at a time */
-	waiting: number
+	maxPendingLookups: number
 	/** leaves that one request reads at most, where many questions wait */
-	run: number
+	maxPagesPerRead: number
 }
 
 interface Kept {
-	leaf: Leaf
-	/** epoch at which it was read */
+	leaf: ArchivePage
+	/** revision at which it was read */
 	readAt: number
 }
 
@@ -43,7 +50,7 @@
 	level: number
 	/** what it was read from must be as new as this */
 	since: number
-	done: (found: Found) => void
+	done: (found: ArchiveLookup) => void
 }
 
 /**
@@ -54,7 +61,7 @@
  * new as the last time that a state of their range left memory, which whoever follows the records sees (`left`); each
  * further one as new as the leaf above it, for what that leaf handed down is then in it.
  */
-export class Recall {
+export class ArchiveReader {
 	/** by level: leaves by the end of their range, in the order of last use */
 	private readonly kept = new Map<string, Kept>()
 	private size = 0
@@ -67,17 +74,17 @@
 	reads = 0
 
 	constructor(
-		private readonly client: Pick<StoreClient, 'page'>,
-		private readonly places: () => Places,
-		private readonly pace: Pace,
-		private readonly limits: RecallLimits,
+		private readonly client: Pick<StoreClient, 'list'>,
+		private readonly places: () => SearchScope,
+		private readonly pace: RequestPacer,
+		private readonly limits: ArchiveReaderLimits,
 		private readonly failed: (e: unknown) => void = () => {},
 	) {}
 
 	/** Its final state, if a leaf that is kept tells it. */
-	known(uid: string): Past | undefined {
+	cached(uid: string): ArchivedJob | undefined {
 		if (!this.places().levels) return undefined
-		const at = ordinal(uid)
+		const at = ordinalOf(uid)
 		for (let level = 1; ; level++) {
 			const kept = this.covering(level, at)
 			if (kept === undefined) return undefined
@@ -89,23 +96,23 @@
 	}
 
 	/** Do the leaves that are kept prove that it was not archived, without any read? */
-	proves(uid: string): boolean {
+	provesAbsent(uid: string): boolean {
 		const places = this.places()
 		if (places.legacy) return false
 		if (!places.levels) return true
-		const question: Question = { uid, at: ordinal(uid), level: 1, since: -1, done: () => {} }
+		const question: Question = { uid, at: ordinalOf(uid), level: 1, since: -1, done: () => {} }
 		return this.advance(question) === 'absent'
 	}
 
 	/** Its final state, wherever it lies; takes a read or more. */
-	find(uid: string): Effect.Effect<Found> {
-		return Effect.callback<Found>((resume) => {
+	lookUp(uid: string): Effect.Effect<ArchiveLookup> {
+		return Effect.callback<ArchiveLookup>((resume) => {
 			const places = this.places()
-			const done = (found: Found) => resume(Effect.succeed(found))
+			const done = (found: ArchiveLookup) => resume(Effect.succeed(found))
 			if (!places.legacy && !places.levels) return done('absent')
 			const question: Question = {
 				uid,
-				at: ordinal(uid),
+				at: ordinalOf(uid),
 				level: places.legacy ? 0 : 1,
 				since: -1,
 				done,
@@ -113,7 +120,7 @@
 			const now = question.level === 0 ? null : this.advance(question)
 			if (now !== null) return done(now)
 			// What would wait for longer than anybody does is said at once.
-			if (this.waiting.length >= this.limits.waiting) return done('unsure')
+			if (this.waiting.length >= this.limits.maxPendingLookups) return done('unsure')
 			this.waiting.push(question)
 			this.pump()
 			return Effect.sync(() => {
@@ -122,27 +129,27 @@
 		})
 	}
 
-	/** These left memory with the change of this epoch: leaves read earlier may lack them. */
-	left(uids: Iterable<string>, epoch: number): void {
-		this.leftUpTo = Math.max(this.leftUpTo, epoch)
+	/** These left memory with the change of this revision: leaves read earlier may lack them. */
+	onLeftMemory(uids: Iterable<string>, revision: number): void {
+		this.leftUpTo = Math.max(this.leftUpTo, revision)
 		for (const uid of uids) {
-			const kept = this.covering(1, ordinal(uid))
-			if (kept !== undefined && kept.readAt < epoch) this.drop(1, kept.leaf.to)
+			const kept = this.covering(1, ordinalOf(uid))
+			if (kept !== undefined && kept.readAt < revision) this.drop(1, kept.leaf.to)
 		}
 	}
 
 	/** Changes may have been missed. */
-	reset(epoch: number): void {
-		this.leftUpTo = Math.max(this.leftUpTo, epoch)
+	reset(revision: number): void {
+		this.leftUpTo = Math.max(this.leftUpTo, revision)
 		this.kept.clear()
 		this.ends.clear()
 		this.size = 0
 	}
 
 	/** What a kept leaf says of an id; a record that cannot be read says nothing, neither yes nor no. */
-	private look(kept: Kept, at: string): Past | 'unsure' | undefined {
+	private look(kept: Kept, at: string): ArchivedJob | 'unsure' | undefined {
 		try {
-			return lookup(kept.leaf.packed, at)
+			return findInPacked(kept.leaf.packed, at)
 		} catch (e) {
 			this.failed(e)
 			return 'unsure'
@@ -179,7 +186,7 @@
 		ends.splice(ends.indexOf(to), 1)
 	}
 
-	private keep(level: number, leaf: Leaf, readAt: number): void {
+	private keep(level: number, leaf: ArchivePage, readAt: number): void {
 		// What overlaps is older: a leaf that was split or took over its neighbour's place since.
 		const ends = this.ends.get(level) ?? []
 		this.ends.set(level, ends)
@@ -193,7 +200,7 @@
 		while (i > 0 && ends[i - 1] > leaf.to) i--
 		ends.splice(i, 0, leaf.to)
 		for (const [key, old] of this.kept) {
-			if (this.size <= this.limits.cache || old.leaf === leaf) break
+			if (this.size <= this.limits.maxCacheChars || old.leaf === leaf) break
 			this.drop(Number(key.split('/')[0]), old.leaf.to)
 		}
 	}
@@ -201,7 +208,7 @@
 	// ---- questions ----
 
 	/** Follows a question through what is kept; null: it needs a read at its level. */
-	private advance(q: Question): Found | null {
+	private advance(q: Question): ArchiveLookup | null {
 		for (;;) {
 			const kept = this.covering(q.level, q.at)
 			if (kept === undefined) return null
@@ -210,14 +217,14 @@
 			if (kept.readAt < q.since) return null
 			if (!kept.leaf.deeper) return 'absent'
 			q.level++
-			q.since = kept.leaf.stamp
+			q.since = kept.leaf.modRevision
 		}
 	}
 
 	private pump(): void {
 		if (this.reading || this.waiting.length === 0) return
 		this.reading = true
-		const turn = Effect.sleep(this.pace.take()).pipe(
+		const turn = Effect.sleep(this.pace.reserveDelayMs()).pipe(
 			Effect.andThen(
 				Effect.suspend(() => {
 					const [first] = this.waiting
@@ -236,21 +243,21 @@
 		Effect.runFork(turn)
 	}
 
-	private settle(q: Question, found: Found): void {
+	private settle(q: Question, found: ArchiveLookup): void {
 		this.waiting = this.waiting.filter((w) => w !== q)
 		q.done(found)
 	}
 
 	/** Too many requests is no outage: the questions stay and are read for in a later turn, while anybody waits. */
-	private unread(questions: readonly Question[], e: Failure): void {
-		if (e._tag === 'Refused' && e.status === 429) return
+	private unread(questions: readonly Question[], e: StoreFailure): void {
+		if (e._tag === 'RequestRejected' && e.status === 429) return
 		for (const q of questions) this.settle(q, 'unsure')
 	}
 
 	/** A job's own key of the first form. */
 	private readOwn(q: Question) {
-		const key = `${ROOT}job/${q.uid}`
-		return this.client.page(key, null, 1).pipe(
+		const key = `${KEY_PREFIX}job/${q.uid}`
+		return this.client.list(key, null, 1).pipe(
 			Effect.map(({ entries }) => {
 				const [entry] = entries
 				const data = entry?.key === key && isMap(entry.data) ? entry.data : null
@@ -258,7 +265,13 @@
 					const tasks = Number(data.tasks ?? 0)
 					const aborted = data.final === 'aborted'
 					const done = aborted ? Number(data.count ?? 0) : tasks
-					return this.settle(q, { at: q.at, aborted, tasks, done, epoch: entry.stamp })
+					return this.settle(q, {
+						ordinal: q.at,
+						aborted,
+						taskCount: tasks,
+						doneCount: done,
+						revision: entry.modRevision,
+					})
 				}
 				if (!this.places().levels) return this.settle(q, 'absent')
 				q.level = 1
@@ -272,15 +285,17 @@
 	private readLeaves(first: Question) {
 		const { level } = first
 		const alike = this.waiting.filter((q) => q.level === level)
-		const run = Math.max(1, Math.min(this.limits.run, alike.length))
-		return this.client.page(levelPrefix(level), leafKey(level, first.at), run).pipe(
-			Effect.map(({ entries, epoch }) => {
+		const run = Math.max(1, Math.min(this.limits.maxPagesPerRead, alike.length))
+		return this.client.list(levelPrefix(level), archivePageKey(level, first.at), run).pipe(
+			Effect.map(({ entries, revision }) => {
 				const leaves =
-					entries.length === 0 ? [emptyLevel()] : entries.map((e) => readLeaf(level, e.key, e.data, e.stamp))
+					entries.length === 0
+						? [emptyLevel()]
+						: entries.map((e) => decodeArchivePage(level, e.key, e.data, e.modRevision))
 				// A state that left memory behind this read may be missing in it: it answers who finds, and is read again.
-				const fresh = level > 1 || epoch >= this.leftUpTo
+				const fresh = level > 1 || revision >= this.leftUpTo
 				// The first one is kept last: where few are kept it must not make room for its neighbours.
-				if (fresh) for (const leaf of leaves.reverse()) this.keep(level, leaf, epoch)
+				if (fresh) for (const leaf of leaves.reverse()) this.keep(level, leaf, revision)
 				for (const q of alike) {
 					const now = this.advance(q)
 					if (now !== null) this.settle(q, now)
--- a/packages/inspect/src/check.ts
+++ b/packages/inspect/src/check.ts
@@ -1,30 +1,30 @@
 import {
-	asFleet,
-	asHistory,
-	asIntake,
-	asJob,
-	asPage,
-	asPart,
-	asReleased,
-	doneTasks,
-	type Ended,
-	FORM,
+	decodeAcceptedBatch,
+	decodeHistoryRecord,
+	decodeJobRecord,
+	decodeMachineGroup,
+	decodeReleasePage,
+	decodeShardOwner,
+	decodeTerminalPage,
+	RECORD_FORMAT,
+	type TerminalJob,
+	terminalDoneCount,
 } from '@heathroad/cluster'
 import {
+	ARCHIVE_PREFIX,
+	type ArchivedJob,
+	type ArchivePage,
 	covers,
-	deepest,
-	END,
-	type Leaf,
-	ordinal,
-	PAST_ROOT,
-	type Past,
-	pick,
-	readLeaf,
-	uidOf,
-	unpack,
+	decodeArchivePage,
+	findByOrdinal,
+	jobIdOf,
+	maxDepth,
+	ORDINAL_END,
+	ordinalOf,
+	unpackJobs,
 } from '@heathroad/history'
-import { ROOT } from '@heathroad/store'
-import type { LogEntry } from '@heathroad/wire'
+import { KEY_PREFIX } from '@heathroad/store'
+import type { KeyValue } from '@heathroad/wire'
 import type { IdSet } from './ids.js'
 
 /** Something that does not fit. */
@@ -48,9 +48,9 @@
 export class Checker {
 	readonly findings: Finding[] = []
 	/** leaves of the level above that handed nothing down, in order */
-	private shallow: Leaf[] = []
+	private shallow: ArchivePage[] = []
 	private level = 0
-	private levelShallow: Leaf[] = []
+	private levelShallow: ArchivePage[] = []
 	private end = ''
 	/** ids met a second time, and what was said of them: read again in a second walk */
 	readonly twice = new Map<string, Over[]>()
@@ -69,15 +69,15 @@
 		this.findings.push({ key, what })
 	}
 
-	entry({ key, data, stamp }: LogEntry): void {
+	entry({ key, data, modRevision }: KeyValue): void {
 		this.keys++
-		if (key.startsWith(PAST_ROOT)) return this.leaf(key, data, stamp)
-		if (!key.startsWith(ROOT)) return this.say(key, 'is none of ours')
+		if (key.startsWith(ARCHIVE_PREFIX)) return this.leaf(key, data, modRevision)
+		if (!key.startsWith(KEY_PREFIX)) return this.say(key, 'is none of ours')
 		if (this.level > 0) this.closeLevel()
-		const name = key.slice(ROOT.length)
+		const name = key.slice(KEY_PREFIX.length)
 		const [kind, id] = name.split('/')
 		if (kind === 'part' || kind === 'last') {
-			if (asPart(data) === null) this.say(key, 'does not parse')
+			if (decodeShardOwner(data) === null) this.say(key, 'does not parse')
 			else if (!(Number(id) < this.parts)) this.say(key, `there are ${this.parts} parts`)
 		} else if (kind === 'fleet') this.fleet(key, data)
 		else if (kind === 'intake') this.intake(key, data)
@@ -87,25 +87,26 @@
 			if (!Array.isArray(data)) this.say(key, 'does not parse')
 		} else if (kind === 'over') this.page(key, Number(id), data)
 		else if (kind === 'released') {
-			if (asReleased(data) === null) this.say(key, 'does not parse')
+			if (decodeReleasePage(data) === null) this.say(key, 'does not parse')
 			else if (!(Number(id) < this.parts)) this.say(key, `there are ${this.parts} parts`)
 		} else if (name === 'history') {
-			const record = asHistory(data)
+			const record = decodeHistoryRecord(data)
 			if (record === null) this.say(key, 'does not parse')
-			else if (record.form > FORM) this.say(key, `is of form ${record.form}; this program knows ${FORM}`)
+			else if (record.format > RECORD_FORMAT)
+				this.say(key, `is of form ${record.format}; this program knows ${RECORD_FORMAT}`)
 		} else if (name !== 'catalog' && name !== 'installation') this.say(key, 'is of no kind that is known')
 	}
 
-	private leaf(key: string, data: unknown, stamp: number): void {
-		const level = Number(key.slice(PAST_ROOT.length).split('/')[0])
+	private leaf(key: string, data: unknown, modRevision: number): void {
+		const level = Number(key.slice(ARCHIVE_PREFIX.length).split('/')[0])
 		if (level !== this.level) {
 			this.closeLevel()
 			this.level = level
 			this.end = ''
 		}
-		let leaf: Leaf
+		let leaf: ArchivePage
 		try {
-			leaf = readLeaf(level, key, data, stamp)
+			leaf = decodeArchivePage(level, key, data, modRevision)
 		} catch (e) {
 			return this.say(key, (e as Error).message)
 		}
@@ -115,30 +116,30 @@
 				leaf.from < this.end ? 'overlaps the record before it' : 'leaves a gap behind the record before it',
 			)
 		this.end = leaf.to
-		let items: Past[]
+		let items: ArchivedJob[]
 		try {
-			items = unpack(leaf.packed)
+			items = unpackJobs(leaf.packed)
 		} catch (e) {
 			return this.say(key, `cannot be unpacked (${(e as Error).message})`)
 		}
-		if (leaf.depth > deepest(level))
-			this.say(key, `was split ${leaf.depth} times, at most ${deepest(level)} on its level`)
+		if (leaf.depth > maxDepth(level))
+			this.say(key, `was split ${leaf.depth} times, at most ${maxDepth(level)} on its level`)
 		if (!leaf.deeper) this.levelShallow.push(leaf)
 		for (const p of items) {
-			if (!covers(leaf, p.at)) this.say(key, `holds ${uidOf(p.at)}, which is not of its range`)
-			if (this.shallow.some((l) => covers(l, p.at)))
+			if (!covers(leaf, p.ordinal)) this.say(key, `holds ${jobIdOf(p.ordinal)}, which is not of its range`)
+			if (this.shallow.some((l) => covers(l, p.ordinal)))
 				this.say(
 					key,
-					`holds ${uidOf(p.at)}, which nobody looks for here: the record above handed nothing down`,
+					`holds ${jobIdOf(p.ordinal)}, which nobody looks for here: the record above handed nothing down`,
 				)
-			if (!this.archived.add(uidOf(p.at)))
-				this.note(uidOf(p.at), { where: key, aborted: p.aborted, done: p.done })
+			if (!this.archived.add(jobIdOf(p.ordinal)))
+				this.note(jobIdOf(p.ordinal), { where: key, aborted: p.aborted, done: p.doneCount })
 		}
 	}
 
 	private closeLevel(): void {
-		if (this.level > 0 && this.end !== END)
-			this.say(`${PAST_ROOT}${this.level}/`, 'its last record is missing')
+		if (this.level > 0 && this.end !== ORDINAL_END)
+			this.say(`${ARCHIVE_PREFIX}${this.level}/`, 'its last record is missing')
 		this.shallow = this.levelShallow
 		this.levelShallow = []
 		this.level = 0
@@ -149,11 +150,11 @@
 	}
 
 	private fleet(key: string, data: unknown): void {
-		const fleet = asFleet(data)
+		const fleet = decodeMachineGroup(data)
 		if (fleet === null) return this.say(key, 'does not parse')
-		if (!(fleet.part >= 0 && fleet.part < this.parts))
-			this.say(key, `is of part ${fleet.part}; there are ${this.parts}`)
-		for (const id of Object.keys(fleet.hosts)) {
+		if (!(fleet.shardId >= 0 && fleet.shardId < this.parts))
+			this.say(key, `is of part ${fleet.shardId}; there are ${this.parts}`)
+		for (const id of Object.keys(fleet.addresses)) {
 			const other = this.machines.get(id)
 			if (other !== undefined) this.say(key, `holds machine ${id}, which ${other} holds too`)
 			this.machines.set(id, key)
@@ -161,37 +162,39 @@
 	}
 
 	private intake(key: string, data: unknown): void {
-		const jobs = asIntake(data)
+		const jobs = decodeAcceptedBatch(data)
 		if (jobs === null) return this.say(key, 'does not parse')
-		for (const { spec, part } of jobs) {
+		for (const { spec, shardId } of jobs) {
 			this.open.set(spec!.uid, key)
-			if (!(part < this.parts)) this.say(key, `${spec!.uid} is of part ${part}; there are ${this.parts}`)
+			if (!(shardId < this.parts))
+				this.say(key, `${spec!.uid} is of part ${shardId}; there are ${this.parts}`)
 		}
 	}
 
 	private own(key: string, uid: string, data: unknown): void {
-		const record = asJob(data)
+		const record = decodeJobRecord(data)
 		if (record === null) return this.say(key, 'does not parse')
-		if (record.final === undefined) {
+		if (record.finalState === undefined) {
 			if (record.spec === undefined) this.say(key, 'is of a job that is not over and has no description')
 			this.open.set(uid, key)
 			return
 		}
 		this.over.add(uid)
-		const done = doneTasks(record)
-		if (!this.archived.add(uid)) this.note(uid, { where: key, aborted: record.final === 'aborted', done })
+		const done = terminalDoneCount(record)
+		if (!this.archived.add(uid))
+			this.note(uid, { where: key, aborted: record.finalState === 'aborted', done })
 	}
 
-	private page(key: string, part: number, data: unknown): void {
-		const page = asPage(data)
-		if (page === null || page.batches.some((b) => b.jobs.some((j) => j.final === undefined)))
+	private page(key: string, shardId: number, data: unknown): void {
+		const page = decodeTerminalPage(data)
+		if (page === null || page.batches.some((b) => b.jobs.some((j) => j.finalState === undefined)))
 			return this.say(key, 'does not parse')
-		if (page.part !== part) this.say(key, `is of part ${page.part}`)
-		const jobs: Ended[] = page.batches.flatMap((b) => b.jobs)
+		if (page.shardId !== shardId) this.say(key, `is of part ${page.shardId}`)
+		const jobs: TerminalJob[] = page.batches.flatMap((b) => b.jobs)
 		for (const j of jobs) {
 			this.over.add(j.uid)
 			if (!this.archived.add(j.uid))
-				this.note(j.uid, { where: key, aborted: j.final === 'aborted', done: j.done })
+				this.note(j.uid, { where: key, aborted: j.finalState === 'aborted', done: j.doneCount })
 		}
 	}
 
@@ -199,7 +202,7 @@
 	finish(): void {
 		this.closeLevel()
 		for (const key of this.progress) {
-			const uid = key.slice(`${ROOT}done/`.length).split('/')[0]
+			const uid = key.slice(`${KEY_PREFIX}done/`.length).split('/')[0]
 			if (!this.open.has(uid)) this.say(key, 'is progress of a job that is over or unknown')
 		}
 		// Over on a page, its other records are cleared away in a while.
@@ -209,24 +212,24 @@
 	}
 
 	/** A leaf once more, in the second walk: what it says of ids that were met twice. */
-	again({ key, data, stamp }: LogEntry): void {
-		if (!key.startsWith(PAST_ROOT)) return
-		const level = Number(key.slice(PAST_ROOT.length).split('/')[0])
-		let leaf: Leaf
-		let items: Past[]
+	again({ key, data, modRevision }: KeyValue): void {
+		if (!key.startsWith(ARCHIVE_PREFIX)) return
+		const level = Number(key.slice(ARCHIVE_PREFIX.length).split('/')[0])
+		let leaf: ArchivePage
+		let items: ArchivedJob[]
 		try {
-			leaf = readLeaf(level, key, data, stamp)
-			items = unpack(leaf.packed)
+			leaf = decodeArchivePage(level, key, data, modRevision)
+			items = unpackJobs(leaf.packed)
 		} catch {
 			return
 		}
 		for (const [uid, all] of this.twice) {
-			const at = ordinal(uid)
-			const found = covers(leaf, at) ? pick(items, at) : undefined
+			const at = ordinalOf(uid)
+			const found = covers(leaf, at) ? findByOrdinal(items, at) : undefined
 			if (found === undefined) continue
 			for (const o of all) {
 				if (o.done === -1) this.say(o.where, `${uid} is open there, and over in ${key}`)
-				else if (o.where !== key && (o.aborted !== found.aborted || o.done !== found.done))
+				else if (o.where !== key && (o.aborted !== found.aborted || o.done !== found.doneCount))
 					this.say(o.where, `${uid} ended another way in ${key}`)
 			}
 		}
--- a/packages/inspect/src/cloud.ts
+++ b/packages/inspect/src/cloud.ts
@@ -1,4 +1,4 @@
-import { type Caller, isMap } from '@heathroad/wire'
+import { type HttpClient, isMap } from '@heathroad/wire'
 import { Effect } from 'effect'
 import type { Finding } from './check.js'
 import { Unreadable } from './walk.js'
@@ -13,7 +13,7 @@
 
 /** The cloud's list of machines, in pages, within a rate of calls. */
 export const listMachines = (
-	caller: Caller,
+	httpClient: HttpClient,
 	address: string,
 	perS: number,
 	timeoutMs: number,
@@ -24,8 +24,8 @@
 		for (let failures = 0; ; ) {
 			yield* Effect.sleep(1000 / perS)
 			const after: string = from === null ? '' : `&from=${from}`
-			const answer = yield* caller
-				.call(address, 'GET', `/hosts?page=500${after}`, undefined, timeoutMs)
+			const answer = yield* httpClient
+				.request(address, 'GET', `/hosts?page=500${after}`, undefined, timeoutMs)
 				.pipe(Effect.catch(() => Effect.succeed(null)))
 			const body = answer?.status === 200 && isMap(answer.body) ? answer.body : null
 			if (body === null || !Array.isArray(body.hosts)) {
--- a/packages/inspect/src/ids.ts
+++ b/packages/inspect/src/ids.ts
@@ -1,4 +1,4 @@
-import { ordinal } from '@heathroad/history'
+import { ordinalOf } from '@heathroad/history'
 import { RoaringBitmap32, roaringLibraryInitialize } from 'roaring-wasm'
 
 /** Low digits that one bitmap holds: all numbers of nine digits are below 2^32. */
@@ -20,7 +20,7 @@
 
 	/** False: it was in it already. */
 	add(uid: string): boolean {
-		const at = ordinal(uid)
+		const at = ordinalOf(uid)
 		const high = at.slice(0, -LOW)
 		// Shorter ids have their width and nothing more before the lowest digits.
 		const [key, low] = at.length - 2 >= LOW ? [high, at.slice(-LOW)] : [at.slice(0, 2), at.slice(2)]
--- a/packages/inspect/src/snapshot.ts
+++ b/packages/inspect/src/snapshot.ts
@@ -1,10 +1,16 @@
 import { createHash } from 'node:crypto'
 import { closeSync, createReadStream, openSync, renameSync, writeSync } from 'node:fs'
 import { createInterface } from 'node:readline'
-import { asPage, writePage } from '@heathroad/cluster'
-import { PAST_ROOT, pack, readLeaf, unpack, writeLeaf } from '@heathroad/history'
-import { ROOT, type StoreClient } from '@heathroad/store'
-import type { Change, Condition } from '@heathroad/wire'
+import { decodeTerminalPage, encodeTerminalPage } from '@heathroad/cluster'
+import {
+	ARCHIVE_PREFIX,
+	decodeArchivePage,
+	encodeArchivePage,
+	packJobs,
+	unpackJobs,
+} from '@heathroad/history'
+import { KEY_PREFIX, type StoreClient } from '@heathroad/store'
+import type { Condition, Mutation } from '@heathroad/wire'
 import { Effect } from 'effect'
 import { ALL, since, Unreadable, type WalkLimits, walk } from './walk.js'
 
@@ -22,14 +28,14 @@
 	| { late: string; data?: unknown; gone?: true }
 
 /**
- * Writes all keys, as of one epoch, to a file: a line for each, then those that changed while the others were read,
+ * Writes all keys, as of one revision, to a file: a line for each, then those that changed while the others were read,
  * then the number of lines and a checksum. The file has its name only once it is whole.
  */
 export const exportState = (
-	client: Pick<StoreClient, 'page' | 'watch'>,
+	client: Pick<StoreClient, 'list' | 'watch'>,
 	path: string,
 	limits: WalkLimits,
-): Effect.Effect<{ epoch: number; keys: number }, Unreadable> =>
+): Effect.Effect<{ revision: number; keys: number }, Unreadable> =>
 	Effect.gen(function* () {
 		const partial = `${path}.partial`
 		const file = openSync(partial, 'w')
@@ -54,10 +60,10 @@
 				put(data === undefined ? { late: key, gone: true } : { late: key, data })
 			writeSync(
 				file,
-				`${JSON.stringify({ end: true, epoch: news.epoch, lines, sha256: sum.digest('hex') })}\n`,
+				`${JSON.stringify({ end: true, epoch: news.revision, lines, sha256: sum.digest('hex') })}\n`,
 			)
 			renameSync(partial, path)
-			return { epoch: news.epoch, keys }
+			return { revision: news.revision, keys }
 		} finally {
 			closeSync(file)
 		}
@@ -65,7 +71,7 @@
 
 export interface Snapshot {
 	sha256: string
-	epoch: number
+	revision: number
 	/** what counts instead of the line of the same key; null: the key was gone */
 	late: Map<string, unknown>
 	path: string
@@ -117,10 +123,10 @@
 	if (end.lines !== lines) throw new BadSnapshot(`${path}: has ${lines} lines, not ${end.lines}`)
 	if (end.sha256 !== sha256)
 		throw new BadSnapshot(`${path}: its checksum does not fit: it was changed or damaged`)
-	return { sha256, epoch: Number(end.epoch), late, path }
+	return { sha256, revision: Number(end.epoch), late, path }
 }
 
-/** All keys of a snapshot as of its epoch. */
+/** All keys of a snapshot as of its revision. */
 export async function* entriesOf(snapshot: Snapshot): AsyncIterable<{ key: string; data: unknown }> {
 	const told = new Set<string>()
 	for await (const text of linesOf(snapshot.path)) {
@@ -137,20 +143,21 @@
 
 /**
  * A key as it goes into another state service. Epochs there begin anew: what became final before the import is given
- * the first epoch, so that it counts as older than everything that follows. Who owns what, and the installation's
- * name, which makes cursors of the old epochs invalid, stay behind.
+ * the first revision, so that it counts as older than everything that follows. Who owns what, and the installation's
+ * name, which makes cursors of the old revisions invalid, stay behind.
  */
 export const renewed = (key: string, data: unknown): unknown => {
-	if (key.startsWith(PAST_ROOT)) {
-		const level = Number(key.slice(PAST_ROOT.length).split('/')[0])
-		const leaf = readLeaf(level, key, data, 0)
-		const items = unpack(leaf.packed).map((p) => ({ ...p, epoch: 1 }))
-		return writeLeaf({ ...leaf, packed: pack(items) })
+	if (key.startsWith(ARCHIVE_PREFIX)) {
+		const level = Number(key.slice(ARCHIVE_PREFIX.length).split('/')[0])
+		const leaf = decodeArchivePage(level, key, data, 0)
+		const items = unpackJobs(leaf.packed).map((p) => ({ ...p, revision: 1 }))
+		return encodeArchivePage({ ...leaf, packed: packJobs(items) })
 	}
-	const name = key.slice(ROOT.length)
+	const name = key.slice(KEY_PREFIX.length)
 	if (/^(part|last)\/|^installation$/.test(name)) return undefined
-	const page = name.startsWith('over/') ? asPage(data) : null
-	if (page !== null) return writePage({ ...page, batches: page.batches.map((b) => ({ ...b, epoch: 1 })) })
+	const page = name.startsWith('over/') ? decodeTerminalPage(data) : null
+	if (page !== null)
+		return encodeTerminalPage({ ...page, batches: page.batches.map((b) => ({ ...b, revision: 1 })) })
 	return data
 }
 
@@ -166,12 +173,12 @@
  * same import goes on there. Throws `BadSnapshot`.
  */
 export const importState = async (
-	client: Pick<StoreClient, 'page' | 'txn'>,
+	client: Pick<StoreClient, 'list' | 'transact'>,
 	snapshot: Snapshot,
 	limits: ImportLimits,
 	progress: (keys: number) => void = () => {},
 ): Promise<{ keys: number }> => {
-	const { entries } = await Effect.runPromise(client.page(ALL, null, 2))
+	const { entries } = await Effect.runPromise(client.list(ALL, null, 2))
 	const mark = entries.find((e) => e.key === MARK)
 	const begun = mark?.data as { sha256: string; keys: number } | undefined
 	if (begun === undefined && entries.length > 0)
@@ -180,50 +187,50 @@
 		throw new BadSnapshot(
 			'the state holds the beginning of an import of another snapshot: nothing was written',
 		)
-	let stamp = mark?.stamp ?? 0
+	let modRevision = mark?.modRevision ?? 0
 	let keys = begun?.keys ?? 0
-	const write = async (changes: readonly Change[], conditions: readonly Condition[]): Promise<number> => {
-		await new Promise((done) => setTimeout(done, (changes.length / limits.changesPerS) * 1000))
+	const write = async (mutations: readonly Mutation[], conditions: readonly Condition[]): Promise<number> => {
+		await new Promise((done) => setTimeout(done, (mutations.length / limits.changesPerS) * 1000))
 		for (let tries = 1; ; tries++) {
 			const result = await Effect.runPromise(
-				client.txn(conditions, changes).pipe(Effect.catch((e) => Effect.succeed(e))),
+				client.transact(conditions, mutations).pipe(Effect.catch((e) => Effect.succeed(e))),
 			)
-			if ('ok' in result && result.ok) return result.epoch
+			if ('ok' in result && result.ok) return result.revision
 			if ('ok' in result)
 				throw new BadSnapshot(
-					`${result.failed.join(', ')} changed meanwhile: does something else write there?`,
+					`${result.failedKeys.join(', ')} changed meanwhile: does something else write there?`,
 				)
 			// Not answered, it may have been carried out: the next run finds out from the mark.
-			if (result._tag !== 'Refused' || tries >= limits.tries)
+			if (result._tag !== 'RequestRejected' || tries >= limits.tries)
 				throw new Unreadable(
 					`stopped behind ${keys} keys (${result._tag}); the same import goes on from there`,
 				)
 			await new Promise((done) => setTimeout(done, 500 * tries))
 		}
 	}
-	let changes: Change[] = []
+	let mutations: Mutation[] = []
 	let bytes = 0
 	let seen = 0
 	const flush = async () => {
-		if (changes.length === 0) return
+		if (mutations.length === 0) return
 		const data = { sha256: snapshot.sha256, keys: seen }
-		stamp = await write([...changes, { set: MARK, data }], [{ key: MARK, stamp }])
+		modRevision = await write([...mutations, { set: MARK, data }], [{ key: MARK, modRevision }])
 		keys = seen
 		progress(keys)
-		changes = []
+		mutations = []
 		bytes = 0
 	}
 	for await (const { key, data } of entriesOf(snapshot)) {
 		const value = renewed(key, data)
 		const size = value === undefined ? 0 : JSON.stringify(value).length + key.length + 20
-		if (changes.length + 2 > limits.ops || bytes + size > limits.bytes) await flush()
+		if (mutations.length + 2 > limits.ops || bytes + size > limits.bytes) await flush()
 		seen++
 		if (seen <= keys || value === undefined) continue
-		changes.push({ set: key, data: value })
+		mutations.push({ set: key, data: value })
 		bytes += size
 	}
 	await flush()
-	if (stamp > 0) await write([{ delete: MARK }], [{ key: MARK, stamp }])
+	if (modRevision > 0) await write([{ delete: MARK }], [{ key: MARK, modRevision }])
 	return { keys: seen }
 }
 
--- a/packages/inspect/src/walk.ts
+++ b/packages/inspect/src/walk.ts
@@ -1,5 +1,5 @@
-import { type Failure, type StoreClient, TooOld } from '@heathroad/store'
-import type { LogEntry } from '@heathroad/wire'
+import { RevisionCompacted, type StoreClient, type StoreFailure } from '@heathroad/store'
+import type { KeyValue } from '@heathroad/wire'
 import { Effect } from 'effect'
 
 /** All that the service keeps, the archive included, begins with this. */
@@ -18,7 +18,10 @@
 /** A request that goes on being refused or unanswered. */
 export class Unreadable extends Error {}
 
-const asked = <A>(effect: Effect.Effect<A, Failure>, limits: WalkLimits): Effect.Effect<A, Unreadable> => {
+const asked = <A>(
+	effect: Effect.Effect<A, StoreFailure>,
+	limits: WalkLimits,
+): Effect.Effect<A, Unreadable> => {
 	const gap = Effect.sleep(1000 / limits.perS)
 	const once = gap.pipe(Effect.andThen(effect))
 	const again = (left: number): Effect.Effect<A, Unreadable> =>
@@ -32,22 +35,22 @@
 	return again(limits.tries)
 }
 
-/** Tells every key in order, page by page; the epoch of the first page. */
+/** Tells every key in order, page by page; the revision of the first page. */
 export const walk = (
-	client: Pick<StoreClient, 'page'>,
+	client: Pick<StoreClient, 'list'>,
 	limits: WalkLimits,
-	tell: (entries: readonly LogEntry[]) => void,
+	tell: (entries: readonly KeyValue[]) => void,
 	under = ALL,
 ): Effect.Effect<number, Unreadable> =>
 	Effect.gen(function* () {
 		let from: string | null = null
 		let first = -1
 		for (;;) {
-			const page: { entries: LogEntry[]; more: boolean; epoch: number } = yield* asked(
-				client.page(under, from, PAGE),
+			const page: { entries: KeyValue[]; more: boolean; revision: number } = yield* asked(
+				client.list(under, from, PAGE),
 				limits,
 			)
-			if (first < 0) first = page.epoch
+			if (first < 0) first = page.revision
 			tell(page.entries)
 			if (!page.more || page.entries.length === 0) return first
 			from = page.entries[page.entries.length - 1].key
@@ -55,18 +58,18 @@
 	})
 
 /**
- * What changed since an epoch, to bring pages that were read one after the other to one common epoch. Fails if the
+ * What changed since an revision, to bring pages that were read one after the other to one common revision. Fails if the
  * service does not keep that much any more: the reading took too long for the rate of changes.
  */
 export const since = (
 	client: Pick<StoreClient, 'watch'>,
-	epoch: number,
+	revision: number,
 	limits: WalkLimits,
-): Effect.Effect<{ epoch: number; log: LogEntry[] }, Unreadable> =>
+): Effect.Effect<{ revision: number; log: KeyValue[] }, Unreadable> =>
 	asked(
 		client
-			.watch(epoch, 0, ALL)
-			.pipe(Effect.catch((e) => (e instanceof TooOld ? Effect.succeed(null) : Effect.fail(e)))),
+			.watch(revision, 0, ALL)
+			.pipe(Effect.catch((e) => (e instanceof RevisionCompacted ? Effect.succeed(null) : Effect.fail(e)))),
 		limits,
 	).pipe(
 		Effect.flatMap((news) =>
--- a/packages/lab/src/experiment.ts
+++ b/packages/lab/src/experiment.ts
@@ -3,7 +3,7 @@
 import { PLUGIN_KINDS } from './plugins.js'
 
 /** Something that happens to the lab's controllers or services. */
-export interface LabTrouble {
+export interface LabFault {
 	atS: number
 	kind: 'kill' | 'drain' | 'outage' | 'upgrade'
 	/** controllers, by number */
@@ -24,7 +24,7 @@
 	load: { jobsPerS: number; tasks: number; runS: number; oldPollsPerS: number }
 	/** stand-in plug-ins, each for a class of jobs of its own, and how long they may hold one */
 	plugins: { kinds: string[]; holdAtMostS: number }
-	troubles: LabTrouble[]
+	troubles: LabFault[]
 }
 
 export class BadExperiment extends Error {}
@@ -59,7 +59,7 @@
 		return value
 	}
 	const controllers = number('lab', 'controllers', 3)
-	const troubles = Object.entries(file.troubles ?? {}).map(([key, line]): LabTrouble => {
+	const troubles = Object.entries(file.troubles ?? {}).map(([key, line]): LabFault => {
 		const at = key.slice('at.'.length)
 		const [kind, ...rest] = String(line).split(' ')
 		const named = kind === 'kill' || kind === 'drain'
@@ -73,7 +73,7 @@
 			throw new BadExperiment(
 				`${path}: troubles.at.${at}: is not "kill 0,1 SECONDS", "drain 0 SECONDS", "outage SECONDS" or "upgrade SECONDS"`,
 			)
-		return { atS: Number(at), kind: kind as LabTrouble['kind'], who, forS }
+		return { atS: Number(at), kind: kind as LabFault['kind'], who, forS }
 	})
 	const kinds = String(file.plugins?.kinds ?? '')
 		.split(',')
--- a/packages/lab/src/past.ts
+++ b/packages/lab/src/past.ts
@@ -1,6 +1,14 @@
-import { END, type Leaf, leafKey, type Past, pack, uidOf, writeLeaf } from '@heathroad/history'
-import { ROOT } from '@heathroad/store'
-import { type StateStandIn, VirtualClock } from '@heathroad/testkit'
+import {
+	type ArchivedJob,
+	type ArchivePage,
+	archivePageKey,
+	encodeArchivePage,
+	jobIdOf,
+	ORDINAL_END,
+	packJobs,
+} from '@heathroad/history'
+import { KEY_PREFIX } from '@heathroad/store'
+import { type FakeStateStore, VirtualClock } from '@heathroad/testkit'
 
 /**
  * Ids as a fleet of users makes them: 6 to 20 digits, in order, each kind in its share. Made in order, so that ten
@@ -31,20 +39,26 @@
 	}
 }
 
-const made = (at: string, i: number): Past => {
+const made = (at: string, i: number): ArchivedJob => {
 	const aborted = i % 11 === 0
 	const tasks = 1 + ((i * 37) % 400)
-	return { at, aborted, tasks, done: aborted ? i % tasks : tasks, epoch: 1 + ((i * 7919) % 9_000_000) }
+	return {
+		ordinal: at,
+		aborted,
+		taskCount: tasks,
+		doneCount: aborted ? i % tasks : tasks,
+		revision: 1 + ((i * 7919) % 9_000_000),
+	}
 }
 
 /** Fills a state with finished jobs as the first form keeps them: each under a key of its own, for ever. */
-export const putFirstForm = (state: StateStandIn, n: number, parts: number, seed: number): void => {
+export const putFirstForm = (state: FakeStateStore, n: number, parts: number, seed: number): void => {
 	let i = 0
 	for (const at of madeIds(n, seed)) {
-		const { aborted, tasks, done } = made(at, i)
+		const { aborted, taskCount: tasks, doneCount: done } = made(at, i)
 		const need = { team: 'core', cpus: 1, gpus: 0, ramGb: 2 }
 		const final = aborted ? 'aborted' : 'done'
-		state.put(`${ROOT}job/${uidOf(at)}`, {
+		state.put(`${KEY_PREFIX}job/${jobIdOf(at)}`, {
 			part: i % parts,
 			final,
 			tasks,
@@ -60,20 +74,20 @@
  * that handed everything down. Returns every `sample`-th of them.
  */
 export const putArchive = (
-	state: StateStandIn,
+	state: FakeStateStore,
 	n: number,
 	value: number,
 	seed: number,
 	sample: number,
-): Past[] => {
-	state.put(`${ROOT}history`, { form: 2, turn: 1, legacy: false })
+): ArchivedJob[] => {
+	state.put(`${KEY_PREFIX}history`, { form: 2, turn: 1, legacy: false })
 	if (n === 0) return []
-	const kept: Past[] = []
-	const leaves: Leaf[] = []
-	let items: Past[] = []
+	const kept: ArchivedJob[] = []
+	const leaves: ArchivePage[] = []
+	let items: ArchivedJob[] = []
 	let from = ''
 	const close = (to: string) => {
-		leaves.push({ from, to, depth: 0, deeper: false, packed: pack(items), stamp: 0 })
+		leaves.push({ from, to, depth: 0, deeper: false, packed: packJobs(items), modRevision: 0 })
 		from = to
 		items = []
 	}
@@ -82,10 +96,10 @@
 		const p = made(at, i)
 		if (i++ % sample === 0) kept.push(p)
 		// Leaves that grew by halving are three quarters full on average.
-		if (items.length >= 500 && items.length % 50 === 0 && pack(items).length > value * 0.72) close(at)
+		if (items.length >= 500 && items.length % 50 === 0 && packJobs(items).length > value * 0.72) close(at)
 		items.push(p)
 	}
-	close(END)
+	close(ORDINAL_END)
 	// Every level holds 64 times as many leaves as the one above it.
 	let bottom = 1
 	while (leaves.length > 64 ** bottom) bottom++
@@ -93,10 +107,11 @@
 		const every = Math.ceil(leaves.length / 64 ** level)
 		for (let k = 0; k < leaves.length; k += every) {
 			const to = leaves[Math.min(k + every, leaves.length) - 1].to
-			const upper = { from: leaves[k].from, to, depth: level * 6, deeper: true, packed: '', stamp: 0 }
-			state.put(leafKey(level, to), writeLeaf(upper))
+			const upper = { from: leaves[k].from, to, depth: level * 6, deeper: true, packed: '', modRevision: 0 }
+			state.put(archivePageKey(level, to), encodeArchivePage(upper))
 		}
 	}
-	for (const leaf of leaves) state.put(leafKey(bottom, leaf.to), writeLeaf({ ...leaf, depth: bottom * 6 }))
+	for (const leaf of leaves)
+		state.put(archivePageKey(bottom, leaf.to), encodeArchivePage({ ...leaf, depth: bottom * 6 }))
 	return kept
 }
