--- a/packages/lab/src/run.ts
+++ b/packages/lab/src/run.ts
@@ -1,9 +1,16 @@
 import { mkdtempSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
-import { type Past, uidOf } from '@heathroad/history'
-import { CloudStandIn, RealClock, Rules, StateStandIn, sweep, WorkerStandIn } from '@heathroad/testkit'
-import { isMap, type JobSpec, makeCaller, writeSubmission } from '@heathroad/wire'
+import { type ArchivedJob, jobIdOf } from '@heathroad/history'
+import {
+	arrayJob,
+	FakeCloud,
+	FakeStateStore,
+	FakeWorker,
+	InvariantChecker,
+	RealClock,
+} from '@heathroad/testkit'
+import { createHttpClient, encodeSubmission, isMap, type JobSpec } from '@heathroad/wire'
 import { Effect } from 'effect'
 import { type Histogram, build as histogram } from 'hdr-histogram-js'
 import { type Build, makeControllers } from './controllers.js'
@@ -55,15 +62,21 @@
 	// Set anew when everything stands: making a long history takes seconds.
 	let began = performance.now()
 	const nowS = () => (performance.now() - began) / 1000
-	const rules = new Rules(() => performance.now() - began, TIMES.cancelS * 1000, new Map())
-	const state = new StateStandIn(clock, 10_000)
-	const old: Past[] = putArchive(state, e.history, 8192, e.seed, Math.max(1, Math.floor(e.history / 5000)))
+	const rules = new InvariantChecker(() => performance.now() - began, TIMES.cancelS * 1000, new Map())
+	const state = new FakeStateStore(clock, 10_000)
+	const old: ArchivedJob[] = putArchive(
+		state,
+		e.history,
+		8192,
+		e.seed,
+		Math.max(1, Math.floor(e.history / 5000)),
+	)
 	const stateFace = await serveState(state, e.state)
 	const specs = new Map<string, JobSpec>()
-	const byHost = new Map<string, WorkerStandIn>()
+	const byHost = new Map<string, FakeWorker>()
 	const hosts = new Map<string, string>()
 	const workerFace = await serveWorkers(byHost)
-	const caller = makeCaller(64)
+	const httpClient = createHttpClient(64)
 	const zero = (): Record<Kind, number> => ({ submit: 0, poll: 0, 'old poll': 0, report: 0 })
 	const latencies = Object.fromEntries(
 		KINDS.map((k) => [k, histogram({ highestTrackableValue: 60_000, numberOfSignificantValueDigits: 3 })]),
@@ -79,7 +92,7 @@
 		waitMs: number,
 	) => {
 		const sent = performance.now()
-		const answer = await Effect.runPromise(Effect.option(caller.call(to, method, path, body, waitMs)))
+		const answer = await Effect.runPromise(Effect.option(httpClient.request(to, method, path, body, waitMs)))
 		const got = answer._tag === 'Some' ? answer.value : null
 		if (got !== null && got.status < 500 && got.status !== 429) {
 			latencies[kind].recordValue(Math.max(1, Math.round(performance.now() - sent)))
@@ -89,7 +102,7 @@
 		return got
 	}
 	const controllers = await (async () => {
-		const cloud = new CloudStandIn(
+		const cloud = new FakeCloud(
 			clock,
 			LAB_TYPES,
 			new Map(['a', 'b'].flatMap((z) => [true, false].map((s) => [`box/${z}/${s}`, 50]))),
@@ -98,7 +111,7 @@
 				hosts.set(id, host)
 				byHost.set(
 					host,
-					new WorkerStandIn(
+					new FakeWorker(
 						{
 							clock,
 							rules,
@@ -164,7 +177,7 @@
 		for (;;) {
 			if (nowS() > e.forS) return
 			const known = rules.state(spec.uid)
-			const a = await call('submit', any(), 'POST', '/v2/runs', writeSubmission(spec), 5000)
+			const a = await call('submit', any(), 'POST', '/v2/runs', encodeSubmission(spec), 5000)
 			tell(a, known)
 			if (a?.status === 200 || a?.status === 201) break
 			await wait(1000)
@@ -188,11 +201,11 @@
 	const wrong: string[] = []
 	const askOld = async (i: number) => {
 		const p = old[i % old.length]
-		const a = await call('old poll', any(), 'GET', `/v2/runs/${uidOf(p.at)}`, undefined, 2000)
+		const a = await call('old poll', any(), 'GET', `/v2/runs/${jobIdOf(p.ordinal)}`, undefined, 2000)
 		if (a === null || a.status === 503) return
 		const status = isMap(a.body) ? a.body.status : null
 		if (a.status !== 200 || status !== (p.aborted ? 'aborted' : 'done'))
-			wrong.push(`${uidOf(p.at)}: ${a.status} ${status}`)
+			wrong.push(`${jobIdOf(p.ordinal)}: ${a.status} ${status}`)
 	}
 	const every = (perS: number, what: (i: number) => void) => {
 		if (perS <= 0) return
@@ -204,7 +217,7 @@
 	}
 	every(e.load.jobsPerS, (i) => {
 		void user(
-			sweep(`job-7${String(i * 7919 + 10 ** 9)}`, {
+			arrayJob(`job-7${String(i * 7919 + 10 ** 9)}`, {
 				tasks: e.load.tasks,
 				expectedS: e.load.runS,
 				spot: true,
@@ -254,7 +267,7 @@
 	clock.stop()
 	stateFace.close()
 	workerFace.close()
-	caller.close()
+	httpClient.close()
 	const unfinished = new Set(rules.unfinished())
 	const over = [...specs.keys()].filter((u) => !unfinished.has(u)).length
 	const again = e.troubles.map((t) => {
@@ -271,7 +284,7 @@
 		build,
 		seconds,
 		latencies,
-		broken: [...rules.broken, ...wrong.map((w) => `an old job is answered wrongly: ${w}`)],
+		broken: [...rules.violations, ...wrong.map((w) => `an old job is answered wrongly: ${w}`)],
 		jobs: { accepted, over },
 		classes,
 		ends: controllers.flatMap((c) => c.ends),
--- a/packages/lab/src/services.ts
+++ b/packages/lab/src/services.ts
@@ -1,11 +1,11 @@
 import * as http from 'node:http'
 import type { AddressInfo } from 'node:net'
 import {
-	Bucket,
-	type CloudStandIn,
-	type Response,
-	type StateStandIn,
-	type WorkerStandIn,
+	type FakeCloud,
+	type FakeResponse,
+	type FakeStateStore,
+	type FakeWorker,
+	TokenBucket,
 } from '@heathroad/testkit'
 import { decode, encode } from '@heathroad/wire'
 
@@ -29,13 +29,13 @@
 export const listenHere = async (
 	answer: (
 		request: { method: string; path: string; body: unknown; host: string },
-		reply: (r: Response) => void,
+		reply: (r: FakeResponse) => void,
 	) => void,
 	host = '127.0.0.1',
 ): Promise<{ port: number; close: () => void; bytes: () => number }> => {
 	let bytes = 0
 	const server = http.createServer((request, response) => {
-		const reply = ({ status, body }: Response) => {
+		const reply = ({ status, body }: FakeResponse) => {
 			const payload = encode(body ?? {})
 			bytes += payload.length
 			response.writeHead(status, { 'content-type': 'application/msgpack', 'content-length': payload.length })
@@ -56,9 +56,9 @@
 }
 
 /** The state service behind a socket, within its limits. */
-export const serveState = async (state: StateStandIn, limits: StateLimits | null) => {
-	const requests = limits === null ? null : new Bucket(limits.rps, () => performance.now())
-	const writes = limits === null ? null : new Bucket(limits.writeRps, () => performance.now())
+export const serveState = async (state: FakeStateStore, limits: StateLimits | null) => {
+	const requests = limits === null ? null : new TokenBucket(limits.rps, () => performance.now())
+	const writes = limits === null ? null : new TokenBucket(limits.writeRps, () => performance.now())
 	const seen = { requests: 0, refused: 0, changes: 0 }
 	const face = await listenHere(({ method, path, body }, reply) => {
 		seen.requests++
@@ -76,8 +76,8 @@
 	return { ...face, seen }
 }
 
-export const serveCloud = async (cloud: CloudStandIn, perS: number) => {
-	const calls = new Bucket(perS * 2, () => performance.now())
+export const serveCloud = async (cloud: FakeCloud, perS: number) => {
+	const calls = new TokenBucket(perS * 2, () => performance.now())
 	return listenHere(({ method, path, body }, reply) => {
 		if (!calls.take(1)) return reply({ status: 429, body: {} })
 		reply(cloud.handle(method, path, body))
@@ -85,7 +85,7 @@
 }
 
 /** Every worker of the lab behind one port; each has a loopback address of its own. */
-export const serveWorkers = (byHost: ReadonlyMap<string, WorkerStandIn>) =>
+export const serveWorkers = (byHost: ReadonlyMap<string, FakeWorker>) =>
 	listenHere(({ path, body, host }, reply) => {
 		const worker = byHost.get(host.replace(/^::ffff:/, ''))
 		if (worker === undefined || worker.dead) return
--- a/packages/lab/src/start.ts
+++ b/packages/lab/src/start.ts
@@ -1,8 +1,8 @@
 import { mkdtempSync, rmSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
-import { CloudStandIn, RealClock, StateStandIn } from '@heathroad/testkit'
-import { makeCaller } from '@heathroad/wire'
+import { FakeCloud, FakeStateStore, RealClock } from '@heathroad/testkit'
+import { createHttpClient } from '@heathroad/wire'
 import { Effect } from 'effect'
 import { type Build, makeControllers } from './controllers.js'
 import { putArchive, putFirstForm } from './past.js'
@@ -30,13 +30,13 @@
 ): Promise<StartFigures> => {
 	const dir = mkdtempSync(join(tmpdir(), 'heathroad-lab-'))
 	const clock = new RealClock(1)
-	const state = new StateStandIn(clock, 10_000)
+	const state = new FakeStateStore(clock, 10_000)
 	if (form === 1) putFirstForm(state, history, 1, 7)
 	else putArchive(state, history, 8192, 7, Number.POSITIVE_INFINITY)
 	const limits = { rps: 90, writeRps: 15, latencyMs: 5 }
 	const served = await serveState(state, limited ? limits : null)
 	const cloud = await serveCloud(
-		new CloudStandIn(
+		new FakeCloud(
 			clock,
 			LAB_TYPES,
 			new Map(),
@@ -52,14 +52,14 @@
 		limits,
 		workers: { reportS: 1, leaseS: 10, cancelS: 30 },
 	})
-	const caller = makeCaller(2)
+	const httpClient = createHttpClient(2)
 	const begun = performance.now()
 	controller.start()
 	let readyS: number | null = null
 	try {
 		while (readyS === null && controller.up && performance.now() - begun < mostS * 1000) {
 			const answer = await Effect.runPromise(
-				Effect.option(caller.call(controller.address, 'GET', '/healthz', undefined, 1000)),
+				Effect.option(httpClient.request(controller.address, 'GET', '/healthz', undefined, 1000)),
 			)
 			if (answer._tag === 'Some' && answer.value.status === 200) readyS = (performance.now() - begun) / 1000
 			else await new Promise((done) => setTimeout(done, 10))
@@ -75,7 +75,7 @@
 		}
 	} finally {
 		controller.kill()
-		caller.close()
+		httpClient.close()
 		served.close()
 		cloud.close()
 		clock.stop()
--- a/packages/metrics/src/index.ts
+++ b/packages/metrics/src/index.ts
@@ -21,7 +21,7 @@
 const PLUGIN = ['queued', 'asked', 'answered', 'unsure', 'upgrades', 'rollbacks'] as const
 
 /** A page for Prometheus at an address of its own; nothing is counted between two requests for it. */
-export const tellMetrics = async (
+export const serveMetrics = async (
 	listen: string,
 	from: Figures,
 ): Promise<{ close(): void; port: number }> => {
--- a/packages/plugins/src/host.ts
+++ b/packages/plugins/src/host.ts
@@ -1,5 +1,5 @@
 import type { PluginSettings, PluginsSettings } from '@heathroad/config'
-import type { Checks, Seen, Terms, Verdict } from '@heathroad/controller'
+import type { AdmissionChecks, CheckContext, CheckTerms, Verdict } from '@heathroad/controller'
 import { type Admission, API, type Facts, type Job, type Release } from '@heathroad/plugin-api'
 import type { Scan } from './directory.js'
 import type { Result } from './generation.js'
@@ -35,7 +35,7 @@
 const TURNS = 20
 
 /** The operators' plug-ins: what lies in their directory, in force as far as their sections say. */
-export class PluginHost implements Checks {
+export class PluginHost implements AdmissionChecks {
 	private readonly slots = new Map<string, Slot>()
 	private timer: ReturnType<typeof setTimeout> | null = null
 	private stopped = false
@@ -85,7 +85,7 @@
 			}
 		for (const [name, p] of Object.entries(plugins)) {
 			const terms = {
-				rights: { node: p.grant.includes('node'), memoryMb: p.memoryMb },
+				rights: { node: p.permissions.includes('node'), memoryMb: p.memoryMb },
 				classes: p.classes,
 				teams: p.teams,
 			}
@@ -105,7 +105,7 @@
 		for (const [name, slot] of this.slots) {
 			const plugin = found.find((f) => f.manifest.name === name)
 			if (plugin !== undefined) {
-				const lacks = plugin.manifest.needs?.find((n) => !this.settings.plugins[name].grant.includes(n))
+				const lacks = plugin.manifest.needs?.find((n) => !this.settings.plugins[name].permissions.includes(n))
 				if (lacks === undefined) slot.offer(plugin, again)
 				else lines.push(`${plugin.folder}: needs: ${lacks} is not granted by [plugin.${name}]`)
 				continue
@@ -152,7 +152,7 @@
 		return this.settings.plugins[name]
 	}
 
-	terms(name: string): Terms | null {
+	terms(name: string): CheckTerms | null {
 		const p = this.settled(name)
 		if (p === undefined) return null
 		const grouped = this.slots.get(name)?.grouped ?? false
@@ -199,7 +199,7 @@
 		}
 	}
 
-	private facts(slot: Slot, job: Job, seen: Seen): Facts {
+	private facts(slot: Slot, job: Job, seen: CheckContext): Facts {
 		return {
 			api: API,
 			...seen,
@@ -208,7 +208,7 @@
 		}
 	}
 
-	ask(name: string, job: Job, seen: Seen, done: (verdict: Verdict) => void): void {
+	ask(name: string, job: Job, seen: CheckContext, done: (verdict: Verdict) => void): void {
 		const slot = this.slots.get(name)
 		if (slot === undefined) return done({ kind: 'unsure', why: 'no section', againMs: 1000 })
 		const p = this.settled(name)
--- a/packages/policy/src/budget.ts
+++ b/packages/policy/src/budget.ts
@@ -1,5 +1,5 @@
 /** One way to run a task of a job: a machine type and kind, with how long it takes and what that costs. */
-export interface Option {
+export interface PricedOption {
 	key: string
 	seconds: number
 	cost: number
@@ -10,7 +10,7 @@
 	uid: string
 	parents: readonly string[]
 	tasks: number
-	options: readonly Option[]
+	options: readonly PricedOption[]
 }
 
 /** Level of each job: 0 without parents, else one above the deepest parent (paper, Eq. 7). */
@@ -101,7 +101,7 @@
 }
 
 /** The money of one pipeline: shares of unstarted tasks, re-split whenever a task finishes (Algorithm 3). */
-export class Ledger {
+export class BudgetLedger {
 	private shares: Map<string, number>
 	private readonly unstarted = new Map<string, number>()
 	private pool: number
--- a/packages/policy/src/packing.ts
+++ b/packages/policy/src/packing.ts
@@ -1,7 +1,7 @@
-import { fits, type Room } from './placement.js'
+import { fits, type Resources } from './placement.js'
 
 export interface PackedTask {
-	need: Room
+	need: Resources
 	/** run time that is left, by the estimate */
 	leftS: number
 	/** what moving it costs: saving, being told, fetching the image anew; null: it cannot save, or not now */
@@ -13,7 +13,7 @@
 	/** price an hour */
 	price: number
 	cpus: number
-	free: Room
+	free: Resources
 	tasks: readonly PackedTask[]
 }
 
@@ -46,7 +46,7 @@
 	for (const m of movable) {
 		if (goes.size >= most) break
 		if (stays.has(m) || busy(m) * 2 > m.cpus || busy(m) > room - m.free.cpus / 2) continue
-		const taken: { to: M; need: Room }[] = []
+		const taken: { to: M; need: Resources }[] = []
 		for (const task of m.tasks) {
 			const to = receivers.find((r) => {
 				if (r === m || goes.has(r) || !fits(task.need, free.get(r)!) || !may(m, task, r)) return false
--- a/packages/policy/src/parting.ts
+++ b/packages/policy/src/parting.ts
@@ -1,15 +1,15 @@
 /** What is known of a part when a job is to be given to one. */
-export interface PartRoom {
+export interface ShardLoad {
 	/** CPUs of the machines on its records */
 	cpus: number
 	/** CPU seconds of the work that goes before the job, with the job itself */
 	work: number
 	/** most of its machines are out of its owner's reach */
-	stranded: boolean
+	partitioned: boolean
 }
 
-const room = (p: PartRoom, least: number, largest: number): number =>
-	p.stranded ? Math.max(1, largest) : Math.max(least, p.cpus)
+const room = (p: ShardLoad, least: number, largest: number): number =>
+	p.partitioned ? Math.max(1, largest) : Math.max(least, p.cpus)
 
 /**
  * The roomiest part: the least work for the CPUs it has. A part counts as having one machine of the largest type at
@@ -19,16 +19,16 @@
  * part rents beside them may be out of reach as well: such a part counts as having one machine (incident 17). Ties go to
  * `first`.
  */
-export const roomiest = (
-	parts: readonly PartRoom[],
+export const leastLoadedShard = (
+	parts: readonly ShardLoad[],
 	largest: number,
 	grows: boolean,
 	first: number,
 ): number => {
-	const all = parts.reduce((n, p) => n + (p.stranded ? 0 : p.cpus), 0)
-	const reached = parts.filter((p) => !p.stranded).length
+	const all = parts.reduce((n, p) => n + (p.partitioned ? 0 : p.cpus), 0)
+	const reached = parts.filter((p) => !p.partitioned).length
 	const least = Math.max(1, largest, grows && reached > 0 ? all / reached : 0)
-	const wait = (p: PartRoom) => p.work / room(p, least, largest)
+	const wait = (p: ShardLoad) => p.work / room(p, least, largest)
 	let best = first
 	for (const [k, p] of parts.entries()) if (wait(p) < wait(parts[best])) best = k
 	return best
@@ -42,7 +42,9 @@
  * nothing of it runs there until they are back, which nobody knows the time of. Otherwise only for much less of a wait,
  * since a move costs a change of the state, and parts that are nearly alike would hand jobs to and fro.
  */
-export const worthMoving = (from: PartRoom, to: PartRoom, largest: number): boolean => {
-	if (to.stranded) return false
-	return from.stranded || to.work / room(to, 1, largest) < (from.work / room(from, 1, largest)) * MOVE_WAITS
+export const worthMigrating = (from: ShardLoad, to: ShardLoad, largest: number): boolean => {
+	if (to.partitioned) return false
+	return (
+		from.partitioned || to.work / room(to, 1, largest) < (from.work / room(from, 1, largest)) * MOVE_WAITS
+	)
 }
--- a/packages/policy/src/placement.ts
+++ b/packages/policy/src/placement.ts
@@ -1,7 +1,7 @@
 import type { JobSpec, MachineType, Priority } from '@heathroad/wire'
 import { PRIORITIES } from '@heathroad/wire'
 
-export interface Room {
+export interface Resources {
 	cpus: number
 	gpus: number
 	ramGb: number
@@ -9,11 +9,11 @@
 
 const EPS = 1e-9
 
-export const fits = (spec: Room, room: Room): boolean =>
+export const fits = (spec: Resources, room: Resources): boolean =>
 	spec.cpus <= room.cpus + EPS && spec.gpus <= room.gpus + EPS && spec.ramGb <= room.ramGb + EPS
 
 /** How many tasks fit side by side. */
-export const howMany = (spec: Room, room: Room): number => {
+export const tasksThatFit = (spec: Resources, room: Resources): number => {
 	const of = (need: number, have: number) =>
 		need > 0 ? Math.floor((have + EPS) / need) : Number.POSITIVE_INFINITY
 	const n = Math.min(of(spec.cpus, room.cpus), of(spec.gpus, room.gpus), of(spec.ramGb, room.ramGb))
@@ -21,7 +21,7 @@
 }
 
 /** The part of a machine that a task takes, by its scarcest resource. */
-export const fraction = (spec: Room, type: Room): number =>
+export const machineFraction = (spec: Resources, type: Resources): number =>
 	Math.min(
 		1,
 		Math.max(
@@ -31,10 +31,13 @@
 		),
 	)
 
-export const rank = (p: Priority): number => PRIORITIES.indexOf(p)
+export const priorityRank = (p: Priority): number => PRIORITIES.indexOf(p)
 
 /** May a task of this job be on such a machine, leaving the job's other tasks aside? */
-export const allowed = (spec: JobSpec, m: { type: { name: string }; zone: string; spot: boolean }): boolean =>
+export const isAllowedOn = (
+	spec: JobSpec,
+	m: { type: { name: string }; zone: string; spot: boolean },
+): boolean =>
 	(spec.types === null || spec.types.includes(m.type.name)) &&
 	(spec.zone === null || spec.zone === m.zone) &&
 	(spec.spot || !m.spot)
@@ -43,7 +46,7 @@
  * May one more task go to `zone`, given how many of the job's tasks are (or may be) in each zone?
  * `apart` counts against the job's size: at most half of its tasks, rounded up, in one zone.
  */
-export const zoneAllowed = (spec: JobSpec, zone: string, inZone: ReadonlyMap<string, number>): boolean => {
+export const isZoneAllowed = (spec: JobSpec, zone: string, inZone: ReadonlyMap<string, number>): boolean => {
 	if (spec.samePlace) for (const [z, n] of inZone) if (n > 0 && z !== zone) return false
 	if (spec.apart && (inZone.get(zone) ?? 0) + 1 > Math.ceil(spec.tasks / 2)) return false
 	return true
@@ -70,7 +73,7 @@
 export const withinLimit = (
 	team: TeamLimit,
 	used: { cpus: number; gpus: number },
-	spec: Room,
+	spec: Resources,
 	tasks = 1,
 ): boolean =>
 	(team.cpus_max <= 0 || used.cpus + spec.cpus * tasks <= team.cpus_max + EPS) &&
@@ -97,7 +100,7 @@
  * the share: the fastest among those holding a parent's output, then among those holding the image, then the
  * others. None is within the share: the cheapest machine, unless one that the share covers could be rented.
  */
-export const inOrder = <C extends Candidate>(
+export const rankCandidates = <C extends Candidate>(
 	candidates: readonly C[],
 	share: number,
 	affordable: () => boolean,
@@ -126,16 +129,18 @@
  * its guarantee, another team's work beyond that team's own guarantee. The least lost work goes first.
  */
 export const chooseVictims = <V extends Victim>(
-	need: Room & { priority: Priority; team: string },
-	free: Room,
+	need: Resources & { priority: Priority; team: string },
+	free: Resources,
 	running: readonly V[],
 	entitled: boolean,
 	beyond: (team: string) => boolean,
 ): V[] | null => {
 	const may = running.filter(
-		(v) => rank(v.priority) < rank(need.priority) || (entitled && v.team !== need.team && beyond(v.team)),
+		(v) =>
+			priorityRank(v.priority) < priorityRank(need.priority) ||
+			(entitled && v.team !== need.team && beyond(v.team)),
 	)
-	may.sort((a, b) => rank(a.priority) - rank(b.priority) || a.lostS - b.lostS)
+	may.sort((a, b) => priorityRank(a.priority) - priorityRank(b.priority) || a.lostS - b.lostS)
 	const room = { cpus: free.cpus, gpus: free.gpus, ramGb: free.ramGb }
 	const out: V[] = []
 	for (const v of may) {
@@ -172,13 +177,15 @@
 }
 
 /** The rank of a lifted job: directly below urgent ones. */
-export const LIFTED = rank('urgent') - 0.5
+export const URGENCY_CUTOFF_RANK = priorityRank('urgent') - 0.5
 
 /**
  * The rank by which ready tasks are ordered: the job's priority, but halfway to a bound that can still be met
  * a job of lower priority goes directly below urgent ones. Without this, low work starves on a full fleet.
  */
 export const orderRank = (priority: Priority, ageS: number, bounds: readonly number[]): number => {
-	const own = rank(priority)
-	return own < LIFTED && bounds.some((b) => ageS >= b * 0.5 && ageS < b) ? LIFTED : own
+	const own = priorityRank(priority)
+	return own < URGENCY_CUTOFF_RANK && bounds.some((b) => ageS >= b * 0.5 && ageS < b)
+		? URGENCY_CUTOFF_RANK
+		: own
 }
--- a/packages/policy/src/ranges.ts
+++ b/packages/policy/src/ranges.ts
@@ -1,5 +1,5 @@
 /** A set of task numbers kept as sorted half-open ranges: an untouched array of 100,000 tasks is one pair. */
-export class Ranges {
+export class RangeSet {
 	/** [from, to) pairs, flat, sorted, never touching */
 	private flat: number[]
 	size: number
@@ -10,8 +10,8 @@
 		for (let i = 0; i + 1 < flat.length; i += 2) this.addRange(flat[i], flat[i + 1])
 	}
 
-	static full(count: number): Ranges {
-		return new Ranges([0, count])
+	static full(count: number): RangeSet {
+		return new RangeSet([0, count])
 	}
 
 	/** Index of the first range that ends after `n`. */
@@ -81,15 +81,15 @@
 		return out
 	}
 
-	copy(): Ranges {
-		return new Ranges(this.flat)
+	copy(): RangeSet {
+		return new RangeSet(this.flat)
 	}
 
-	addAll(other: Ranges): void {
+	addAll(other: RangeSet): void {
 		for (let i = 0; i < other.flat.length; i += 2) this.addRange(other.flat[i], other.flat[i + 1])
 	}
 
-	deleteAll(other: Ranges): void {
+	deleteAll(other: RangeSet): void {
 		for (let i = 0; i < other.flat.length; i += 2)
 			for (let n = other.flat[i]; n < other.flat[i + 1]; n++) this.delete(n)
 	}
--- a/packages/policy/src/rebuilding.ts
+++ b/packages/policy/src/rebuilding.ts
@@ -11,7 +11,7 @@
  * grows with how many are missing, up to `mostMs` for a quarter of them. With one dead machine among two hundred, as
  * there is nearly always at these sizes, every takeover cost the whole time.
  */
-export const rebuildPatienceMs = (missing: number, machines: number, mostMs: number): number | null => {
+export const reconcilePatienceMs = (missing: number, machines: number, mostMs: number): number | null => {
 	if (missing > machines * MOST_MISSING) return null
 	const share = missing / Math.max(1, machines) / MOST_MISSING
 	return mostMs * Math.max(LEAST_PATIENCE, share)
--- a/packages/policy/src/renting.ts
+++ b/packages/policy/src/renting.ts
@@ -1,8 +1,8 @@
 import type { JobSpec, MachineType } from '@heathroad/wire'
-import { fits, howMany } from './placement.js'
+import { fits, tasksThatFit } from './placement.js'
 
 /** Something that can be rented: a type in a zone, ordinary or spot. */
-export interface Offer {
+export interface InstanceOffer {
 	type: MachineType
 	zone: string
 	spot: boolean
@@ -12,7 +12,7 @@
 	`${o.type.name}/${o.zone}/${o.spot ? 'spot' : 'ordinary'}`
 
 /** Everything that could be rented; each type's zones begin with the one of this number. */
-export const allOffers = (types: readonly MachineType[], firstZone = 0): Offer[] =>
+export const allOffers = (types: readonly MachineType[], firstZone = 0): InstanceOffer[] =>
 	types.flatMap((type) =>
 		type.zones.flatMap((_, i) => {
 			const zone = type.zones[(i + firstZone) % type.zones.length]
@@ -20,7 +20,7 @@
 		}),
 	)
 
-export const hourly = (o: { type: MachineType; spot: boolean }): number =>
+export const hourlyPrice = (o: { type: MachineType; spot: boolean }): number =>
 	o.spot ? o.type.spotPrice : o.type.price
 
 /** Time of a task from the rental request to its end, and its slice of the machine's price for that time. */
@@ -33,8 +33,8 @@
 ): { seconds: number; cost: number } => {
 	const fetchS = hasImage ? 0 : spec.imageGb / Math.max(0.01, o.type.fetchGbPerS)
 	const seconds = (booted ? 0 : o.type.bootS) + fetchS + runS
-	const slots = Math.max(1, howMany(spec, o.type))
-	return { seconds, cost: (seconds * hourly(o)) / 3600 / slots }
+	const slots = Math.max(1, tasksThatFit(spec, o.type))
+	return { seconds, cost: (seconds * hourlyPrice(o)) / 3600 / slots }
 }
 
 /**
@@ -42,7 +42,12 @@
  * since a slot serves several short tasks in the time that renting takes. A bound by which the job's tasks have to
  * start (`bounds`, as ages of the job) asks for more where a slot could not serve so many of them in time.
  */
-export const rentWeight = (runS: number, bootS: number, ageS = 0, bounds: readonly number[] = []): number => {
+export const scaleOutWeight = (
+	runS: number,
+	bootS: number,
+	ageS = 0,
+	bounds: readonly number[] = [],
+): number => {
 	const run = Math.max(0.1, runS)
 	const plain = run / (run + bootS)
 	const left = Math.min(...bounds.filter((b) => b >= ageS + bootS)) - ageS - bootS
@@ -54,11 +59,11 @@
 	spec: JobSpec,
 	runS: number,
 	share: number,
-	offers: readonly Offer[],
-): Offer | undefined => {
+	offers: readonly InstanceOffer[],
+): InstanceOffer | undefined => {
 	const rated = offers
-		.filter((o) => fits(spec, o.type))
-		.map((o) => ({ o, ...offerCost(spec, runS, o, false, false) }))
+		.filter((offer) => fits(spec, offer.type))
+		.map((offer) => ({ o: offer, ...offerCost(spec, runS, offer, false, false) }))
 	if (rated.length === 0) return undefined
 	const within = rated.filter((r) => r.cost <= share * (1 + 1e-6))
 	const cheapest = (list: typeof rated) => list.reduce((a, b) => (b.cost < a.cost ? b : a))
--- a/packages/proto/src/convert.ts
+++ b/packages/proto/src/convert.ts
@@ -1,5 +1,5 @@
 import type { JobKind, JobSpec, JobStatus, Priority } from '@heathroad/wire'
-import { writeSubmission } from '@heathroad/wire'
+import { encodeSubmission } from '@heathroad/wire'
 import type { Job__Output } from './generated/heathroad/v1/Job.js'
 import type { SubmitRequest, SubmitRequest__Output } from './generated/heathroad/v1/SubmitRequest.js'
 
@@ -61,7 +61,7 @@
 
 /** A submission as the protocol over HTTP has it: it is read, checked and refused there, by the same code. */
 export const toWire = (m: SubmitRequest__Output): Record<string, unknown> =>
-	writeSubmission({
+	encodeSubmission({
 		uid: m.uid,
 		jobClass: m.job_class,
 		team: m.team,
--- a/packages/server/src/archiving.ts
+++ b/packages/server/src/archiving.ts
@@ -1,22 +1,22 @@
 /** A page that nothing is added to any more. */
-export interface ClosedPage<J extends { uid: string; epoch: number }> {
+export interface ClosedPage<J extends { uid: string; revision: number }> {
 	key: string
-	stamp: number
+	modRevision: number
 	jobs: readonly J[]
 }
 
 /**
- * May a new turn begin? `waiting`: epochs of the final states on our closed pages. A turn makes writes under way fail
+ * May a new turn begin? `waiting`: revisions of the final states on our closed pages. A turn makes writes under way fail
  * that accept jobs or tell of progress, once, so it begins only for enough states at a time, and not again within
  * `leastMs`.
  */
-export const mayTurn = (
+export const mayAdvanceArchivalEpoch = (
 	waiting: readonly number[],
 	turn: number,
 	sinceMs: number,
 	leastMs: number,
 	batch: number,
-): boolean => sinceMs >= leastMs && waiting.filter((epoch) => epoch >= turn).length >= batch
+): boolean => sinceMs >= leastMs && waiting.filter((revision) => revision >= turn).length >= batch
 
 /**
  * Pages that may leave memory, oldest first, if they are worth a move: all their states are older than the latest turn,
@@ -24,14 +24,15 @@
  * the job would be open again once its page is gone; and no attempt of theirs is on a machine, whose team's limit it
  * would count for. A page that may not does not hold up the next.
  */
-export const leavable = <P extends ClosedPage<{ uid: string; epoch: number }>>(
+export const archivablePages = <P extends ClosedPage<{ uid: string; revision: number }>>(
 	pages: readonly P[],
 	turn: number,
 	named: ReadonlySet<string>,
 	held: ReadonlySet<string>,
 	batch: number,
 ): P[] => {
-	const free = (j: { uid: string; epoch: number }) => j.epoch < turn && !named.has(j.uid) && !held.has(j.uid)
+	const free = (j: { uid: string; revision: number }) =>
+		j.revision < turn && !named.has(j.uid) && !held.has(j.uid)
 	const ready: P[] = []
 	let jobs = 0
 	for (const page of pages) {
--- a/packages/server/src/core.ts
+++ b/packages/server/src/core.ts
@@ -1,75 +1,75 @@
-import type { Cancellations, Fleets, JobBook, JobRecord, Membership } from '@heathroad/cluster'
+import type { CancellationLog, JobRecord, JobRegistry, MachineGroups, Membership } from '@heathroad/cluster'
 import type { Config } from '@heathroad/config'
-import type { CapacityBook, Checks, Part } from '@heathroad/controller'
-import type { Found, Past } from '@heathroad/history'
-import type { Mirror, Writer } from '@heathroad/store'
+import type { AdmissionChecks, OfferAvailability, Shard } from '@heathroad/controller'
+import type { ArchivedJob, ArchiveLookup } from '@heathroad/history'
+import type { WatchCache, WriteQueue } from '@heathroad/store'
 import type { MachineType } from '@heathroad/wire'
 import type { Effect } from 'effect'
-import type { Parting } from './parting.js'
+import type { ShardRouter } from './parting.js'
 
 /** What takes longer is given up: users wait 2 s for an answer to a question (protocol). */
-export const ANSWER_MS = 1700
+export const USER_ANSWER_TIMEOUT_MS = 1700
 
 export type LogLevel = 'error' | 'info' | 'debug'
 export type Log = (level: LogLevel, event: string, fields?: Record<string, unknown>) => void
 
 /** Jobs that are over and in memory no longer. */
-export interface Archive {
+export interface TerminalStateArchive {
 	/** A final state that takes no read; the id must be of the right form. */
-	known(uid: string): Past | undefined
+	cached(uid: string): ArchivedJob | undefined
 	/** A final state where no record in memory names the job. */
-	find(uid: string): Effect.Effect<Found>
+	lookUp(uid: string): Effect.Effect<ArchiveLookup>
 	/** Needs an acceptance no proof that its job was not archived, or is there one without a read? */
-	proves(uid: string): boolean
-	/** epoch of the latest turn; 0: nothing is archived */
-	turn(): number
+	provesAbsent(uid: string): boolean
+	/** revision of the latest turn; 0: nothing is archived */
+	archivalEpoch(): number
 }
 
 /** What the faces of one controller use of it. */
-export interface Core {
+export interface ControllerContext {
 	readonly config: Config
 	readonly log: Log
 	readonly now: () => number
-	readonly mirror: Mirror
-	readonly writer: Writer
-	readonly members: Membership
-	readonly jobs: JobBook
+	readonly cache: WatchCache
+	readonly writeQueue: WriteQueue
+	readonly membership: Membership
+	readonly jobs: JobRegistry
 	/** what the records tell of cancellations */
-	readonly cancellations: Cancellations
-	readonly fleets: Fleets
-	readonly capacity: CapacityBook
-	readonly history: Archive
-	readonly parting: Parting
+	readonly cancellations: CancellationLog
+	readonly machineGroups: MachineGroups
+	readonly offerAvailability: OfferAvailability
+	readonly archive: TerminalStateArchive
+	readonly shardRouter: ShardRouter
 	/** the operators' own checks; none unless settings ask for them */
-	readonly checks: Checks
-	catalog(): readonly MachineType[]
+	readonly checks: AdmissionChecks
+	machineTypes(): readonly MachineType[]
 	/** the parts that this controller owns */
-	part(k: number): Part | undefined
-	ownerName(k: number): string | undefined
+	shard(shardId: number): Shard | undefined
+	ownerName(shardId: number): string | undefined
 	/** jobs that fail wherever they are tried */
-	suspects(): Set<string>
+	quarantinedJobs(): Set<string>
 	/** parts most of whose machines are out of their owners' reach */
-	stranded(): Set<number>
+	partitionedShards(): Set<number>
 	/** do checks still hold the job back, so that it weighs nothing? */
-	heldBack(uid: string, record: JobRecord): boolean
+	isPendingRelease(uid: string, record: JobRecord): boolean
 	/** does this controller still take new jobs? not while it hands its parts over */
-	readonly takesJobs: boolean
+	readonly acceptsJobs: boolean
 	/** has the state answered lately? */
-	stateOk(): boolean
+	isStoreReachable(): boolean
 	/** True once everything durable before the call is in the mirror; false if that takes too long. */
-	fresh(): Effect.Effect<boolean>
-	/** Calls back once the mirror holds everything up to an epoch; false: not within the time that users wait. */
-	whenSeen(epoch: number, done: (ok: boolean) => void): void
+	linearizableRead(): Effect.Effect<boolean>
+	/** Calls back once the mirror holds everything up to an revision; false: not within the time that users wait. */
+	waitForRevision(revision: number, done: (ok: boolean) => void): void
 	/** Brings the mirror up to date, then calls back; without an answer after a pause. */
-	refresh(done: () => void): void
+	refreshCache(done: () => void): void
 }
 
 /** Told of what changes in the records, in the order in which it becomes known here. */
-export interface Watcher {
+export interface RecordObserver {
 	/** a job's records, those of its progress included */
-	jobChanged(uid: string): void
+	onJobChanged(uid: string): void
 	/** a part has another owner, or none */
-	partChanged(part: number): void
-	/** every change up to a later epoch is known */
-	advanced(): void
+	onShardChanged(shardId: number): void
+	/** every change up to a later revision is known */
+	onRevisionAdvanced(): void
 }
--- a/packages/server/src/history.ts
+++ b/packages/server/src/history.ts
@@ -1,44 +1,51 @@
 import {
-	asHistory,
-	asIntake,
-	asJob,
-	doneTasks,
-	type Ended,
-	ended,
-	FORM,
-	HISTORY,
-	leave,
-	migration,
-	nextTurn,
-	ownRecord,
-	partKey,
+	advanceArchivalEpoch,
+	decodeAcceptedBatch,
+	decodeHistoryRecord,
+	decodeJobRecord,
+	deletePages,
+	HISTORY_KEY,
+	type HistoryRecord,
+	migrateTerminalRecords,
+	putJobRecord,
+	RECORD_FORMAT,
+	shardKey,
+	type TerminalJob,
+	terminalDoneCount,
+	toTerminalJob,
 } from '@heathroad/cluster'
-import { historyDefaults, pageRoom, valueRoom } from '@heathroad/config'
-import { type Found, Mover, ordinal, type Past, Recall } from '@heathroad/history'
-import { type Content, ROOT, type StoreClient, Urgency, type WriteResult } from '@heathroad/store'
+import { defaultHistorySettings, maxValueChars, terminalPageLimits } from '@heathroad/config'
+import { type ArchivedJob, type ArchiveLookup, ArchiveReader, Archiver, ordinalOf } from '@heathroad/history'
+import {
+	KEY_PREFIX,
+	type StoreClient,
+	type TransactionContent,
+	WritePriority,
+	type WriteResult,
+} from '@heathroad/store'
 import { Cause, Effect } from 'effect'
-import { leavable, mayTurn } from './archiving.js'
-import { ANSWER_MS, type Archive, type Core } from './core.js'
+import { archivablePages, mayAdvanceArchivalEpoch } from './archiving.js'
+import { type ControllerContext, type TerminalStateArchive, USER_ANSWER_TIMEOUT_MS } from './core.js'
 
 /** Keys of the first form that one request of the move reads. */
 const SCAN = 200
 
 /** What History asks of the controller that it belongs to. */
-export interface HistoryPorts {
+export interface ArchivalPorts {
 	/** the parts that it owns */
-	parts(): Iterable<number>
+	ownedShards(): Iterable<number>
 	/** jobs of which attempts may be somewhere in a part; null: not known */
-	holding(part: number): Set<string> | null
+	jobsOnMachines(shardId: number): Set<string> | null
 	/** the records are of a form that this program does not know */
-	tooNew(form: number): void
+	onUnsupportedFormat(form: number): void
 }
 
 /**
  * Jobs that are over: which of them are still in memory, where the others are found, and their way into the
  * archive. Decisions are in `archiving.ts`, what a move writes in `@heathroad/history`; here is when things are done.
  */
-export class History implements Archive {
-	readonly recall: Recall
+export class ArchivalController implements TerminalStateArchive {
+	readonly reader: ArchiveReader
 	private readonly settings
 	private stopped = false
 	/** keys of the first form that are over are left out of the full read under way */
@@ -53,21 +60,25 @@
 	private migrating = false
 
 	constructor(
-		private readonly s: Core,
+		private readonly context: ControllerContext,
 		private readonly client: StoreClient,
-		private readonly p: HistoryPorts,
+		private readonly ports: ArchivalPorts,
 	) {
-		const { derived, history } = s.config
-		this.settings = history ?? historyDefaults
+		const { limits: derived, history } = context.config
+		this.settings = history ?? defaultHistorySettings
 		this.leaveOut = history !== null
-		this.turnedAt = s.now()
+		this.turnedAt = context.now()
 		// As many questions may wait as are read within the time that users wait for an answer.
 		const perS = derived.readsPerS / 3
-		const limits = { cache: this.settings.cacheMb * 1e6, waiting: Math.ceil(perS * 3), run: 16 }
-		this.recall = new Recall(
+		const limits = {
+			maxCacheChars: this.settings.cacheMb * 1e6,
+			maxPendingLookups: Math.ceil(perS * 3),
+			maxPagesPerRead: 16,
+		}
+		this.reader = new ArchiveReader(
 			client,
 			() => this.places(),
-			s.mirror.pace,
+			context.cache.readPacer,
 			limits,
 			(e) => this.warn('archive read failed', e),
 		)
@@ -78,17 +89,17 @@
 	}
 
 	private warn(event: string, e: unknown): void {
-		this.s.log('error', event, { error: Cause.isCause(e) ? Cause.pretty(e) : String(e) })
+		this.context.log('error', event, { error: Cause.isCause(e) ? Cause.pretty(e) : String(e) })
 	}
 
 	// ---- where final states are ----
 
 	private record() {
-		return asHistory(this.s.mirror.get(HISTORY)?.data)
+		return decodeHistoryRecord(this.context.cache.get(HISTORY_KEY)?.data)
 	}
 
-	turn(): number {
-		return this.s.mirror.stamp(HISTORY)
+	archivalEpoch(): number {
+		return this.context.cache.modRevision(HISTORY_KEY)
 	}
 
 	private places(): { legacy: boolean; levels: boolean } {
@@ -101,63 +112,64 @@
 	 * 200,000 of them take more memory than a controller has. But those that a record of acceptances still names are:
 	 * without them the job would be open again. That record, and the one of the form, come before in the order of keys.
 	 */
-	wants(key: string, data: unknown): boolean {
+	retains(key: string, data: unknown): boolean {
 		// Where none of the first form are left, an own key says that a cancellation has yet to be cleared away.
-		if (key === HISTORY) this.leaveOut = asHistory(data)?.legacy ?? true
-		if (key.startsWith('intake/')) for (const r of asIntake(data) ?? []) this.namedByRead.add(r.spec!.uid)
-		const final = this.leaveOut && key.startsWith('job/') ? asJob(data)?.final : undefined
+		if (key === HISTORY_KEY) this.leaveOut = decodeHistoryRecord(data)?.legacy ?? true
+		if (key.startsWith('intake/'))
+			for (const r of decodeAcceptedBatch(data) ?? []) this.namedByRead.add(r.spec!.uid)
+		const final = this.leaveOut && key.startsWith('job/') ? decodeJobRecord(data)?.finalState : undefined
 		if (final === undefined || this.namedByRead.has(key.slice('job/'.length))) return true
 		if (final === 'aborted') this.leftOut = true
 		return false
 	}
 
 	/** The record of the form changed. */
-	changed(): void {
-		this.turnedAt = this.s.now()
+	onHistoryRecordChanged(): void {
+		this.turnedAt = this.context.now()
 		const record = this.record()
 		this.leaveOut = record?.legacy ?? true
-		if (record !== null && record.form > FORM) this.p.tooNew(record.form)
+		if (record !== null && record.format > RECORD_FORMAT) this.ports.onUnsupportedFormat(record.format)
 	}
 
 	/** A full read is complete; what happened since the last change that is known may never be told. */
-	reloaded(epoch: number): void {
+	onFullRead(revision: number): void {
 		this.namedByRead.clear()
-		if (this.leftOut) this.s.cancellations.incomplete(epoch)
+		if (this.leftOut) this.context.cancellations.markIncompleteUpTo(revision)
 		this.leftOut = false
-		this.recall.reset(epoch)
+		this.reader.reset(revision)
 	}
 
-	/** Every change up to the mirror's epoch is applied. */
-	advanced(): void {
-		const left = this.s.jobs.settle()
-		if (left.length > 0) this.recall.left(left, this.s.mirror.epoch)
+	/** Every change up to the mirror's revision is applied. */
+	onRevisionAdvanced(): void {
+		const left = this.context.jobs.dropJobsThatLeftPages()
+		if (left.length > 0) this.reader.onLeftMemory(left, this.context.cache.revision)
 	}
 
 	// ---- questions ----
 
-	known(uid: string): Past | undefined {
-		return this.recall.known(uid)
+	cached(uid: string): ArchivedJob | undefined {
+		return this.reader.cached(uid)
 	}
 
-	find(uid: string): Effect.Effect<Found> {
-		return this.recall.find(uid).pipe(
-			Effect.timeoutOption(ANSWER_MS),
+	lookUp(uid: string): Effect.Effect<ArchiveLookup> {
+		return this.reader.lookUp(uid).pipe(
+			Effect.timeoutOption(USER_ANSWER_TIMEOUT_MS),
 			Effect.map((o) => (o._tag === 'Some' ? o.value : 'unsure')),
 		)
 	}
 
-	proves(uid: string): boolean {
-		return this.record() === null || this.recall.proves(uid)
+	provesAbsent(uid: string): boolean {
+		return this.record() === null || this.reader.provesAbsent(uid)
 	}
 
 	// ---- the way into the archive ----
 
 	/** The regular look. */
-	look(): void {
-		if (this.s.mirror.epoch < 0 || this.stopped) return
+	tick(): void {
+		if (this.context.cache.revision < 0 || this.stopped) return
 		const record = this.record()
 		if (record === null) return this.begin()
-		if (record.form > FORM || !this.s.stateOk()) return
+		if (record.format > RECORD_FORMAT || !this.context.isStoreReachable()) return
 		this.beginTurn(record)
 		this.unpin()
 		if (!this.moving) this.move()
@@ -181,28 +193,31 @@
 
 	/** To the second form, once every controller knows it: the others would read that jobs are open which are over. */
 	private begin(): void {
-		const { members, config, mirror } = this.s
-		if (config.history === null || members.right() !== 'grant') return
-		if (!members.peers.every((p) => members.alive(p.name) && p.news?.history === true)) return
-		this.submit(Urgency.progress, () =>
-			this.record() === null ? nextTurn(mirror, { form: FORM, turn: 1, legacy: true }) : null,
+		const { membership, config, cache } = this.context
+		if (config.history === null || membership.leadership() !== 'lease') return
+		if (!membership.peers.every((p) => membership.isAlive(p.name) && p.status?.supportsArchive === true))
+			return
+		this.submit(WritePriority.progress, () =>
+			this.record() === null
+				? advanceArchivalEpoch(cache, { format: RECORD_FORMAT, archivalEpoch: 1, legacy: true })
+				: null,
 		)
-		this.s.log('info', 'records move to the second form')
+		this.context.log('info', 'records move to the second form')
 	}
 
 	private submit(
-		urgency: number,
-		build: () => Content | null,
+		priority: number,
+		build: () => TransactionContent | null,
 		done: (result: WriteResult) => void = () => {},
 	): void {
-		const until = this.s.now() + this.s.config.derived.grantMs * 2
-		this.s.writer.submit({ urgency, build, until, done })
+		const until = this.context.now() + this.context.config.limits.controllerLeaseMs * 2
+		this.context.writeQueue.enqueue({ priority: priority, build, deadline: until, onResult: done })
 	}
 
-	private write(content: Content): Effect.Effect<WriteResult> {
+	private write(content: TransactionContent): Effect.Effect<WriteResult> {
 		return Effect.callback<WriteResult>((resume) => {
 			this.submit(
-				Urgency.progress,
+				WritePriority.progress,
 				() => content,
 				(result) => resume(Effect.succeed(result)),
 			)
@@ -211,120 +226,145 @@
 
 	/** Waits until so many changes more are within the share of ours that history may take. */
 	private pace(changes: number): Effect.Effect<void> {
-		const perS = this.s.config.derived.writesPerS * this.settings.share
+		const perS = this.context.config.limits.writesPerS * this.settings.share
 		return Effect.sleep((changes / perS) * 1000)
 	}
 
-	private beginTurn(record: { form: number; turn: number; legacy: boolean }): void {
-		const { jobs, mirror, config } = this.s
-		const wait = this.closed().flatMap(({ key }) => [...jobs.on(key)].map((j) => j.epoch))
-		const sinceMs = this.s.now() - this.turnedAt
-		if (!mayTurn(wait, this.turn(), sinceMs, config.derived.cancelMs, this.settings.batch)) return
-		const turn = this.turn()
-		this.submit(Urgency.progress, () =>
-			this.turn() === turn ? nextTurn(mirror, { ...record, turn: record.turn + 1 }) : null,
+	private beginTurn(record: HistoryRecord): void {
+		const { jobs, cache, config } = this.context
+		const wait = this.closed().flatMap(({ key }) => [...jobs.terminalJobsOnPage(key)].map((j) => j.revision))
+		const sinceMs = this.context.now() - this.turnedAt
+		if (
+			!mayAdvanceArchivalEpoch(
+				wait,
+				this.archivalEpoch(),
+				sinceMs,
+				config.limits.cancelMs,
+				this.settings.batch,
+			)
+		)
+			return
+		const turn = this.archivalEpoch()
+		this.submit(WritePriority.progress, () =>
+			this.archivalEpoch() === turn
+				? advanceArchivalEpoch(cache, { ...record, archivalEpoch: record.archivalEpoch + 1 })
+				: null,
 		)
 	}
 
-	private owns(part: number): boolean {
-		return [...this.p.parts()].includes(part)
+	private owns(shardId: number): boolean {
+		return [...this.ports.ownedShards()].includes(shardId)
 	}
 
 	/** Pages of our parts that nothing is added to any more. */
 	private closed(): { part: number; key: string }[] {
 		const out: { part: number; key: string }[] = []
-		for (const [key] of this.s.mirror.under('over/')) {
-			const [, k, epoch] = key.split('/')
-			if (epoch !== undefined && this.owns(this.keeper(Number(k)))) out.push({ part: Number(k), key })
+		for (const [key] of this.context.cache.withPrefix('over/')) {
+			const [, k, revision] = key.split('/')
+			if (revision !== undefined && this.owns(this.keeper(Number(k)))) out.push({ part: Number(k), key })
 		}
 		return out.sort((a, b) => a.key.length - b.key.length || (a.key < b.key ? -1 : 1))
 	}
 
 	/** The part that looks after another one's pages: its own, unless there are fewer parts than there were. */
-	private keeper(part: number): number {
-		return part % this.s.config.derived.names.length
+	private keeper(shardId: number): number {
+		return shardId % this.context.config.limits.controllerNames.length
 	}
 
 	/** Jobs that keep the records of others get keys of their own, a few at a time. */
 	private unpin(): void {
-		const { jobs, mirror, config } = this.s
-		let left = Math.ceil(config.derived.writesPerS * this.settings.share * (config.derived.grantMs / 500))
-		for (const [uid, record] of jobs.pinning(this.turn())) {
-			if (!this.owns(record.part)) continue
+		const { jobs, cache, config } = this.context
+		let left = Math.ceil(
+			config.limits.writesPerS * this.settings.share * (config.limits.controllerLeaseMs / 500),
+		)
+		for (const [uid, record] of jobs.jobsPinningBatches(this.archivalEpoch())) {
+			if (!this.owns(record.shardId)) continue
 			if (left-- <= 0) return
-			this.submit(Urgency.progress, () => {
+			this.submit(WritePriority.progress, () => {
 				const known = jobs.get(uid)
-				if (known === undefined || known.stamp !== 0 || known.record.final !== undefined) return null
-				const { conditions, changes } = ownRecord(mirror, uid, 0, known.record)
-				const key = partKey(record.part)
-				return { conditions: [{ key: ROOT + key, stamp: mirror.stamp(key) }, ...conditions], changes }
+				if (known === undefined || known.modRevision !== 0 || known.record.finalState !== undefined)
+					return null
+				const { conditions, mutations } = putJobRecord(cache, uid, 0, known.record)
+				const key = shardKey(record.shardId)
+				return {
+					conditions: [{ key: KEY_PREFIX + key, modRevision: cache.modRevision(key) }, ...conditions],
+					mutations: mutations,
+				}
 			})
 		}
 	}
 
 	/** Full pages of one of our parts go into the archive, when they are enough to be worth it. */
 	private move(): void {
-		const { jobs, mirror } = this.s
+		const { jobs, cache } = this.context
 		const closed = this.closed()
 		if (closed.length === 0) return
-		const named = jobs.named()
-		for (const part of new Set(closed.map((c) => c.part))) {
-			const held = this.p.holding(this.keeper(part))
+		const named = jobs.referencedIds()
+		for (const shardId of new Set(closed.map((c) => c.part))) {
+			const held = this.ports.jobsOnMachines(this.keeper(shardId))
 			if (held === null) continue
 			const pages = closed
-				.filter((c) => c.part === part)
-				.map(({ key }) => ({ key, stamp: mirror.stamp(key), jobs: [...jobs.on(key)] }))
-			const ready = leavable(pages, this.turn(), named, held, this.settings.batch)
+				.filter((c) => c.part === shardId)
+				.map(({ key }) => ({
+					key,
+					modRevision: cache.modRevision(key),
+					jobs: [...jobs.terminalJobsOnPage(key)],
+				}))
+			const ready = archivablePages(pages, this.archivalEpoch(), named, held, this.settings.batch)
 			if (ready.length === 0) continue
 			this.moving = true
-			return this.run(this.moveOut(part, ready), () => {
+			return this.run(this.moveOut(shardId, ready), () => {
 				this.moving = false
 			})
 		}
 	}
 
 	private moveOut(
-		part: number,
-		pages: readonly { key: string; stamp: number; jobs: (Ended & { epoch: number })[] }[],
+		shardId: number,
+		pages: readonly { key: string; modRevision: number; jobs: (TerminalJob & { revision: number })[] }[],
 	) {
-		const { mirror, config, log } = this.s
-		const keeper = this.keeper(part)
+		const { cache, config, log } = this.context
+		const keeper = this.keeper(shardId)
 		const mine = () => !this.stopped && this.owns(keeper)
-		const owning = () => ({ key: ROOT + partKey(keeper), stamp: mirror.stamp(partKey(keeper)) })
+		const owning = () => ({
+			key: KEY_PREFIX + shardKey(keeper),
+			modRevision: cache.modRevision(shardKey(keeper)),
+		})
 		const { txn_ops } = config.settings.deployment.state
-		const mover = new Mover({
+		const mover = new Archiver({
 			client: this.client,
-			write: (conditions, changes) => this.write({ conditions: [owning(), ...conditions], changes }),
+			write: (conditions, mutations) =>
+				this.write({ conditions: [owning(), ...conditions], mutations: mutations }),
 			pace: (changes) => this.pace(changes),
-			mine,
-			room: { ops: txn_ops, value: valueRoom(config.settings), bytes: 40 * 1024 },
+			isOwner: mine,
+			limits: { maxOperations: txn_ops, maxValueChars: maxValueChars(config.settings), maxBytes: 40 * 1024 },
 		})
-		const items: Past[] = pages
+		const items: ArchivedJob[] = pages
 			.flatMap((p) => p.jobs)
 			.map((j) => ({
-				at: ordinal(j.uid),
-				aborted: j.final === 'aborted',
-				tasks: j.tasks,
-				done: j.done,
-				epoch: j.epoch,
+				ordinal: ordinalOf(j.uid),
+				aborted: j.finalState === 'aborted',
+				taskCount: j.taskCount,
+				doneCount: j.doneCount,
+				revision: j.revision,
 			}))
-			.sort((a, b) => (a.at < b.at ? -1 : 1))
+			.sort((a, b) => (a.ordinal < b.ordinal ? -1 : 1))
 		return Effect.gen({ self: this }, function* () {
 			if (!(yield* mover.insert(1, items))) return
 			// Only now: until here both places tell the same.
 			for (let i = 0; i < pages.length; i += txn_ops) {
 				const some = pages.slice(i, i + txn_ops)
 				yield* this.pace(some.length)
-				if (!mine() || some.some((p) => mirror.stamp(p.key) !== p.stamp)) return
+				if (!mine() || some.some((p) => cache.modRevision(p.key) !== p.modRevision)) return
 				yield* this.write(
-					leave(
-						mirror,
+					deletePages(
+						cache,
 						keeper,
 						some.map((p) => p.key),
 					),
 				)
 			}
-			log('info', 'archived', { part, jobs: items.length, pages: pages.length })
+			log('info', 'archived', { part: shardId, jobs: items.length, pages: pages.length })
 		})
 	}
 
@@ -333,43 +373,43 @@
 	 * stop anywhere and begins anew: what is moved is gone from here.
 	 */
 	private migrate() {
-		const { mirror, config, log } = this.s
-		const room = pageRoom(config)
+		const { cache, config, log } = this.context
+		const room = terminalPageLimits(config)
 		const most = Math.max(1, config.settings.deployment.state.txn_ops - 2)
 		return Effect.gen({ self: this }, function* () {
 			let from: string | null = null
 			let left = 0
 			for (;;) {
-				const page: { entries: { key: string; data: unknown; stamp: number }[]; more: boolean } =
-					yield* this.client.page(`${ROOT}job/`, from, SCAN)
-				const mine = new Map<number, { job: Ended; stamp: number }[]>()
+				const page: { entries: { key: string; data: unknown; modRevision: number }[]; more: boolean } =
+					yield* this.client.list(`${KEY_PREFIX}job/`, from, SCAN)
+				const mine = new Map<number, { job: TerminalJob; modRevision: number }[]>()
 				for (const e of page.entries) {
-					const record = asJob(e.data)
-					const uid = e.key.slice(`${ROOT}job/`.length)
+					const record = decodeJobRecord(e.data)
+					const uid = e.key.slice(`${KEY_PREFIX}job/`.length)
 					// A cancelled job's own key goes with the regular tidying.
-					if (record?.final === undefined || this.s.jobs.onPage(uid)) continue
+					if (record?.finalState === undefined || this.context.jobs.isOnTerminalPage(uid)) continue
 					left++
-					const part = this.keeper(record.part)
-					const tasks = record.tasks ?? 0
-					const job = ended(
+					const shardId = this.keeper(record.shardId)
+					const tasks = record.taskCount ?? 0
+					const job = toTerminalJob(
 						uid,
-						record.final,
-						{ team: '', cpus: 0, gpus: 0, ramGb: 0, ...record.need, tasks },
-						doneTasks(record),
+						record.finalState,
+						{ team: '', cpus: 0, gpus: 0, ramGb: 0, ...record.resources, tasks },
+						terminalDoneCount(record),
 					)
-					mine.set(part, [...(mine.get(part) ?? []), { job, stamp: e.stamp }])
+					mine.set(shardId, [...(mine.get(shardId) ?? []), { job, modRevision: e.modRevision }])
 				}
-				for (const part of this.p.parts())
-					for (let rest = mine.get(part) ?? []; rest.length > 0; ) {
+				for (const shardId of this.ports.ownedShards())
+					for (let rest = mine.get(shardId) ?? []; rest.length > 0; ) {
 						const some = rest.slice(0, most)
 						yield* this.pace(some.length + 1)
-						if (this.stopped || !this.owns(part)) break
+						if (this.stopped || !this.owns(shardId)) break
 						let taken = 0
 						const result = yield* Effect.callback<WriteResult>((resume) => {
 							this.submit(
-								Urgency.progress,
+								WritePriority.progress,
 								() => {
-									const made = migration(mirror, part, some, room)
+									const made = migrateTerminalRecords(cache, shardId, some, room)
 									taken = made.taken
 									return made.content
 								},
@@ -382,12 +422,12 @@
 					}
 				if (!page.more || page.entries.length === 0) break
 				from = page.entries[page.entries.length - 1].key
-				yield* Effect.sleep(config.derived.grantMs * 0.2)
+				yield* Effect.sleep(config.limits.controllerLeaseMs * 0.2)
 			}
 			if (left > 0) return
 			const record = this.record()
 			if (record?.legacy !== true) return
-			yield* this.write(nextTurn(mirror, { ...record, legacy: false }))
+			yield* this.write(advanceArchivalEpoch(cache, { ...record, legacy: false }))
 			log('info', 'no final states of the first form are left')
 		})
 	}
--- a/packages/server/src/http.ts
+++ b/packages/server/src/http.ts
@@ -1,15 +1,15 @@
 import * as http from 'node:http'
 import type { Socket } from 'node:net'
-import { BODY_LIMIT, type Reply, readBody, sendEarly, sendReply } from '@heathroad/wire'
+import { type HttpReply, MAX_BODY_BYTES, readBody, sendReply, sendReplyAndClose } from '@heathroad/wire'
 
-export interface Call {
+export interface HttpRequest {
 	method: string
 	path: string
 	body: unknown
 }
 
-export type Tell = (reply: Reply) => void
-export type Handler = (call: Call, reply: Tell) => void
+export type Respond = (reply: HttpReply) => void
+export type RequestHandler = (request: HttpRequest, respond: Respond) => void
 
 export interface ListenerLimits {
 	/** silent connections are closed after this long */
@@ -29,7 +29,7 @@
  * them a lease. From three quarters of the sockets on, users are answered and let go; from nine tenths on, the
  * connection that has been idle longest goes for each that comes.
  */
-class Crowd {
+class ConnectionLimiter {
 	private open = 0
 	/** idle connections that make room, the longest idle first */
 	private readonly idle = new Set<Socket>()
@@ -57,28 +57,32 @@
 }
 
 /** One listening address. Bodies are read in full, within limits, before the handler sees a request. */
-export const listen = (address: string, limits: ListenerLimits, handler: Handler): Promise<http.Server> => {
-	const crowd = new Crowd(limits)
+export const startHttpServer = (
+	address: string,
+	limits: ListenerLimits,
+	handler: RequestHandler,
+): Promise<http.Server> => {
+	const crowd = new ConnectionLimiter(limits)
 	const server = http.createServer(
 		{ connectionsCheckingInterval: limits.requestMs / 4, noDelay: true },
 		(request, response) => {
 			const path = (request.url ?? '/').split('?', 1)[0]
 			const method = request.method ?? 'GET'
 			crowd.asked(path, request.socket, response)
-			const reply: Tell = (r) => sendReply(response, r)
+			const respond: Respond = (r) => sendReply(response, r)
 			response.on('error', () => {})
 			if (method === 'GET' || method === 'HEAD') {
 				request.resume()
-				handler({ method, path, body: undefined }, reply)
+				handler({ method, path, body: undefined }, respond)
 				return
 			}
 			readBody(request, (body, unread) => {
-				if (unread === null) return handler({ method, path, body }, reply)
+				if (unread === null) return handler({ method, path, body }, respond)
 				if (unread === 'not MessagePack')
-					return reply({ status: 400, body: { error: 'the body is not MessagePack' } })
-				const error = `the body is longer than ${BODY_LIMIT / 1024} KiB`
-				const drop = { ms: limits.requestMs, bytes: BODY_LIMIT * DROPPED_BODIES }
-				sendEarly(request, { status: 400, body: { error } }, drop)
+					return respond({ status: 400, body: { error: 'the body is not MessagePack' } })
+				const error = `the body is longer than ${MAX_BODY_BYTES / 1024} KiB`
+				const drop = { ms: limits.requestMs, bytes: MAX_BODY_BYTES * DROPPED_BODIES }
+				sendReplyAndClose(request, { status: 400, body: { error } }, drop)
 			})
 		},
 	)
--- a/packages/store/src/pace.ts
+++ b/packages/store/src/pace.ts
@@ -1,6 +1,6 @@
 /** Hands out turns that lie a gap apart. */
-export class Pace {
-	private next = Number.NEGATIVE_INFINITY
+export class RequestPacer {
+	private nextSlotAt = Number.NEGATIVE_INFINITY
 
 	constructor(
 		private readonly gapMs: number,
@@ -8,10 +8,10 @@
 	) {}
 
 	/** Takes the next turn; in how many ms that is. */
-	take(): number {
+	reserveDelayMs(): number {
 		const now = this.now()
-		const at = Math.max(now, this.next)
-		this.next = at + this.gapMs
+		const at = Math.max(now, this.nextSlotAt)
+		this.nextSlotAt = at + this.gapMs
 		return at - now
 	}
 }
--- a/packages/testkit/src/balancer.ts
+++ b/packages/testkit/src/balancer.ts
@@ -12,7 +12,7 @@
 }
 
 /** Probes are made by the world, once a second; this is what follows from them. */
-export class Balancer {
+export class FakeLoadBalancer {
 	private readonly nodes: Node[]
 
 	constructor(controllers: number) {
--- a/packages/testkit/src/bucket.ts
+++ b/packages/testkit/src/bucket.ts
@@ -1,5 +1,5 @@
 /** What is taken of something that fills again by so much a second, up to one second's worth (protocol). */
-export class Bucket {
+export class TokenBucket {
 	private level: number
 	private at: number
 
--- a/packages/testkit/src/chances.ts
+++ b/packages/testkit/src/chances.ts
@@ -11,7 +11,7 @@
 }
 
 /** Shares of what happens anyway to which something else happens for a while. */
-export class Chances<K extends string> {
+export class RandomFaults<K extends string> {
 	private readonly shares = new Map<K, number>()
 
 	constructor(private readonly clock: Clock) {}
--- a/packages/testkit/src/crowd.ts
+++ b/packages/testkit/src/crowd.ts
@@ -1,8 +1,8 @@
-import { isMap, type JobSpec, writeSubmission } from '@heathroad/wire'
-import { Chances } from './chances.js'
+import { encodeSubmission, isMap, type JobSpec } from '@heathroad/wire'
+import { RandomFaults } from './chances.js'
 import type { Clock } from './clock.js'
-import type { Rules } from './rules.js'
-import type { Response } from './standins.js'
+import type { InvariantChecker } from './rules.js'
+import type { FakeResponse } from './standins.js'
 
 /** A job of the day, when its user submits it and calls it off. */
 export interface DayJob {
@@ -12,14 +12,14 @@
 }
 
 /** What users need of the world around them. */
-export interface Around {
+export interface UserWorkloadPorts {
 	clock: Clock
-	rules: Rules
+	rules: InvariantChecker
 	controllers: number
 	/** the controller that the balancer gives a user; null: none is healthy */
 	someController(): number | null
 	/** sends a request to a controller; the answer comes once, late or never */
-	send(i: number, method: string, path: string, body: unknown, reply: (r: Response | null) => void): void
+	send(i: number, method: string, path: string, body: unknown, reply: (r: FakeResponse | null) => void): void
 	/** a machine stands still */
 	hang(id: string, forMs: number): void
 }
@@ -48,20 +48,20 @@
  * The users of a day: each asks any controller again and again until the answer is final; some look closely, cancel at the
  * worst moment, or err.
  */
-export class Crowd {
+export class UserWorkload {
 	/** submissions as they were answered: by status; 0: no answer, or no healthy controller */
 	readonly submissions = new Map<number, number>()
 	/** how much oftener than usual they ask */
 	eagerness = 1
 	/** shares of jobs called off as their last task ends, and of news that are looked at closely */
-	readonly chances: Chances<'cancelAtEnd' | 'closeLooks'>
+	readonly chances: RandomFaults<'cancelAtEnd' | 'closeLooks'>
 	private errs = false
 	private odd = 0
 	private readonly specs = new Map<string, JobSpec>()
 	private readonly cancelling = new Set<string>()
 
-	constructor(private readonly w: Around) {
-		this.chances = new Chances(w.clock)
+	constructor(private readonly w: UserWorkloadPorts) {
+		this.chances = new RandomFaults(w.clock)
 		w.rules.news = (uid, state) => this.lookClosely(uid, state)
 		w.rules.ended = (uid) => {
 			if (this.chances.happens('cancelAtEnd')) this.meetTheEnd(uid)
@@ -72,13 +72,13 @@
 		uid: string,
 		i: number | null,
 		[method, path, body]: readonly [string, string, unknown],
-		heard: (r: Response | null) => void = () => {},
+		heard: (r: FakeResponse | null) => void = () => {},
 	): void {
 		const { clock, rules } = this.w
 		let over = false
 		const known = rules.state(uid)
 		const before = rules.count(uid)
-		const finish = (r: Response | null) => {
+		const finish = (r: FakeResponse | null) => {
 			if (over) return
 			over = true
 			if (r !== null) {
@@ -100,7 +100,7 @@
 	}
 
 	private submission(spec: JobSpec) {
-		return ['POST', RUNS, writeSubmission(spec)] as const
+		return ['POST', RUNS, encodeSubmission(spec)] as const
 	}
 
 	private withdrawal(uid: string) {
@@ -219,7 +219,7 @@
 		if (turn % 3 === 1 && state === 'done') return this.ask(spec.uid, i, this.withdrawal(spec.uid))
 		const uid = `job-${ODD_FIRST + turn}`
 		rules.mustRefuse(uid)
-		const body: Record<string, unknown> = writeSubmission({ ...spec, uid })
+		const body: Record<string, unknown> = encodeSubmission({ ...spec, uid })
 		const fields = Object.keys(body)
 		const field = fields[turn % fields.length]
 		// Each field in turn is invalid, left out and null; in between a job fits no machine.
--- a/packages/testkit/src/gap.ts
+++ b/packages/testkit/src/gap.ts
@@ -1,11 +1,11 @@
 import { draws } from './chances.js'
-import { type Day, sweep, type Trouble } from './world.js'
+import { arrayJob, type Fault, type SimulatedDay } from './world.js'
 
 /**
  * The state refuses leaders alone, other controllers confirm cancellations, then the state is down for all while
  * workers go on reporting to the old leaders.
  */
-export interface Gap {
+export interface DoubleOutage {
 	controllers: number
 	/** whom the state refuses, one after the other */
 	refused: readonly number[]
@@ -16,14 +16,14 @@
 	refusedS: number
 	outageS: number
 	/** troubles in between, their times counted from the outage */
-	more: readonly Trouble[]
+	more: readonly Fault[]
 	drift: boolean
 	/** jobs that are over are archived */
 	archives: boolean
 	report: { reportS: number; leaseS: number; cancelS: number }
 }
 
-const MET: Gap = {
+const MET: DoubleOutage = {
 	controllers: 3,
 	refused: [0],
 	beforeS: 2,
@@ -40,12 +40,12 @@
 const OUTAGE_S = 45
 
 /** Such a meeting, with long jobs most of which are cancelled around it. */
-export const gapDay = (seed: number, gap: Partial<Gap> = {}): Day => {
+export const doubleOutageDay = (seed: number, gap: Partial<DoubleOutage> = {}): SimulatedDay => {
 	const g = { ...MET, ...gap }
 	const { random } = draws(seed)
-	const troubles: Trouble[] = [
+	const troubles: Fault[] = [
 		...g.refused.map(
-			(who, i): Trouble => ({
+			(who, i): Fault => ({
 				atS: OUTAGE_S - g.beforeS + i * g.apartS,
 				kind: 'stateRefuses',
 				who: [who],
@@ -53,7 +53,7 @@
 			}),
 		),
 		{ atS: OUTAGE_S, kind: 'stateDown', forS: g.outageS },
-		...g.more.map((t) => ({ ...t, atS: OUTAGE_S + t.atS })),
+		...g.more.map((fault) => ({ ...fault, atS: OUTAGE_S + fault.atS })),
 	]
 	const jobs = Array.from({ length: 48 }, (_, i) => {
 		const atS = 1 + i * 0.95
@@ -64,7 +64,7 @@
 		const cancelAtS = Math.max(atS + 1, random() < 0.8 ? near : OUTAGE_S + random() * (g.outageS + 20))
 		return {
 			atS,
-			spec: sweep(uid, { tasks: 1 + Math.floor(random() * 3), expectedS: cancelled ? 200 : 25 }),
+			spec: arrayJob(uid, { tasks: 1 + Math.floor(random() * 3), expectedS: cancelled ? 200 : 25 }),
 			...(cancelled ? { cancelAtS } : {}),
 		}
 	})
@@ -72,7 +72,7 @@
 		seed,
 		untilS: OUTAGE_S + g.outageS + 330,
 		jobs,
-		troubles,
+		faults: troubles,
 		controllers: g.controllers,
 		drift: g.drift,
 		report: g.report,
@@ -83,13 +83,13 @@
 }
 
 /** Such a day with everything about it drawn. */
-export const anyGapDay = (seed: number): Day => {
+export const randomDoubleOutageDay = (seed: number): SimulatedDay => {
 	const { random, one } = draws(seed + 2_000_000)
 	const controllers = one([3, 3, 5])
 	const all = Array.from({ length: controllers }, (_, i) => i)
 	const refused = all.filter(() => random() < 0.35)
 	const beforeS = one([1, 2, 4, 8, 15, 30]) * (0.7 + random() * 0.6)
-	const more = Array.from({ length: Math.floor(random() * 4) }, (): Trouble => {
+	const more = Array.from({ length: Math.floor(random() * 4) }, (): Fault => {
 		const kind = one([
 			'crash',
 			'cut',
@@ -107,7 +107,7 @@
 			forS: kind === 'crash' ? 0.2 + random() * 3 : random() * random() * 40,
 		}
 	})
-	return gapDay(seed, {
+	return doubleOutageDay(seed, {
 		controllers,
 		refused: refused.length > 0 ? refused : [one(all)],
 		beforeS,
--- a/packages/testkit/src/hunt.ts
+++ b/packages/testkit/src/hunt.ts
@@ -1,10 +1,10 @@
 import { draws } from './chances.js'
-import { anyGapDay } from './gap.js'
-import { CHECKED, type CheckedDay, playChecked } from './plugindays.js'
+import { randomDoubleOutageDay } from './gap.js'
+import { CHECKED, type PluginDay, playPluginDay } from './plugindays.js'
 import { type FakeVersion, PLUGIN } from './plugins.js'
-import { type Day, sweep, type Trouble, World } from './world.js'
+import { arrayJob, type Fault, type SimulatedDay, Simulation } from './world.js'
 
-const KINDS: readonly Trouble['kind'][] = [
+const KINDS: readonly Fault['kind'][] = [
 	'crash',
 	'drain',
 	'stateDown',
@@ -23,10 +23,10 @@
 ]
 
 /** A day of troubles that nobody thought of together: everything about it follows from the seed. */
-export const anyDay = (seed: number): Day => {
+export const randomDay = (seed: number): SimulatedDay => {
 	const { random, one } = draws(seed)
 	const controllers = one([3, 3, 5])
-	const troubles: Trouble[] = []
+	const troubles: Fault[] = []
 	for (let atS = 15; atS < 160; atS += 3 + random() * 12) {
 		const kind = one(KINDS)
 		const some = Array.from({ length: controllers }, (_, i) => i).filter(() => random() < 0.4)
@@ -46,7 +46,7 @@
 		const atS = 1 + i * (1 + random() * 4)
 		return {
 			atS,
-			spec: sweep(`job-${String(i).padStart(6, '0')}`, {
+			spec: arrayJob(`job-${String(i).padStart(6, '0')}`, {
 				tasks: 2 + Math.floor(random() * 30),
 				image: `img-${i % 3}`,
 				priority: one(['urgent', 'normal', 'idle'] as const),
@@ -64,7 +64,7 @@
 		seed,
 		untilS: 900,
 		jobs,
-		troubles,
+		faults: troubles,
 		loss: one([0, 0.005, 0.02]),
 		lossUntilS: 250,
 		controllers,
@@ -76,7 +76,7 @@
 }
 
 /** The troubles of which two or three meet, at the same moments. */
-const MEETING: readonly ((random: () => number, who: number[]) => Omit<Trouble, 'atS'>)[] = [
+const MEETING: readonly ((random: () => number, who: number[]) => Omit<Fault, 'atS'>)[] = [
 	(r, who) => ({ kind: 'cut', who, from: ['state', 'peers'], forS: 2 + r() * 45 }),
 	(r) => ({ kind: 'heldUp', forS: 5 + r() * 30, share: 0.2 + r() * 0.5 }),
 	(r) => ({ kind: 'lateWrites', forS: 3 + r() * 30, share: 0.1 + r() * 0.5 }),
@@ -106,7 +106,7 @@
 ]
 
 /** A day of such meetings, with jobs of few tasks that end far apart, many of them cancelled. */
-export const anyMeetingDay = (seed: number): Day => {
+export const randomCompoundFaultDay = (seed: number): SimulatedDay => {
 	const { random, one } = draws(seed + 3_000_000)
 	const controllers = one([3, 3, 5])
 	const some = () => {
@@ -115,7 +115,7 @@
 	}
 	// A team at its limit gets no more work than it can do within minutes.
 	const limited = random() < 0.2
-	const troubles: Trouble[] = []
+	const troubles: Fault[] = []
 	for (let atS = 20; atS < 150; atS += 25 + random() * 30)
 		for (let n = 2 + Math.floor(random() * 2); n > 0; n--)
 			troubles.push({ atS: atS + random() * random() * 15, ...one(MEETING)(random, some()) })
@@ -124,7 +124,7 @@
 		const long = random() < 0.3
 		return {
 			atS,
-			spec: sweep(`job-${String(i).padStart(6, '0')}`, {
+			spec: arrayJob(`job-${String(i).padStart(6, '0')}`, {
 				tasks: random() < 0.5 ? 2 + Math.floor(random() * 2) : 4 + Math.floor(random() * (limited ? 4 : 25)),
 				image: `img-${i % 3}`,
 				priority: one(['urgent', 'normal', 'idle'] as const),
@@ -140,7 +140,7 @@
 		seed,
 		untilS: 900,
 		jobs,
-		troubles,
+		faults: troubles,
 		loss: one([0, 0, 0.01]),
 		lossUntilS: 220,
 		controllers,
@@ -169,8 +169,8 @@
 ]
 
 /** Such a day on which half of the jobs have to pass plug-ins, which change all the time. */
-export const anyCheckedDay = (seed: number): CheckedDay => {
-	const day = anyDay(seed)
+export const randomPluginDay = (seed: number): PluginDay => {
+	const day = randomDay(seed)
 	const { random, one } = draws(seed + 1_000_000)
 	const names = ['one', 'two'].slice(0, 1 + Math.floor(random() * 2))
 	let made = 0
@@ -184,7 +184,7 @@
 	const plugins = Object.fromEntries(
 		names.map((n) => [n, { ...PLUGIN, holdAtMostS: 20 + random() * 60, whenUnsure, classes: [CHECKED] }]),
 	)
-	const upgrades: NonNullable<CheckedDay['upgrades']> = Array.from({ length: 50 }, (_, i) => ({
+	const upgrades: NonNullable<PluginDay['upgrades']> = Array.from({ length: 50 }, (_, i) => ({
 		atS: 2 + i * 4 * random(),
 		name: one(names),
 		to: random() < 0.1 ? null : version(),
@@ -198,7 +198,7 @@
 	}
 }
 
-export interface Hunted {
+export interface HuntResult {
 	broken: string[]
 	unfinished: string[]
 	started: number
@@ -214,23 +214,23 @@
 	seed: number,
 	count: readonly string[] = [],
 	kind: HuntKind = 'any',
-): Promise<Hunted> => {
+): Promise<HuntResult> => {
 	const said: Record<string, number> = Object.fromEntries(count.map((event) => [event, 0]))
 	const tell = (line: string) => {
 		for (const event of count) if (line.includes(` ${event} {`)) said[event]++
 	}
-	let world: World
-	if (kind === 'plugins') world = (await playChecked(anyCheckedDay(seed), tell)).world
+	let simulation: Simulation
+	if (kind === 'plugins') simulation = (await playPluginDay(randomPluginDay(seed), tell)).world
 	else {
-		const day = { any: anyDay, gap: anyGapDay, meetings: anyMeetingDay }[kind]
-		world = new World(day(seed))
-		world.tell = tell
-		await world.play()
+		const day = { any: randomDay, gap: randomDoubleOutageDay, meetings: randomCompoundFaultDay }[kind]
+		simulation = new Simulation(day(seed))
+		simulation.tell = tell
+		await simulation.play()
 	}
 	return {
-		broken: [...world.rules.broken, ...world.rules.failures()],
-		unfinished: world.rules.unfinished(),
-		started: world.rules.started,
+		broken: [...simulation.invariants.violations, ...simulation.invariants.failures()],
+		unfinished: simulation.invariants.unfinished(),
+		started: simulation.invariants.started,
 		said,
 	}
 }
--- a/packages/testkit/src/measure.ts
+++ b/packages/testkit/src/measure.ts
@@ -1,14 +1,14 @@
 import { monitorEventLoopDelay } from 'node:perf_hooks'
 import { Client, isFinal } from '@heathroad/client'
-import { asPage } from '@heathroad/cluster'
-import { grpcDefaults } from '@heathroad/config'
+import { decodeTerminalPage } from '@heathroad/cluster'
+import { defaultGrpcSettings } from '@heathroad/config'
 import { GrpcFace } from '@heathroad/grpc'
-import { listen } from '@heathroad/server'
+import { startHttpServer } from '@heathroad/server'
 import { build, type Histogram } from 'hdr-histogram-js'
 import { RealClock } from './clock.js'
-import { sweep, World } from './world.js'
+import { arrayJob, Simulation } from './world.js'
 
-export interface Measured {
+export interface StreamMeasurement {
 	streams: number
 	/** readers among them that take nothing */
 	stalled: number
@@ -33,37 +33,39 @@
 	stalled: number,
 	jobs: number,
 	pollers: number,
-): Promise<Measured> => {
+): Promise<StreamMeasurement> => {
 	const clock = new RealClock()
 	const report = { reportS: 0.5, leaseS: 6, cancelS: 14 }
-	const world = new World(
-		{ seed: 1, untilS: 0, jobs: [], troubles: [], controllers: 1, up: 16, capacity: 0, report },
+	const simulation = new Simulation(
+		{ seed: 1, untilS: 0, jobs: [], faults: [], controllers: 1, up: 16, capacity: 0, report },
 		clock,
 	)
 	let face: GrpcFace | null = null
 	let http = 0
 	const ready = new Promise<number>((resolve) => {
-		world.started = (_, node) => {
+		simulation.started = (_, node) => {
 			face = new GrpcFace(node, {
-				...grpcDefaults('127.0.0.1:0'),
+				...defaultGrpcSettings('127.0.0.1:0'),
 				streams: streams + 10,
 				connections: streams + 10,
 				opensPerS: 10_000,
 			})
 			const limits = { idleMs: 20_000, requestMs: 5000, sockets: 1000 }
-			void listen('127.0.0.1:0', limits, (call, reply) => node.face(call, reply)).then((server) => {
-				server.unref()
-				http = (server.address() as { port: number }).port
-				void face!.start().then(resolve)
-			})
+			void startHttpServer('127.0.0.1:0', limits, (call, respond) => node.handleRequest(call, respond)).then(
+				(server) => {
+					server.unref()
+					http = (server.address() as { port: number }).port
+					void face!.start().then(resolve)
+				},
+			)
 		}
 	})
-	world.begin()
+	simulation.begin()
 	const port = await ready
 	const durableAt = new Map<string, number>()
-	world.state.durable = (key, data) => {
+	simulation.state.durable = (key, data) => {
 		if (!/over\/\d+$/.test(key)) return
-		const latest = asPage(data)?.batches.at(-1)
+		const latest = decodeTerminalPage(data)?.batches.at(-1)
 		for (const { uid } of latest?.jobs ?? []) durableAt.set(uid, performance.now())
 	}
 	const streamed = build({ highestTrackableValue: 60_000, numberOfSignificantValueDigits: 3 })
@@ -97,7 +99,7 @@
 	const uids = Array.from({ length: jobs }, (_, i) => `job-${String(400_000 + i)}`)
 	const polls: Promise<void>[] = []
 	for (const [i, uid] of uids.entries()) {
-		void client.submit(sweep(uid, { tasks: 1, cpus: 0.5, expectedS: 0.4, imageGb: 0.05, spot: false }))
+		void client.submit(arrayJob(uid, { tasks: 1, cpus: 0.5, expectedS: 0.4, imageGb: 0.05, spot: false }))
 		if (i < pollers)
 			polls.push(
 				client
@@ -117,7 +119,7 @@
 	client.close()
 	await face!.stop(0)
 	clock.stop()
-	await world.end()
+	await simulation.end()
 	const cpuPerEventUs = (used.user + used.system) / Math.max(1, events)
 	return { streams, stalled, jobs, events, streamed, polled, cpuPerEventUs, heldMs: held.max / 1e6 }
 }
--- a/packages/testkit/src/month.ts
+++ b/packages/testkit/src/month.ts
@@ -1,7 +1,7 @@
-import { sweep, type Trouble, World } from './world.js'
+import { arrayJob, type Fault, Simulation } from './world.js'
 
 /** What a history has cost at one moment of it. */
-export interface Mark {
+export interface MonthSample {
 	jobs: number
 	/** keys that controllers follow, and those of the archive */
 	followed: number
@@ -13,7 +13,7 @@
 }
 
 export interface Month {
-	marks: Mark[]
+	marks: MonthSample[]
 	broken: string[]
 	unfinished: number
 }
@@ -24,7 +24,7 @@
  */
 export const playMonth = async (jobs: number, perS: number, marks: number, seed: number): Promise<Month> => {
 	const untilS = jobs / perS + 300
-	const troubles: Trouble[] = []
+	const troubles: Fault[] = []
 	for (let atS = 300, i = 0; atS < untilS - 200; atS += 600, i++) {
 		const who = [i % 3]
 		if (i % 4 === 0) troubles.push({ atS, kind: 'crash', who })
@@ -32,39 +32,43 @@
 		else if (i % 4 === 2) troubles.push({ atS, kind: 'stateDown', forS: 8 })
 		else troubles.push({ atS, kind: 'freeze', who, forS: 8 })
 	}
-	const world = new World({
+	const simulation = new Simulation({
 		seed,
 		untilS,
 		capacity: 6,
 		history: { batch: 100, share: 0.3, cacheMb: 1 },
 		jobs: Array.from({ length: jobs }, (_, i) => ({
 			atS: 1 + i / perS,
-			spec: sweep(`job-${String(((i + 1) * 7_919_317) % 1_000_003).padStart(6 + (i % 8), '0')}`, {
+			spec: arrayJob(`job-${String(((i + 1) * 7_919_317) % 1_000_003).padStart(6 + (i % 8), '0')}`, {
 				tasks: 1 + (i % 2),
 				cpus: 0.5,
 				expectedS: 4,
 			}),
 			...(i % 20 === 7 ? { cancelAtS: 3 + i / perS } : {}),
 		})),
-		troubles,
+		faults: troubles,
 	})
 	const changes = { outcomes: 0, archive: 0, all: 0 }
-	world.state.changed = (key) => {
+	simulation.state.changed = (key) => {
 		changes.all++
 		if (key.startsWith('heathroad/over/')) changes.outcomes++
 		else if (key.startsWith('heathroad-past/') || key === 'heathroad/history') changes.archive++
 	}
-	const out: Mark[] = []
+	const out: MonthSample[] = []
 	for (let k = 1; k <= marks; k++)
-		world.clock.after(((untilS - 250) * 1000 * k) / marks, () => {
+		simulation.clock.after(((untilS - 250) * 1000 * k) / marks, () => {
 			out.push({
 				jobs: Math.round((jobs * k) / marks),
-				followed: world.state.count('heathroad/'),
-				archived: world.state.count('heathroad-past/'),
+				followed: simulation.state.count('heathroad/'),
+				archived: simulation.state.count('heathroad-past/'),
 				changes: { ...changes },
-				held: world.held(),
+				held: simulation.held(),
 			})
 		})
-	await world.play()
-	return { marks: out, broken: world.rules.broken, unfinished: world.rules.unfinished().length }
+	await simulation.play()
+	return {
+		marks: out,
+		broken: simulation.invariants.violations,
+		unfinished: simulation.invariants.unfinished().length,
+	}
 }
--- a/packages/testkit/src/plugindays.ts
+++ b/packages/testkit/src/plugindays.ts
@@ -1,11 +1,11 @@
 import type { PluginSettings } from '@heathroad/config'
 import type { PluginHost } from '@heathroad/plugins'
 import { type FakeCall, type FakeDirectory, type FakeVersion, fakePlugins } from './plugins.js'
-import { type Day, World } from './world.js'
+import { type SimulatedDay, Simulation } from './world.js'
 
 /** What came of a day with plug-ins. */
-export interface Checked {
-	world: World
+export interface PluginDayResult {
+	world: Simulation
 	/** broken rules, and starts that neither a plug-in nor the operator's settings allowed */
 	broken: string[]
 	/** questions, and of them those about jobs that had started well before */
@@ -45,7 +45,7 @@
 							},
 			}
 
-export interface CheckedDay extends Day {
+export interface PluginDay extends SimulatedDay {
 	plugins: Record<string, PluginSettings>
 	directory: FakeDirectory
 	/** each controller sees a change of its directory so many seconds after the one before it */
@@ -61,18 +61,18 @@
  * Plays a day whose controllers have plug-ins, and compares every start of a checked job with what was answered: a job may
  * start once a version released it, once its time is over, or where the operator lets unsure ones go.
  */
-export const playChecked = async (
-	day: CheckedDay,
+export const playPluginDay = async (
+	day: PluginDay,
 	tell: (line: string) => void = () => {},
-): Promise<Checked> => {
-	const world = new World(day)
-	world.tell = tell
+): Promise<PluginDayResult> => {
+	const simulation = new Simulation(day)
+	simulation.tell = tell
 	const released = new Set<string>()
 	const submitted = new Map(day.jobs.map((j) => [j.spec.uid, j]))
 	const directories = Array.from({ length: day.controllers ?? 3 }, (): FakeDirectory => ({}))
-	const out: Checked = {
-		world,
-		broken: world.rules.broken,
+	const out: PluginDayResult = {
+		world: simulation,
+		broken: simulation.invariants.violations,
 		asked: 0,
 		late: 0,
 		starts: { released: 0, limit: 0, unsure: 0 },
@@ -92,39 +92,42 @@
 		}
 		for (const [name, v] of Object.entries(day.directory)) put(name, v)
 		for (const u of day.upgrades ?? [])
-			world.clock.after((u.atS + i * (day.lagS ?? 0)) * 1000, () => put(u.name, u.to))
+			simulation.clock.after((u.atS + i * (day.lagS ?? 0)) * 1000, () => put(u.name, u.to))
 	}
 	const limitMs = Math.min(...Object.values(day.plugins).map((p) => p.holdAtMostS * 1000))
 	const unsure = Object.values(day.plugins).some((p) => p.whenUnsure === 'release')
 	const grouped = Object.values(day.directory).some((v) => v?.ask === 'class')
-	const { mayWait } = world.rules
-	world.rules.mayWait = (spec) => spec.jobClass === CHECKED || mayWait(spec)
-	const placed = world.rules.placed.bind(world.rules)
-	world.rules.placed = (task, machine, type, zone, spot) => {
+	const { mayWait } = simulation.invariants
+	simulation.invariants.mayWait = (spec) => spec.jobClass === CHECKED || mayWait(spec)
+	const placed = simulation.invariants.placed.bind(simulation.invariants)
+	simulation.invariants.placed = (task, machine, type, zone, spot) => {
 		const uid = task.split('/')[0]
 		const job = submitted.get(uid)
 		const first = !out.firstStart.has(uid)
-		if (first) out.firstStart.set(uid, world.clock.nowMs)
+		if (first) out.firstStart.set(uid, simulation.clock.nowMs)
 		if (first && job?.spec.jobClass === CHECKED) {
 			// A controller's time of day may be behind by what its clock drifts.
-			const over = world.clock.nowMs >= (job.atS * 1000 + limitMs) * 0.999 - 100
+			const over = simulation.clock.nowMs >= (job.atS * 1000 + limitMs) * 0.999 - 100
 			if (released.has(uid) || (grouped && released.size > 0)) out.starts.released++
 			else if (over) out.starts.limit++
 			else if (unsure) out.starts.unsure++
-			else world.rules.broken.push(`wrong_release at ${Math.round(world.clock.nowMs)} ms: ${uid}`)
+			else
+				simulation.invariants.violations.push(
+					`wrong_release at ${Math.round(simulation.clock.nowMs)} ms: ${uid}`,
+				)
 		}
 		placed(task, machine, type, zone, spot)
 	}
-	world.started = (i, node) => {
-		const host = fakePlugins(world.clock, i, node, directories[i], day.plugins)
+	simulation.started = (i, node) => {
+		const host = fakePlugins(simulation.clock, i, node, directories[i], day.plugins)
 		out.hosts[i] = host
 		node.checks = host
 	}
-	world.ended = (i) => {
+	simulation.ended = (i) => {
 		out.hosts[i]?.stop()
 		out.hosts[i] = null
 	}
-	await world.play()
+	await simulation.play()
 	for (const host of out.hosts) host?.stop()
 	return out
 }
--- a/packages/testkit/src/plugins.ts
+++ b/packages/testkit/src/plugins.ts
@@ -37,7 +37,7 @@
 	memoryMb: 8,
 	classes: null,
 	teams: null,
-	grant: [],
+	permissions: [],
 }
 
 const load = (name: string, v: FakeVersion): Loaded => ({
@@ -112,7 +112,7 @@
 			// What a plug-in does wrong is the day's doing, and no error of the controller's.
 			log: (_level, event, fields) => node.log('info', event, fields),
 			team: (name) => ({ name, cpus: 0, gpus: 0, cpusMax: 0, gpusMax: 0 }),
-			teamJobs: (name) => node.openJobsOf(name),
+			teamJobs: (name) => node.openJobsOfTeam(name),
 		},
 	)
 	void host.start()
--- a/packages/testkit/src/prove.ts
+++ b/packages/testkit/src/prove.ts
@@ -1,11 +1,11 @@
 import { Client, isFinal, type JobEvent } from '@heathroad/client'
-import { grpcDefaults } from '@heathroad/config'
+import { defaultGrpcSettings } from '@heathroad/config'
 import { GrpcFace } from '@heathroad/grpc'
 import { RealClock } from './clock.js'
 import { FlakyProxy } from './proxy.js'
-import { sweep, World } from './world.js'
+import { arrayJob, Simulation } from './world.js'
 
-export interface Proof {
+export interface StreamCheckOptions {
 	seed: number
 	jobs: number
 	/** how long at most, in seconds */
@@ -14,7 +14,7 @@
 	everyMs: number
 }
 
-export interface Proven {
+export interface StreamCheckResult {
 	jobs: number
 	/** connections cut, controllers crashed, times that answers were lost */
 	cuts: number
@@ -42,14 +42,14 @@
  * connections are cut, answers lost and controllers crashed at moments drawn from a seed. Counts what every reader was
  * told of every job.
  */
-export const proveStreams = async (p: Proof): Promise<Proven> => {
+export const checkStreams = async (p: StreamCheckOptions): Promise<StreamCheckResult> => {
 	const clock = new RealClock(p.seed)
-	const world = new World(
+	const simulation = new Simulation(
 		{
 			seed: p.seed,
 			untilS: 0,
 			jobs: [],
-			troubles: [],
+			faults: [],
 			report: { reportS: 0.5, leaseS: 6, cancelS: 14 },
 			up: 12,
 			capacity: 0,
@@ -66,8 +66,8 @@
 	const stops: Promise<void>[] = []
 	const ports = [0, 0, 0]
 	const proxies = [0, 1, 2].map((i) => new FlakyProxy(() => ports[i]))
-	world.started = (i, node) => {
-		const face = new GrpcFace(node, { ...grpcDefaults('127.0.0.1:0'), everyS: 0.1, opensPerS: 200 })
+	simulation.started = (i, node) => {
+		const face = new GrpcFace(node, { ...defaultGrpcSettings('127.0.0.1:0'), everyS: 0.1, opensPerS: 200 })
 		faces[i] = face
 		starts.set(
 			face,
@@ -76,17 +76,17 @@
 			}),
 		)
 	}
-	world.ended = (i) => {
+	simulation.ended = (i) => {
 		const face = faces[i]
 		if (face !== null) stops.push(stopFace(face))
 		faces[i] = null
 	}
-	world.begin()
+	simulation.begin()
 	const grpc = await Promise.all(proxies.map(async (x) => `127.0.0.1:${await x.listen()}`))
 	const begun = Date.now()
 	const random = () => clock.random()
 	const uids = Array.from({ length: p.jobs }, (_, i) => `job-${String(700_000 + p.seed * 1000 + i)}`)
-	const out: Proven = {
+	const out: StreamCheckResult = {
 		jobs: p.jobs,
 		cuts: 0,
 		crashes: 0,
@@ -99,7 +99,7 @@
 		gaps: 0,
 		strange: [],
 		refused: [],
-		broken: world.rules.broken,
+		broken: simulation.invariants.violations,
 		seconds: 0,
 	}
 
@@ -119,7 +119,7 @@
 			const up = [i, (i + 1) % 3, (i + 2) % 3].find((k) => faces[k] !== null)
 			if (up !== undefined) {
 				out.crashes++
-				world.crash(up, 0.4 + random())
+				simulation.crash(up, 0.4 + random())
 			}
 		}
 		clock.after(p.everyMs * (0.5 + random()), trouble)
@@ -164,12 +164,12 @@
 	const submitter = client()
 	// A team's stream tells what ends after it began: it has begun for certain once it has told of a first job.
 	const sentinel = `job-${String(699_000 + p.seed)}`
-	await submitter.submit(sweep(sentinel, { tasks: 1, cpus: 0.5, expectedS: 0.3, spot: false }))
+	await submitter.submit(arrayJob(sentinel, { tasks: 1, cpus: 0.5, expectedS: 0.3, spot: false }))
 	await until(() => heard.has('by team'))
 	trouble()
 	const submitted = uids.map(async (uid, i) => {
 		await new Promise((done) => setTimeout(done, i * 25))
-		const spec = sweep(uid, { tasks: 1 + (i % 3), cpus: 0.5, expectedS: 0.3, imageGb: 0.05, spot: false })
+		const spec = arrayJob(uid, { tasks: 1 + (i % 3), cpus: 0.5, expectedS: 0.3, imageGb: 0.05, spot: false })
 		try {
 			await submitter.submit(spec)
 			if (i % 9 === 8) await submitter.cancel(uid)
@@ -182,7 +182,7 @@
 	await Promise.all([early, team, late])
 	clearTimeout(deadline)
 	over = true
-	for (const uid of world.accepted()) if (!uids.includes(uid) && uid !== sentinel) out.strange.push(uid)
+	for (const uid of simulation.accepted()) if (!uids.includes(uid) && uid !== sentinel) out.strange.push(uid)
 	out.cuts = proxies.reduce((n, x) => n + x.cuts, 0)
 	out.seconds = (Date.now() - begun) / 1000
 	for (const c of clients) c.close()
@@ -191,7 +191,7 @@
 	clock.stop()
 	for (const f of faces) if (f !== null) stops.push(stopFace(f))
 	await Promise.all(stops)
-	await world.end()
+	await simulation.end()
 	return out
 }
 
--- a/packages/testkit/src/rules.ts
+++ b/packages/testkit/src/rules.ts
@@ -39,8 +39,8 @@
 }
 
 /** Watches the world, not the service, and writes down every broken rule of the protocol. */
-export class Rules {
-	readonly broken: string[] = []
+export class InvariantChecker {
+	readonly violations: string[] = []
 	/** task -> machines it is on; only tasks that are on one */
 	private readonly on = new Map<string, Set<string>>()
 	private readonly jobs = new Map<string, Watched>()
@@ -68,7 +68,7 @@
 	) {}
 
 	private say(rule: string, what: string): void {
-		this.broken.push(`${rule} at ${Math.round(this.now())} ms: ${what}`)
+		this.violations.push(`${rule} at ${Math.round(this.now())} ms: ${what}`)
 	}
 
 	submitted(spec: JobSpec): void {
--- a/packages/testkit/src/settings.ts
+++ b/packages/testkit/src/settings.ts
@@ -1,8 +1,8 @@
-import { checkSettings, type Settings } from '@heathroad/config'
+import { parseSettings, type Settings } from '@heathroad/config'
 
 /** Settings of one of several controllers, for tests of less than a whole day. */
 export const plainSettings = (name: string, others: readonly string[] = []): Settings =>
-	checkSettings({
+	parseSettings({
 		host_name: name,
 		site: 'a',
 		bind: '127.0.0.1:8080',
--- a/packages/testkit/src/standins.ts
+++ b/packages/testkit/src/standins.ts
@@ -1,19 +1,19 @@
-import { type Change, type Condition, isMap, type MachineType } from '@heathroad/wire'
-import type { Bucket } from './bucket.js'
+import { isMap, type MachineType, type WireCondition, type WireMutation } from '@heathroad/wire'
+import type { TokenBucket } from './bucket.js'
 import type { Clock } from './clock.js'
-import type { Rules } from './rules.js'
+import type { InvariantChecker } from './rules.js'
 
-export interface Response {
+export interface FakeResponse {
 	status: number
 	body: unknown
 }
 
 type Body = Record<string, unknown>
-const ok = (body: unknown): Response => ({ status: 200, body })
+const ok = (body: unknown): FakeResponse => ({ status: 200, body })
 const query = (path: string): URLSearchParams => new URLSearchParams(path.split('?')[1] ?? '')
 
 /** The state service: strongly consistent keys, grants, transactions and a watch. */
-export class StateStandIn {
+export class FakeStateStore {
 	private readonly keys = new Map<string, { data: unknown; stamp: number; grant: number | null }>()
 	/** the keys in order; null: to be sorted anew */
 	private order: string[] | null = null
@@ -27,7 +27,7 @@
 	/** clients that alone get a 503, while the others are served and their grants run out; open watches wait */
 	readonly refuses = new Set<number>()
 	/** what it takes a second of requests and of sets and deletions; null: of any number */
-	limits: { requests: Bucket; changes: Bucket } | null = null
+	limits: { requests: TokenBucket; changes: TokenBucket } | null = null
 	/** requests of all kinds so far, and those that were refused as too many */
 	requests = 0
 	refused = 0
@@ -113,7 +113,7 @@
 		method: string,
 		path: string,
 		body: unknown,
-		reply: (r: Response) => void,
+		reply: (r: FakeResponse) => void,
 		client: number | null = null,
 	): void {
 		const route = path.split('?')[0]
@@ -177,7 +177,7 @@
 		return this.down || (client !== null && this.refuses.has(client))
 	}
 
-	private watch(path: string, until: number, reply: (r: Response) => void, client: number | null): void {
+	private watch(path: string, until: number, reply: (r: FakeResponse) => void, client: number | null): void {
 		const from = Number(query(path).get('from'))
 		const blocks = query(path).get('blockMs') !== '0'
 		const denied = this.denies(client)
@@ -198,16 +198,16 @@
 		this.clock.after(20, () => this.watch(path, until, reply, client))
 	}
 
-	private txn(body: Body): Response {
-		const conditions = (body.if ?? []) as Condition[]
-		const changes = (body.apply ?? []) as Change[]
-		for (const c of changes)
+	private txn(body: Body): FakeResponse {
+		const conditions = (body.if ?? []) as WireCondition[]
+		const mutations = (body.apply ?? []) as WireMutation[]
+		for (const c of mutations)
 			if ('set' in c && c.grant !== undefined && !this.grants.has(c.grant))
 				return { status: 400, body: { error: 'no such lease' } }
 		const failed = conditions.filter((c) => (this.keys.get(c.key)?.stamp ?? 0) !== c.stamp).map((c) => c.key)
 		if (failed.length > 0) return { status: 409, body: { failed, epoch: this.epoch } }
-		if (changes.length > 0) this.epoch++
-		for (const c of changes) {
+		if (mutations.length > 0) this.epoch++
+		for (const c of mutations) {
 			if ('set' in c) {
 				if (!this.keys.has(c.set)) this.order = null
 				this.keys.set(c.set, { data: c.data, stamp: this.epoch, grant: c.grant ?? null })
@@ -223,7 +223,7 @@
 }
 
 /** The cloud: rents by name, once; machines come up after a while, some never. */
-export class CloudStandIn {
+export class FakeCloud {
 	private readonly rentals = new Map<string, string[]>()
 	private counter = 0
 	down = false
@@ -243,7 +243,7 @@
 			this.boot(`i-${String(this.counter++).padStart(6, '0')}`, type, zone, false)
 	}
 
-	handle(method: string, path: string, body: unknown): Response {
+	handle(method: string, path: string, body: unknown): FakeResponse {
 		if (this.down) return { status: 503, body: { error: 'trouble' } }
 		if (path === '/catalog') {
 			const flavours = this.types.map((t) => ({
@@ -300,9 +300,9 @@
 	timer: { gone: boolean } | null
 }
 
-export interface WorkerWorld {
+export interface FakeWorkerPorts {
 	clock: Clock
-	rules: Rules
+	rules: InvariantChecker
 	reportMs: number
 	leaseMs: number
 	/** run time and image fetch of a task; null: the job is not known */
@@ -312,13 +312,13 @@
 		controller: string,
 		path: string,
 		body: unknown,
-		reply: (r: Response | null) => void,
+		reply: (r: FakeResponse | null) => void,
 	): void
 	controllers: readonly string[]
 }
 
 /** One machine's worker, as the protocol describes it. */
-export class WorkerStandIn {
+export class FakeWorker {
 	/** one more with every lease that ended */
 	tenure = 1
 	private counter = 0
@@ -338,7 +338,7 @@
 	private hungUntil = 0
 
 	constructor(
-		private readonly w: WorkerWorld,
+		private readonly w: FakeWorkerPorts,
 		readonly id: string,
 		readonly type: MachineType,
 		readonly zone: string,
@@ -443,7 +443,7 @@
 			this.target = at >= 0 ? at : (this.target + 1) % this.w.controllers.length
 			this.lastSent = this.w.clock.nowMs + 1000 - this.w.reportMs
 		}
-		const finish = (r: Response | null) => {
+		const finish = (r: FakeResponse | null) => {
 			if (over || this.dead) return
 			over = true
 			this.inFlight = false
@@ -456,7 +456,7 @@
 				for (const o of r.body.orders as Body[]) this.execute(o)
 			} else next(r?.status === 421 && isMap(r.body) ? ((r.body.overseer as string) ?? null) : null)
 		}
-		const heard = (r: Response | null) =>
+		const heard = (r: FakeResponse | null) =>
 			this.awake(() => finish(this.w.clock.nowMs - sent > 4000 ? null : r))
 		this.w.send(this.id, this.w.controllers[this.target], '/checkin', this.body(), heard)
 		this.w.clock.after(4000, () => this.awake(() => finish(null)))
@@ -514,11 +514,11 @@
 	}
 
 	/** The worker's own address, once it goes on; null: nobody is there any more. */
-	call(path: string, body: unknown): Promise<Response | null> {
+	call(path: string, body: unknown): Promise<FakeResponse | null> {
 		return new Promise((done) => this.awake(() => done(this.dead ? null : this.handle(path, body))))
 	}
 
-	handle(path: string, body: unknown): Response {
+	handle(path: string, body: unknown): FakeResponse {
 		if (path !== '/commands' || !isMap(body) || body.fence === undefined || body.tenure === undefined)
 			return { status: path === '/inspect' ? 200 : 400, body: this.body() }
 		if (Number(body.fence) < Number(this.fence) || body.tenure !== this.tenure)
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -1,27 +1,32 @@
-import { checkSettings, DEFAULTS, derive, type HistorySettings } from '@heathroad/config'
+import {
+	DEFAULT_OPERATOR_SETTINGS,
+	deriveLimits,
+	type HistorySettings,
+	parseSettings,
+} from '@heathroad/config'
 import { Drain } from '@heathroad/daemon'
 import { Service } from '@heathroad/server'
 import {
-	type Answer,
-	type Caller,
 	decode,
 	encode,
+	type HttpClient,
+	type HttpResponse,
+	InvalidSubmission,
 	type JobSpec,
 	type MachineType,
-	Malformed,
-	NoAnswer,
-	readSubmission,
+	NoResponse,
+	parseSubmission,
 } from '@heathroad/wire'
 import { Effect } from 'effect'
-import { Balancer } from './balancer.js'
-import { Bucket } from './bucket.js'
-import { Chances } from './chances.js'
+import { FakeLoadBalancer } from './balancer.js'
+import { TokenBucket } from './bucket.js'
+import { RandomFaults } from './chances.js'
 import { type Clock, VirtualClock } from './clock.js'
-import { Crowd, type DayJob } from './crowd.js'
-import { type Room, Rules } from './rules.js'
-import { CloudStandIn, type Response, StateStandIn, WorkerStandIn } from './standins.js'
+import { type DayJob, UserWorkload } from './crowd.js'
+import { InvariantChecker, type Room } from './rules.js'
+import { FakeCloud, type FakeResponse, FakeStateStore, FakeWorker } from './standins.js'
 
-export interface Trouble {
+export interface Fault {
 	atS: number
 	kind:
 		| 'crash'
@@ -70,11 +75,11 @@
 	hangS?: number
 }
 
-export interface Day {
+export interface SimulatedDay {
 	seed: number
 	untilS: number
 	jobs: readonly DayJob[]
-	troubles: readonly Trouble[]
+	faults: readonly Fault[]
 	/** users ask the controllers that a balancer finds healthy, instead of any */
 	balanced?: boolean
 	/** share of messages lost on their way there or back, or delivered late */
@@ -107,7 +112,7 @@
 const SMALL_HISTORY: HistorySettings = { batch: 10, share: 0.5, cacheMb: 0.1 }
 
 /** The machine type of the stand-ins' cloud. */
-export const BOX: MachineType = {
+export const BOX_MACHINE_TYPE: MachineType = {
 	name: 'box',
 	cpus: 8,
 	gpus: 0,
@@ -127,7 +132,7 @@
 const OWN_ERROR = 'made by the day'
 const address = (i: number, port: number): string => `10.0.0.${i + 1}:${port}`
 
-export const sweep = (uid: string, more: Partial<JobSpec> = {}): JobSpec => ({
+export const arrayJob = (uid: string, more: Partial<JobSpec> = {}): JobSpec => ({
 	uid,
 	jobClass: 'any',
 	team: 'core',
@@ -152,12 +157,12 @@
 })
 
 /** Three controllers of the real service among stand-ins, for one day in virtual time. */
-export class World {
+export class Simulation {
 	readonly clock: Clock
-	readonly rules: Rules
-	readonly state: StateStandIn
-	readonly cloud: CloudStandIn
-	readonly workers = new Map<string, WorkerStandIn>()
+	readonly invariants: InvariantChecker
+	readonly state: FakeStateStore
+	readonly cloud: FakeCloud
+	readonly workers = new Map<string, FakeWorker>()
 	/** machines that the day made faulty */
 	readonly faulty = new Set<string>()
 	private readonly names: readonly string[]
@@ -176,51 +181,57 @@
 	private readonly mute = new Set<string>()
 	/** shares of transactions without an answer that are carried out later or at once, of reports that arrive once more
 	 * later or when a part has a new owner, of messages between controllers and workers that are held up */
-	private readonly chances: Chances<'lateWrites' | 'lostAnswers' | 'lateReports' | 'heldReports' | 'heldUp'>
+	private readonly chances: RandomFaults<
+		'lateWrites' | 'lostAnswers' | 'lateReports' | 'heldReports' | 'heldUp'
+	>
 	/** copies of reports that wait for the next owner of any part */
 	private kept: unknown[] = []
 	private stateSlowMs = 0
 	private linksSlowMs = 0
-	readonly crowd: Crowd
+	readonly workload: UserWorkload
 	private readonly specs = new Map<string, JobSpec>()
-	private readonly balancer: Balancer
+	private readonly balancer: FakeLoadBalancer
 	private readonly times: { reportS: number; leaseS: number; cancelS: number }
 
 	constructor(
-		private readonly day: Day,
+		private readonly day: SimulatedDay,
 		clock?: Clock,
 	) {
 		this.clock = clock ?? new VirtualClock(day.seed)
-		this.chances = new Chances(this.clock)
+		this.chances = new RandomFaults(this.clock)
 		this.names = Array.from({ length: day.controllers ?? 3 }, (_, i) => `ctl-${i}`)
 		this.nodes = this.names.map(() => null)
-		this.balancer = new Balancer(this.names.length)
+		this.balancer = new FakeLoadBalancer(this.names.length)
 		this.lives = this.names.map(() => 0)
 		this.times = day.report ?? { reportS: 1, leaseS: 10, cancelS: 30 }
-		this.rules = new Rules(() => this.clock.nowMs, this.times.cancelS * 1000, day.limits ?? new Map())
-		this.state = new StateStandIn(this.clock)
+		this.invariants = new InvariantChecker(
+			() => this.clock.nowMs,
+			this.times.cancelS * 1000,
+			day.limits ?? new Map(),
+		)
+		this.state = new FakeStateStore(this.clock)
 		this.state.taken = () => this.bringKept()
-		const bucket = (perS: number) => new Bucket(perS, () => this.clock.nowMs)
+		const bucket = (perS: number) => new TokenBucket(perS, () => this.clock.nowMs)
 		if (day.stateLimits)
 			this.state.limits = { requests: bucket(STATE_LIMITS.rps), changes: bucket(STATE_LIMITS.write_rps) }
-		this.crowd = new Crowd({
+		this.workload = new UserWorkload({
 			clock: this.clock,
-			rules: this.rules,
+			rules: this.invariants,
 			controllers: this.names.length,
 			someController: () => this.someController(),
 			send: (i, method, path, body, reply) => {
-				const serve = () => this.face(i, method, path, body)
+				const serve = () => this.sendRequest(i, method, path, body)
 				this.deliver(['users', i], { from: null, to: i }, this.life(i), serve, reply)
 			},
 			hang: (id, forMs) => this.workers.get(id)?.hang(forMs),
 		})
-		this.rules.mayWait = (spec) => spec.jobClass === 'broken'
+		this.invariants.mayWait = (spec) => spec.jobClass === 'broken'
 		const capacity = new Map(
 			['a', 'b'].flatMap((z) => [`box/${z}/true`, `box/${z}/false`].map((k) => [k, day.capacity ?? 4])),
 		)
-		this.cloud = new CloudStandIn(
+		this.cloud = new FakeCloud(
 			this.clock,
-			[BOX],
+			[BOX_MACHINE_TYPE],
 			capacity,
 			(id, type, zone, spot) => this.workers.set(id, this.worker(id, type, zone, spot)),
 			(id) => {
@@ -232,11 +243,11 @@
 		)
 	}
 
-	private worker(id: string, type: MachineType, zone: string, spot: boolean): WorkerStandIn {
-		return new WorkerStandIn(
+	private worker(id: string, type: MachineType, zone: string, spot: boolean): FakeWorker {
+		return new FakeWorker(
 			{
 				clock: this.clock,
-				rules: this.rules,
+				rules: this.invariants,
 				reportMs: this.times.reportS * 1000,
 				leaseMs: this.times.leaseS * 1000,
 				controllers: this.names,
@@ -253,8 +264,8 @@
 				send: (machine, controller, path, body, reply) => {
 					const i = this.names.indexOf(controller)
 					if (this.silent.has(machine) || this.mute.has(machine)) return
-					const serve = () => this.face(i, 'POST', path, body)
-					const heard = (r: Response | null) => {
+					const serve = () => this.sendRequest(i, 'POST', path, body)
+					const heard = (r: FakeResponse | null) => {
 						if (!this.deaf.has(machine)) reply(r)
 					}
 					this.deliver(['workers', i], { from: null, to: i }, this.life(i), serve, heard, zone)
@@ -262,7 +273,7 @@
 					// Copies of old reports, whoever lives at the address by then.
 					if (!this.chances.happens('lateReports')) return
 					const again = this.clock.between(2000, this.times.leaseS * 2500)
-					this.clock.after(again, () => void this.face(i, 'POST', path, body), null)
+					this.clock.after(again, () => void this.sendRequest(i, 'POST', path, body), null)
 				},
 			},
 			id,
@@ -278,7 +289,7 @@
 		this.kept = []
 		for (const body of all)
 			for (const i of this.names.keys()) {
-				const arrive = () => void this.face(i, 'POST', '/checkin', body)
+				const arrive = () => void this.sendRequest(i, 'POST', '/checkin', body)
 				this.clock.after(this.clock.between(0, 400), arrive, null)
 			}
 	}
@@ -288,12 +299,12 @@
 		return () => this.nodes[i] !== null && this.lives[i] === life
 	}
 
-	face(i: number, method: string, path: string, body: unknown): Promise<Response | null> {
+	sendRequest(i: number, method: string, path: string, body: unknown): Promise<FakeResponse | null> {
 		const node = this.nodes[i]
 		if (node === null) return Promise.resolve(null)
 		const raw = body === undefined ? undefined : decode(encode(body))
 		return new Promise((done) =>
-			node.face({ method, path, body: raw }, (r) =>
+			node.handleRequest({ method, path, body: raw }, (r) =>
 				done({ status: r.status, body: decode(encode(r.body ?? {})) }),
 			),
 		)
@@ -307,8 +318,8 @@
 		over: [kind: string, node: number],
 		ends: { from: number | null; to: number | null },
 		alive: () => boolean,
-		serve: () => Promise<Response | null>,
-		reply: (r: Response | null) => void,
+		serve: () => Promise<FakeResponse | null>,
+		reply: (r: FakeResponse | null) => void,
 		other: string | number | null = null,
 	): void {
 		const lossy = this.clock.nowMs < (this.day.lossUntilS ?? Number.POSITIVE_INFINITY) * 1000
@@ -325,7 +336,7 @@
 		const slow = over[0] === 'state' ? this.stateSlowMs * this.clock.between(0.5, 1.5) : 0
 		const link = () => (this.linksSlowMs > 0 ? this.linksSlowMs * this.clock.between(0.5, 1.5) : 0)
 		const holdUp = () => (held ? this.clock.between(500, 6000) : 0)
-		const back = (r: Response | null) => {
+		const back = (r: FakeResponse | null) => {
 			if (r === null || this.clock.random() < loss) return
 			const arrive = () => {
 				if (!cut() && alive()) this.clock.after(0, () => reply(r), ends.from)
@@ -339,16 +350,16 @@
 		this.clock.after(this.clock.between(1, 5) + late + slow + holdUp() + link(), there, null)
 	}
 
-	private caller(i: number): Caller {
+	private caller(i: number): HttpClient {
 		const life = this.life(i)
 		return {
-			call: (to, method, path, body, timeoutMs) =>
-				Effect.callback<Answer, NoAnswer>((resume) => {
+			request: (to, method, path, body, timeoutMs) =>
+				Effect.callback<HttpResponse, NoResponse>((resume) => {
 					const timer = setTimeout(
-						() => resume(Effect.fail(new NoAnswer({ reason: 'no answer' }))),
+						() => resume(Effect.fail(new NoResponse({ reason: 'no answer' }))),
 						timeoutMs,
 					)
-					const answer = (r: Response | null) => {
+					const answer = (r: FakeResponse | null) => {
 						if (r === null || !life()) return
 						clearTimeout(timer)
 						resume(Effect.succeed({ status: r.status, body: decode(encode(r.body)), retryAfter: null }))
@@ -397,7 +408,7 @@
 							{ from: i, to: j },
 							this.life(j),
 							() => {
-								const reply = this.nodes[j]?.members.answer(path, sent) ?? null
+								const reply = this.nodes[j]?.membership.handlePeerRequest(path, sent) ?? null
 								return Promise.resolve(reply === null ? null : { status: 200, body: reply })
 							},
 							answer,
@@ -409,7 +420,7 @@
 	}
 
 	boot(i: number): Service {
-		const settings = checkSettings({
+		const settings = parseSettings({
 			host_name: this.names[i],
 			site: 'a',
 			bind: address(i, 8080),
@@ -440,25 +451,25 @@
 		})
 		const config = {
 			settings: { ...settings, services: { cloud: 'cloud:1', state: 'state:1' } },
-			...DEFAULTS,
+			...DEFAULT_OPERATOR_SETTINGS,
 			history: this.day.history === undefined ? SMALL_HISTORY : this.day.history,
-			derived: derive(settings),
+			limits: deriveLimits(settings),
 		}
 		this.lives[i]++
 		const pace = this.day.drift ? 1 + (i - (this.names.length - 1) / 2) * 0.0005 : 1
 		const node = new Service(config, this.log(i), () => this.clock.nowMs * pace, this.caller(i))
 		this.nodes[i] = node
 		// Users upload a job's description, whichever face they submit it at; workers look it up there.
-		const face = node.face.bind(node)
-		node.face = (call, reply) => {
-			const spec = call.path === '/v2/runs' ? readSubmission(call.body) : null
-			if (spec !== null && !(spec instanceof Malformed)) {
+		const face = node.handleRequest.bind(node)
+		node.handleRequest = (call, respond) => {
+			const spec = call.path === '/v2/runs' ? parseSubmission(call.body) : null
+			if (spec !== null && !(spec instanceof InvalidSubmission)) {
 				this.specs.set(spec.uid, spec)
-				this.rules.submitted(spec)
+				this.invariants.submitted(spec)
 			}
 			const cancelled = /^\/v2\/runs\/([^/]+)\/withdraw$/.exec(call.path)
-			if (cancelled !== null) this.rules.cancelAsked(cancelled[1])
-			face(call, reply)
+			if (cancelled !== null) this.invariants.cancelAsked(cancelled[1])
+			face(call, respond)
 		}
 		this.started(i, node)
 		// A controller that crashes before it has begun must not begin afterwards: it would act, and run, for ever.
@@ -480,24 +491,24 @@
 			if (level === 'debug') return
 			this.tell(`${Math.round(this.clock.nowMs)} ${this.names[i]} ${event} ${JSON.stringify(fields ?? {})}`)
 			if (level === 'error' && fields?.error !== OWN_ERROR)
-				this.rules.broken.push(`error: ${event} ${JSON.stringify(fields)}`)
+				this.invariants.violations.push(`error: ${event} ${JSON.stringify(fields)}`)
 		}
 	}
 
 	/** Begins a day in real time; machines that are up before stay up. */
 	begin(): void {
-		this.cloud.alreadyUp(this.day.up ?? 0, BOX, 'a')
+		this.cloud.alreadyUp(this.day.up ?? 0, BOX_MACHINE_TYPE, 'a')
 		for (let i = 0; i < this.names.length; i++) this.boot(i)
 	}
 
 	/** Ids of all jobs in the state, over or not. */
 	accepted(): string[] {
-		return this.nodes.flatMap((n) => (n === null ? [] : [...n.jobs.known()]))
+		return this.nodes.flatMap((n) => (n === null ? [] : [...n.jobs.knownIds()]))
 	}
 
 	/** Final states that the controllers hold in memory, the most of them. */
 	held(): number {
-		return Math.max(0, ...this.nodes.map((n) => n?.jobs.ended ?? 0))
+		return Math.max(0, ...this.nodes.map((n) => n?.jobs.terminalCount ?? 0))
 	}
 
 	/** Ends all controllers. */
@@ -525,7 +536,7 @@
 
 	private probe(): void {
 		for (const i of this.names.keys())
-			void this.face(i, 'GET', '/healthz', undefined).then((r) =>
+			void this.sendRequest(i, 'GET', '/healthz', undefined).then((r) =>
 				this.balancer.probed(i, r?.status === 200, this.clock.nowMs),
 			)
 		this.clock.after(1000, () => this.probe())
@@ -544,7 +555,7 @@
 					if (!life()) return
 					// As the daemon does: nothing of it acts any more when its grant is given up.
 					const stopped = node.stop()
-					await node.resign()
+					await node.revokeLease()
 					await stopped
 					if (!life()) return
 					this.ended(i)
@@ -564,89 +575,92 @@
 		})
 	}
 
-	private trouble(t: Trouble): void {
-		const who = t.who ?? [0]
-		const forMs = (t.forS ?? 5) * 1000
-		if (t.kind === 'drain') for (const i of who) this.drain(i, t.forS ?? 5)
-		else if (t.kind === 'crash') for (const i of who) this.crash(i, t.forS ?? 5)
-		else if (t.kind === 'freeze') {
+	private trouble(fault: Fault): void {
+		const who = fault.who ?? [0]
+		const forMs = (fault.forS ?? 5) * 1000
+		if (fault.kind === 'drain') for (const i of who) this.drain(i, fault.forS ?? 5)
+		else if (fault.kind === 'crash') for (const i of who) this.crash(i, fault.forS ?? 5)
+		else if (fault.kind === 'freeze') {
 			for (const i of who) if (this.clock instanceof VirtualClock) this.clock.freeze(i, forMs)
-		} else if (t.kind === 'boots') {
-			this.cloud.bootFactor = t.factor ?? 1
+		} else if (fault.kind === 'boots') {
+			this.cloud.bootFactor = fault.factor ?? 1
 			this.clock.after(forMs, () => {
 				this.cloud.bootFactor = 1
 			})
-		} else if (t.kind === 'pollStorm') {
-			this.crowd.eagerness = t.factor ?? 8
+		} else if (fault.kind === 'pollStorm') {
+			this.workload.eagerness = fault.factor ?? 8
 			this.clock.after(forMs, () => {
-				this.crowd.eagerness = 1
+				this.workload.eagerness = 1
 			})
-		} else if (t.kind === 'stateDown') {
+		} else if (fault.kind === 'stateDown') {
 			this.state.down = true
 			this.clock.after(forMs, () => this.state.recover())
-		} else if (t.kind === 'stateRefuses') {
+		} else if (fault.kind === 'stateRefuses') {
 			this.hold(this.state.refuses, who, forMs)
-		} else if (t.kind === 'watchLost') {
+		} else if (fault.kind === 'watchLost') {
 			this.hold(this.watchless, who, forMs)
-		} else if (t.kind === 'cancelAtEnd' || t.kind === 'closeLooks') {
-			this.crowd.chances.begin(t.kind, t.share ?? 1, forMs)
-		} else if (t.kind === 'cancelNow') this.crowd.cancelNow(t.count ?? 10, (t.hangS ?? 0) * 1000)
-		else if (t.kind === 'oddRequests') this.crowd.err(forMs)
-		else if (t.kind === 'machineHang') {
-			for (const w of this.workers.values()) if (this.clock.random() < (t.share ?? 0.5)) w.hang(forMs)
-		} else if (t.kind === 'slowLinks') {
-			this.linksSlowMs = (t.factor ?? 1) * 300
+		} else if (fault.kind === 'cancelAtEnd' || fault.kind === 'closeLooks') {
+			this.workload.chances.begin(fault.kind, fault.share ?? 1, forMs)
+		} else if (fault.kind === 'cancelNow')
+			this.workload.cancelNow(fault.count ?? 10, (fault.hangS ?? 0) * 1000)
+		else if (fault.kind === 'oddRequests') this.workload.err(forMs)
+		else if (fault.kind === 'machineHang') {
+			for (const worker of this.workers.values())
+				if (this.clock.random() < (fault.share ?? 0.5)) worker.hang(forMs)
+		} else if (fault.kind === 'slowLinks') {
+			this.linksSlowMs = (fault.factor ?? 1) * 300
 			this.clock.after(forMs, () => {
 				this.linksSlowMs = 0
 			})
 		} else if (
-			t.kind === 'lateWrites' ||
-			t.kind === 'lostAnswers' ||
-			t.kind === 'lateReports' ||
-			t.kind === 'heldReports' ||
-			t.kind === 'heldUp'
+			fault.kind === 'lateWrites' ||
+			fault.kind === 'lostAnswers' ||
+			fault.kind === 'lateReports' ||
+			fault.kind === 'heldReports' ||
+			fault.kind === 'heldUp'
 		) {
-			this.chances.begin(t.kind, t.share ?? 0.5, forMs)
-		} else if (t.kind === 'machineDeaf' || t.kind === 'machineMute') {
-			const all = t.kind === 'machineDeaf' ? this.deaf : this.mute
-			const some = [...this.workers.keys()].filter(() => this.clock.random() < (t.share ?? 0.5))
+			this.chances.begin(fault.kind, fault.share ?? 0.5, forMs)
+		} else if (fault.kind === 'machineDeaf' || fault.kind === 'machineMute') {
+			const all = fault.kind === 'machineDeaf' ? this.deaf : this.mute
+			const some = [...this.workers.keys()].filter(() => this.clock.random() < (fault.share ?? 0.5))
 			this.hold(all, some, forMs)
-		} else if (t.kind === 'stateSlow') {
+		} else if (fault.kind === 'stateSlow') {
 			this.stateSlowMs = 150
 			this.clock.after(forMs, () => {
 				this.stateSlowMs = 0
 			})
-		} else if (t.kind === 'spotNotice') {
-			const spot = [...this.workers.values()].filter((w) => !w.dead && w.spot)
+		} else if (fault.kind === 'spotNotice') {
+			const spot = [...this.workers.values()].filter((worker) => !worker.dead && worker.spot)
 			spot[Math.floor(this.clock.random() * spot.length)]?.notice(forMs)
-		} else if (t.kind === 'ownError') {
-			for (const i of who) this.nodes[i]?.recover(OWN_ERROR)
-		} else if (t.kind === 'cloudDown') {
+		} else if (fault.kind === 'ownError') {
+			for (const i of who) this.nodes[i]?.recoverFromError(OWN_ERROR)
+		} else if (fault.kind === 'cloudDown') {
 			this.cloud.down = true
 			this.clock.after(forMs, () => {
 				this.cloud.down = false
 			})
-		} else if (t.kind === 'machineDies') {
-			const alive = [...this.workers.values()].filter((w) => !w.dead)
+		} else if (fault.kind === 'machineDies') {
+			const alive = [...this.workers.values()].filter((worker) => !worker.dead)
 			alive[Math.floor(this.clock.random() * alive.length)]?.die()
-		} else if (t.kind === 'machineFaulty') {
-			const alive = [...this.workers.values()].filter((w) => !w.dead)
+		} else if (fault.kind === 'machineFaulty') {
+			const alive = [...this.workers.values()].filter((worker) => !worker.dead)
 			const one = alive[Math.floor(this.clock.random() * alive.length)]
 			if (one !== undefined) {
 				one.faulty = true
 				this.faulty.add(one.id)
 			}
-		} else if (t.kind === 'zoneCut') {
-			this.island = { zone: t.zone ?? 'a', who }
+		} else if (fault.kind === 'zoneCut') {
+			this.island = { zone: fault.zone ?? 'a', who }
 			this.clock.after(forMs, () => {
 				this.island = null
 			})
-		} else if (t.kind === 'machinesCut') {
+		} else if (fault.kind === 'machinesCut') {
 			const cut = [...this.workers.keys()].filter((_, i) => i % 2 === 0)
 			this.hold(this.silent, cut, forMs)
 		} else
 			for (const i of who) {
-				const kinds = t.from === undefined ? ['state', 'cloud', 'workers', 'peers', 'users'] : [t.from].flat()
+				const kinds =
+					fault.from === undefined ? ['state', 'cloud', 'workers', 'peers', 'users'] : [fault.from].flat()
 				this.cuts.set(i, new Set(kinds))
 				this.clock.after(forMs, () => this.cuts.delete(i))
 			}
@@ -664,15 +678,15 @@
 	async play(): Promise<void> {
 		if (!(this.clock instanceof VirtualClock)) throw new Error('a day is played in virtual time')
 		await this.clock.run(this.day.untilS * 1000, () => {
-			this.cloud.alreadyUp(this.day.up ?? 0, BOX, 'a')
+			this.cloud.alreadyUp(this.day.up ?? 0, BOX_MACHINE_TYPE, 'a')
 			for (let i = 0; i < this.names.length; i++)
 				this.clock.after(this.clock.between(0, 300), () => this.boot(i))
 			if (this.day.balanced) this.probe()
-			for (const job of this.day.jobs) this.crowd.add(job)
-			const ends = this.day.troubles.map((t) => t.atS + (t.forS ?? 5))
+			for (const job of this.day.jobs) this.workload.add(job)
+			const ends = this.day.faults.map((fault) => fault.atS + (fault.forS ?? 5))
 			if ((this.day.loss ?? 0) > 0) ends.push(this.day.lossUntilS ?? Number.POSITIVE_INFINITY)
-			this.rules.calmFromMs = Math.max(0, ...ends) * 1000
-			for (const t of this.day.troubles) this.clock.after(t.atS * 1000, () => this.trouble(t))
+			this.invariants.calmFromMs = Math.max(0, ...ends) * 1000
+			for (const fault of this.day.faults) this.clock.after(fault.atS * 1000, () => this.trouble(fault))
 			// Nobody submits this one: it must stay unknown.
 			const ghost = () => {
 				const i = Math.floor(this.clock.random() * this.names.length)
@@ -680,11 +694,11 @@
 					['users', i],
 					{ from: null, to: i },
 					this.life(i),
-					() => this.face(i, 'GET', '/v2/runs/job-999999', undefined),
-					(r) => this.rules.told('job-999999', r?.status ?? 0, null, null),
+					() => this.sendRequest(i, 'GET', '/v2/runs/job-999999', undefined),
+					(r) => this.invariants.told('job-999999', r?.status ?? 0, null, null),
 				)
-				this.rules.check()
-				this.rules.look(this.room(), Math.ceil(this.times.reportS * 5))
+				this.invariants.check()
+				this.invariants.look(this.room(), Math.ceil(this.times.reportS * 5))
 				this.clock.after(1000, ghost)
 			}
 			ghost()
--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -15,7 +15,7 @@
 
 const num = (v: unknown, fallback: number): number => (typeof v === 'number' && v >= 0 ? v : fallback)
 
-export const readCatalog = (body: unknown): MachineType[] | null => {
+export const parseMachineTypes = (body: unknown): MachineType[] | null => {
 	if (!isMap(body) || !Array.isArray(body.flavours)) return null
 	const types: MachineType[] = []
 	for (const f of body.flavours) {
@@ -37,7 +37,7 @@
 	return types
 }
 
-export const readHosts = (body: unknown): string[] | null =>
+export const parseMachineIds = (body: unknown): string[] | null =>
 	isMap(body) && Array.isArray(body.hosts)
 		? body.hosts.filter((h): h is string => typeof h === 'string')
 		: null
--- a/packages/wire/src/http.ts
+++ b/packages/wire/src/http.ts
@@ -1,27 +1,27 @@
 import * as http from 'node:http'
 import { Data, Effect } from 'effect'
-import { BODY_LIMIT, decode, encode } from './codec.js'
+import { decode, encode, MAX_BODY_BYTES } from './codec.js'
 
 /** A request that got no usable answer. It may have been carried out, or may be later. */
-export class NoAnswer extends Data.TaggedError('NoAnswer')<{ readonly reason: string }> {}
+export class NoResponse extends Data.TaggedError('NoResponse')<{ readonly reason: string }> {}
 
-export interface Answer {
+export interface HttpResponse {
 	status: number
 	body: unknown
 	retryAfter: number | null
 }
 
-export interface Caller {
-	call(
+export interface HttpClient {
+	request(
 		address: string,
 		method: string,
 		path: string,
 		body: unknown,
 		timeoutMs: number,
-	): Effect.Effect<Answer, NoAnswer>
+	): Effect.Effect<HttpResponse, NoResponse>
 }
 
-export interface HttpCaller extends Caller {
+export interface ClosableHttpClient extends HttpClient {
 	/** Lets idle connections go. */
 	close(): void
 }
@@ -30,25 +30,25 @@
  * HTTP client, over kept-alive connections where the same address is called again and again. `sockets` bounds the
  * connections to one address, so that a silent peer cannot use up the process's sockets.
  */
-export const makeCaller = (sockets: number, keepAlive = true): HttpCaller => {
+export const createHttpClient = (sockets: number, keepAlive = true): ClosableHttpClient => {
 	const agent = new http.Agent({ keepAlive, maxSockets: sockets, maxFreeSockets: 2 })
 	return {
 		close: () => agent.destroy(),
-		call: (address, method, path, body, timeoutMs) =>
-			Effect.callback<Answer, NoAnswer>((resume) => {
+		request: (address, method, path, body, timeoutMs) =>
+			Effect.callback<HttpResponse, NoResponse>((resume) => {
 				const colon = address.lastIndexOf(':')
 				const payload = body === undefined ? null : encode(body)
 				const headers: Record<string, string | number> = payload
 					? { 'content-type': 'application/msgpack', 'content-length': payload.length }
 					: {}
 				let settled = false
-				const finish = (result: Effect.Effect<Answer, NoAnswer>) => {
+				const finish = (result: Effect.Effect<HttpResponse, NoResponse>) => {
 					if (settled) return
 					settled = true
 					clearTimeout(timer)
 					resume(result)
 				}
-				const fail = (reason: string) => finish(Effect.fail(new NoAnswer({ reason })))
+				const fail = (reason: string) => finish(Effect.fail(new NoResponse({ reason })))
 				const request = http.request(
 					{
 						agent,
@@ -99,7 +99,7 @@
 	}
 }
 
-export interface Reply {
+export interface HttpReply {
 	status: number
 	body?: unknown
 	retryAfterS?: number
@@ -107,14 +107,14 @@
 
 type Headers = Record<string, string | number>
 
-const written = (reply: Reply): { headers: Headers; payload: Buffer } => {
+const written = (reply: HttpReply): { headers: Headers; payload: Buffer } => {
 	const payload = encode(reply.body ?? {})
 	const headers: Headers = { 'content-type': 'application/msgpack', 'content-length': payload.length }
 	if (reply.retryAfterS !== undefined) headers['retry-after'] = Math.max(1, Math.ceil(reply.retryAfterS))
 	return { headers, payload }
 }
 
-export const sendReply = (response: http.ServerResponse, reply: Reply): void => {
+export const sendReply = (response: http.ServerResponse, reply: HttpReply): void => {
 	if (response.headersSent || response.destroyed) return
 	const { headers, payload } = written(reply)
 	response.writeHead(reply.status, headers)
@@ -126,9 +126,9 @@
  * the client, which is still writing, never sees the answer: so our side ends first, and what comes meanwhile is
  * dropped, for `limits.ms` and `limits.bytes` at most.
  */
-export const sendEarly = (
+export const sendReplyAndClose = (
 	request: http.IncomingMessage,
-	reply: Reply,
+	reply: HttpReply,
 	limits: { ms: number; bytes: number },
 ): void => {
 	const { socket } = request
@@ -152,20 +152,20 @@
 }
 
 /** Why a body was not read. */
-export type Unread = 'too long' | 'not MessagePack'
+export type UnreadableBody = 'too long' | 'not MessagePack'
 
 /** Collects a request's body. One that is longer than any interface takes is not waited for. */
 export const readBody = (
 	request: http.IncomingMessage,
-	done: (body: unknown, unread: Unread | null) => void,
+	done: (body: unknown, unread: UnreadableBody | null) => void,
 ): void => {
-	if (Number(request.headers['content-length'] ?? 0) > BODY_LIMIT) return done(null, 'too long')
+	if (Number(request.headers['content-length'] ?? 0) > MAX_BODY_BYTES) return done(null, 'too long')
 	const chunks: Buffer[] = []
 	let size = 0
 	let over = false
 	request.on('data', (c: Buffer) => {
 		size += c.length
-		if (size <= BODY_LIMIT) chunks.push(c)
+		if (size <= MAX_BODY_BYTES) chunks.push(c)
 		else if (!over) {
 			// The rest is not waited for: a body that never ends must not hold a socket.
 			over = true
--- a/packages/wire/src/jobs.ts
+++ b/packages/wire/src/jobs.ts
@@ -29,12 +29,12 @@
 }
 
 /** The form of a job's id (protocol). */
-export const UID = /^job-\d{6,20}$/
-export const UID_FORM = '"job-" followed by 6 to 20 digits'
-export const MOST_TASKS = 100_000
+export const JOB_ID_PATTERN = /^job-\d{6,20}$/
+export const JOB_ID_FORMAT = '"job-" followed by 6 to 20 digits'
+export const MAX_TASKS = 100_000
 
 /** The form in which clients send a job. */
-export const writeSubmission = (job: JobSpec): Record<string, unknown> => ({
+export const encodeSubmission = (job: JobSpec): Record<string, unknown> => ({
 	uid: job.uid,
 	jobclass: job.jobClass,
 	owner: job.team,
@@ -57,7 +57,7 @@
 	dueS: job.dueS,
 })
 
-export interface JobAnswer {
+export interface JobStatusResponse {
 	uid: string
 	status: JobStatus
 	done?: number
--- a/packages/wire/src/state.ts
+++ b/packages/wire/src/state.ts
@@ -1,36 +1,90 @@
+/**
+ * Messages of the state service, a consensus-backed key-value store. Its revision is called `epoch` on the wire, a key's
+ * mod revision `stamp`, and a lease `grant`; the names are mapped here and nowhere else.
+ */
 import { isMap } from './codec.js'
 
+/** A transaction applies only while the key still has this mod revision; 0: while the key is absent. */
 export interface Condition {
 	key: string
-	stamp: number
+	modRevision: number
 }
 
-export type Change = { set: string; data: unknown; grant?: number } | { delete: string }
+/** A change of one key. A key that is attached to a lease is deleted when the lease expires. */
+export type Mutation = { set: string; data: unknown; leaseId?: number } | { delete: string }
 
-export interface LogEntry {
+/** A key with its value and the revision of its latest change. */
+export interface KeyValue {
 	key: string
 	/** undefined: the key was deleted */
 	data: unknown
+	modRevision: number
+}
+
+/** Changes behind a revision, in the order in which they were applied, up to and with `revision`. */
+export interface WatchResponse {
+	revision: number
+	log: KeyValue[]
+}
+
+/** A page of keys in their order, as of `revision`. */
+export interface RangeResponse {
+	entries: KeyValue[]
+	/** are there further keys behind the last one? */
+	more: boolean
+	revision: number
+}
+
+/** A condition as it is sent. */
+export interface WireCondition {
+	key: string
 	stamp: number
 }
 
-export const readLog = (body: unknown): { epoch: number; log: LogEntry[] } | null => {
+/** A mutation as it is sent. */
+export type WireMutation = { set: string; data: unknown; grant?: number } | { delete: string }
+
+/** A transaction as it is sent. */
+export interface WireTransaction {
+	if: WireCondition[]
+	apply: WireMutation[]
+}
+
+const encodeMutation = (mutation: Mutation): WireMutation => {
+	if ('delete' in mutation) return mutation
+	const { set, data, leaseId } = mutation
+	return leaseId === undefined ? { set, data } : { set, data, grant: leaseId }
+}
+
+/** The body of a transaction request. */
+export const encodeTransaction = (
+	conditions: readonly Condition[],
+	mutations: readonly Mutation[],
+): WireTransaction => ({
+	if: conditions.map(({ key, modRevision }) => ({ key, stamp: modRevision })),
+	apply: mutations.map(encodeMutation),
+})
+
+/** Reads the answer to a watch request; null: it is malformed. */
+export const parseWatchResponse = (body: unknown): WatchResponse | null => {
 	if (!isMap(body) || typeof body.epoch !== 'number' || !Array.isArray(body.log)) return null
-	const log: LogEntry[] = []
-	for (const e of body.log) {
-		if (!isMap(e) || typeof e.stamp !== 'number') return null
-		if (typeof e.set === 'string') log.push({ key: e.set, data: e.data ?? null, stamp: e.stamp })
-		else if (typeof e.delete === 'string') log.push({ key: e.delete, data: undefined, stamp: e.stamp })
+	const log: KeyValue[] = []
+	for (const event of body.log) {
+		if (!isMap(event) || typeof event.stamp !== 'number') return null
+		const modRevision = event.stamp
+		if (typeof event.set === 'string') log.push({ key: event.set, data: event.data ?? null, modRevision })
+		else if (typeof event.delete === 'string') log.push({ key: event.delete, data: undefined, modRevision })
 	}
-	return { epoch: body.epoch, log }
+	return { revision: body.epoch, log }
 }
 
-export const readRange = (body: unknown): { entries: LogEntry[]; more: boolean; epoch: number } | null => {
+/** Reads the answer to a range request; null: it is malformed. */
+export const parseRangeResponse = (body: unknown): RangeResponse | null => {
 	if (!isMap(body) || typeof body.epoch !== 'number' || !Array.isArray(body.entries)) return null
-	const entries: LogEntry[] = []
-	for (const e of body.entries) {
-		if (!isMap(e) || typeof e.key !== 'string' || typeof e.stamp !== 'number') return null
-		entries.push({ key: e.key, data: e.data ?? null, stamp: e.stamp })
+	const entries: KeyValue[] = []
+	for (const entry of body.entries) {
+		if (!isMap(entry) || typeof entry.key !== 'string' || typeof entry.stamp !== 'number') return null
+		entries.push({ key: entry.key, data: entry.data ?? null, modRevision: entry.stamp })
 	}
-	return { entries, more: body.truncated === true, epoch: body.epoch }
+	return { entries, more: body.truncated === true, revision: body.epoch }
 }
--- a/packages/wire/src/submission.ts
+++ b/packages/wire/src/submission.ts
@@ -1,6 +1,6 @@
 import { Result, Schema, SchemaIssue } from 'effect'
 import { isMap } from './codec.js'
-import { type JobSpec, MOST_TASKS, UID, UID_FORM } from './jobs.js'
+import { JOB_ID_FORMAT, JOB_ID_PATTERN, type JobSpec, MAX_TASKS } from './jobs.js'
 
 // What each must be is said in words: it reaches users.
 const amount = Schema.Finite.check(Schema.isGreaterThanOrEqualTo(0, { expected: 'a number of 0 or more' }))
@@ -11,15 +11,15 @@
 const orNull = <S extends Schema.Top>(what: S) => Schema.optional(Schema.NullOr(what))
 
 const Submission = Schema.Struct({
-	uid: Schema.String.check(Schema.isPattern(UID, { expected: UID_FORM })),
+	uid: Schema.String.check(Schema.isPattern(JOB_ID_PATTERN, { expected: JOB_ID_FORMAT })),
 	jobclass: name,
 	owner: name,
 	shape: Schema.Literals(['sweep', 'daemon', 'gang']),
 	urgency: Schema.Literals(['production', 'urgent', 'normal', 'idle']),
 	pieces: Schema.Int.check(
 		Schema.isBetween(
-			{ minimum: 1, maximum: MOST_TASKS },
-			{ expected: `a whole number from 1 to ${MOST_TASKS}` },
+			{ minimum: 1, maximum: MAX_TASKS },
+			{ expected: `a whole number from 1 to ${MAX_TASKS}` },
 		),
 	),
 	cpus: amount,
@@ -42,7 +42,7 @@
 const issuesOf = SchemaIssue.makeFormatterStandardSchemaV1()
 
 /** Why a submission cannot be read: its field as the protocol names it, null for the whole, and what is wrong. */
-export class Malformed {
+export class InvalidSubmission {
 	constructor(
 		readonly field: string | null,
 		readonly problem: string,
@@ -54,13 +54,13 @@
 }
 
 /** Reads a submission, or says why it is malformed. */
-export const readSubmission = (body: unknown): JobSpec | Malformed => {
-	if (!isMap(body)) return new Malformed(null, 'the body is not a map')
+export const parseSubmission = (body: unknown): JobSpec | InvalidSubmission => {
+	if (!isMap(body)) return new InvalidSubmission(null, 'the body is not a map')
 	const read = decodeSubmission(body)
 	if (Result.isFailure(read)) {
 		const [first] = issuesOf(read.failure.issue).issues
 		const field = first.path?.map(String).join('.') ?? ''
-		return new Malformed(field === '' ? null : field, first.message)
+		return new InvalidSubmission(field === '' ? null : field, first.message)
 	}
 	const w = read.success
 	return {
--- a/tests/client.test.ts
+++ b/tests/client.test.ts
@@ -14,9 +14,9 @@
 	newUid,
 	UnknownJob,
 } from '@heathroad/client'
-import { listen, type Tell } from '@heathroad/server'
-import { RealClock, World } from '@heathroad/testkit'
-import { isMap, UID } from '@heathroad/wire'
+import { type Respond, startHttpServer } from '@heathroad/server'
+import { RealClock, Simulation } from '@heathroad/testkit'
+import { isMap, JOB_ID_PATTERN } from '@heathroad/wire'
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { pauseMs, worthwhile } from '../packages/client/src/retry.js'
@@ -30,7 +30,7 @@
 	/** how often each id was carried out as a new job, by the label that its caller gave it */
 	const executed = new Map<string, Set<string>>()
 	const faults: Record<string, number> = {}
-	const server = await listen('127.0.0.1:0', limits, (call, reply: Tell) => {
+	const server = await startHttpServer('127.0.0.1:0', limits, (call, reply: Respond) => {
 		const kind = fault(random)
 		faults[kind] = (faults[kind] ?? 0) + 1
 		if (kind === 'refused') return reply({ status: 503, retryAfterS: 1 })
@@ -61,7 +61,7 @@
 			const uid = i % 2 === 0 ? { uid: `job-${String(1_000_000 + i)}` } : {}
 			try {
 				const job = await client.submit({ ...uid, jobClass: 'any', team: 'core', image: `label-${i}` })
-				assert.match(job.uid, UID)
+				assert.match(job.uid, JOB_ID_PATTERN)
 			} catch (e) {
 				refused.push(String(e))
 			}
@@ -82,9 +82,11 @@
 	const closed = await faulty(1, () => 'answered')
 	closed.server.close()
 	const silent = await faulty(2, () => 'silent')
-	const busy = await listen('127.0.0.1:0', limits, (_, reply) => reply({ status: 429, retryAfterS: 20 }))
+	const busy = await startHttpServer('127.0.0.1:0', limits, (_, reply) =>
+		reply({ status: 429, retryAfterS: 20 }),
+	)
 	const says = (status: number) =>
-		listen('127.0.0.1:0', limits, (_, reply) => reply({ status, body: { error: 'no' } }))
+		startHttpServer('127.0.0.1:0', limits, (_, reply) => reply({ status, body: { error: 'no' } }))
 	const servers = [await says(400), await says(422), await says(404)]
 	const at = (s: { address(): unknown }) => `127.0.0.1:${(s.address() as AddressInfo).port}`
 	const cases: [name: string, http: string, kind: new (...a: never[]) => JobError, maybe: boolean][] = [
@@ -100,7 +102,7 @@
 		const e: unknown = await client.submit({ jobClass: 'any', team: 'core', image: 'x' }).catch((e) => e)
 		assert.ok(e instanceof kind, `${name}: ${e}`)
 		assert.equal(e.mayBeAccepted, maybe, name)
-		assert.match(e.uid, UID, 'it says under which id')
+		assert.match(e.uid, JOB_ID_PATTERN, 'it says under which id')
 		client.close()
 	}
 	const client = new Client({ http: [silent.address], deadlineMs: 20_000 })
@@ -149,14 +151,16 @@
 	const code = /```ts\n([\s\S]*?)```/.exec(page)?.[1]
 	assert.ok(code !== undefined)
 	const clock = new RealClock()
-	const day = { seed: 1, untilS: 0, jobs: [], troubles: [], controllers: 1, up: 4, capacity: 0 }
-	const world = new World({ ...day, report: { reportS: 0.5, leaseS: 6, cancelS: 14 } }, clock)
+	const day = { seed: 1, untilS: 0, jobs: [], faults: [], controllers: 1, up: 4, capacity: 0 }
+	const world = new Simulation({ ...day, report: { reportS: 0.5, leaseS: 6, cancelS: 14 } }, clock)
 	const node = await new Promise<number>((resolve) => {
 		world.started = (_, service) => {
-			void listen('127.0.0.1:0', limits, (call, reply) => service.face(call, reply)).then((server) => {
-				server.unref()
-				resolve((server.address() as AddressInfo).port)
-			})
+			void startHttpServer('127.0.0.1:0', limits, (call, reply) => service.handleRequest(call, reply)).then(
+				(server) => {
+					server.unref()
+					resolve((server.address() as AddressInfo).port)
+				},
+			)
 		}
 		world.begin()
 	})
--- a/tests/cloud.test.ts
+++ b/tests/cloud.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { Cloud } from '@heathroad/cloud'
-import type { Caller } from '@heathroad/wire'
+import { CloudClient } from '@heathroad/cloud'
+import type { HttpClient } from '@heathroad/wire'
 import { Effect } from 'effect'
 
 test('the slice of the call rate fills while nobody calls (incident 4)', () => {
 	let now = 0
-	const caller: Caller = { call: () => Effect.never }
-	const cloud = new Cloud(caller, 'cloud:1', 0.3, 1000, () => now)
+	const caller: HttpClient = { request: () => Effect.never }
+	const cloud = new CloudClient(caller, 'cloud:1', 0.3, 1000, () => now)
 	const cases = [
 		{ name: 'the burst is one call at least', calls: 0, atMs: 0, left: 1 },
 		{ name: 'it is spent', calls: 1, atMs: 0, left: 0 },
@@ -19,6 +19,6 @@
 	for (const c of cases) {
 		now = c.atMs
 		for (let i = 0; i < c.calls; i++) Effect.runFork(cloud.release(['i-000001']))
-		assert.equal(cloud.callsNow(), c.left, c.name)
+		assert.equal(cloud.availableCalls(), c.left, c.name)
 	}
 })
--- a/tests/config.test.ts
+++ b/tests/config.test.ts
@@ -30,9 +30,12 @@
 }
 
 test('settings: good ones, and what is said of bad ones', () => {
-	const { derived } = loadConfig(file('good.json', JSON.stringify(good())))
-	assert.deepEqual(derived.names, ['c-0', 'c-1'], 'parts are numbered by the sorted names')
-	assert.ok(derived.grantMs + derived.promiseMs + derived.leaseMs < derived.cancelMs, 'the safety sum')
+	const { limits: derived } = loadConfig(file('good.json', JSON.stringify(good())))
+	assert.deepEqual(derived.controllerNames, ['c-0', 'c-1'], 'parts are numbered by the sorted names')
+	assert.ok(
+		derived.controllerLeaseMs + derived.takeoverPromiseMs + derived.agentLeaseMs < derived.cancelMs,
+		'the safety sum',
+	)
 	const cases: { name: string; change: (s: ReturnType<typeof good>) => void; says: RegExp }[] = [
 		{
 			name: 'a missing field',
@@ -78,7 +81,7 @@
 test('INI: known keys in range, everything else is a typing error', () => {
 	const path = file('settings.json', JSON.stringify(good()))
 	const { tuning } = loadConfig(path, file('good.ini', '[machines]\nidle_reports = 9\n[budget]\nmix=0.25\n'))
-	assert.deepEqual([tuning.idleReports, tuning.progressReports, tuning.budgetMix], [9, 3, 0.25])
+	assert.deepEqual([tuning.idleHeartbeats, tuning.progressHeartbeats, tuning.budgetMix], [9, 3, 0.25])
 	assert.equal(
 		loadConfig(path, file('plain.ini', '[budget]\nmix=0.25\n')).grpc,
 		null,
@@ -90,7 +93,7 @@
 	const tight = good()
 	tight.deployment.workers.cancel_s = tight.deployment.workers.lease_s + 1
 	const tightPath = file('tight.json', JSON.stringify(tight))
-	assert.ok(loadConfig(tightPath).derived.confirmAfterMs > 0)
+	assert.ok(loadConfig(tightPath).limits.cancellationConfirmDelayMs > 0)
 	assert.throws(
 		() => loadConfig(tightPath, join(dir, 'grpc.ini')),
 		/\[grpc\]: needs a cancel_s of [0-9.]+ at least/,
--- a/tests/daemon.test.ts
+++ b/tests/daemon.test.ts
@@ -3,7 +3,7 @@
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import { test } from 'node:test'
-import { ConfigError, DEFAULTS, readIni } from '@heathroad/config'
+import { ConfigError, DEFAULT_OPERATOR_SETTINGS, readOperatorSettings } from '@heathroad/config'
 import {
 	answerAdmin,
 	type Daemon,
@@ -12,10 +12,10 @@
 	needRestart,
 	nextPhase,
 } from '@heathroad/daemon'
-import { tellMetrics } from '@heathroad/metrics'
+import { serveMetrics } from '@heathroad/metrics'
 import type { PluginHost } from '@heathroad/plugins'
-import { sweep, World } from '@heathroad/testkit'
-import type { Reply } from '@heathroad/wire'
+import { arrayJob, Simulation } from '@heathroad/testkit'
+import type { HttpReply } from '@heathroad/wire'
 
 test('what a drain does next', () => {
 	const state = (more: Partial<DrainState>): DrainState => ({
@@ -40,23 +40,23 @@
 		assert.equal(nextPhase(state(at), { drainS: 30, balancerS: 4 }), next, name)
 })
 
-const submissions = (world: World) => ({
-	refused: [...world.crowd.submissions].reduce((n, [status, count]) => n + (status >= 429 ? count : 0), 0),
-	unanswered: world.crowd.submissions.get(0) ?? 0,
+const submissions = (world: Simulation) => ({
+	refused: [...world.workload.submissions].reduce((n, [status, count]) => n + (status >= 429 ? count : 0), 0),
+	unanswered: world.workload.submissions.get(0) ?? 0,
 })
 
 test('all controllers drained one after the other: no submission is refused or lost, no lease runs out', async () => {
 	const run = async (kind: 'drain' | 'crash') => {
-		const world = new World({
+		const world = new Simulation({
 			seed: 61,
 			untilS: 260,
 			balanced: true,
 			capacity: 6,
 			jobs: Array.from({ length: 220 }, (_, i) => ({
 				atS: 4 + i * 0.7,
-				spec: sweep(`job-006${String(i).padStart(3, '0')}`, { tasks: 3, expectedS: 10 }),
+				spec: arrayJob(`job-006${String(i).padStart(3, '0')}`, { tasks: 3, expectedS: 10 }),
 			})),
-			troubles: [0, 1, 2].map((i) => ({ atS: 30 + i * 40, kind, who: [i], forS: 4 })),
+			faults: [0, 1, 2].map((i) => ({ atS: 30 + i * 40, kind, who: [i], forS: 4 })),
 		})
 		let leases = 0
 		let drained = 0
@@ -65,8 +65,8 @@
 			if (/ draining .*"over"/.test(line)) drained++
 		}
 		await world.play()
-		assert.deepEqual(world.rules.broken, [])
-		assert.deepEqual(world.rules.unfinished(), [])
+		assert.deepEqual(world.invariants.violations, [])
+		assert.deepEqual(world.invariants.unfinished(), [])
 		return { ...submissions(world), leases, drained }
 	}
 	const drain = await run('drain')
@@ -76,7 +76,7 @@
 })
 
 test('a drain while the state is down, or while others are gone, ends in its time and loses nothing', async () => {
-	const rows: { name: string; troubles: ConstructorParameters<typeof World>[0]['troubles'] }[] = [
+	const rows: { name: string; troubles: ConstructorParameters<typeof Simulation>[0]['faults'] }[] = [
 		{
 			name: 'the state goes down as parts are handed over',
 			troubles: [
@@ -106,17 +106,24 @@
 	for (const { name, troubles } of rows) {
 		const jobs = Array.from({ length: 30 }, (_, i) => ({
 			atS: 2 + i * 2,
-			spec: sweep(`job-0070${String(i).padStart(2, '0')}`, { tasks: 6, expectedS: 8 }),
+			spec: arrayJob(`job-0070${String(i).padStart(2, '0')}`, { tasks: 6, expectedS: 8 }),
 		}))
-		const world = new World({ seed: 62, untilS: 300, jobs, troubles, loss: 0.01, lossUntilS: 200 })
+		const world = new Simulation({
+			seed: 62,
+			untilS: 300,
+			jobs,
+			faults: troubles,
+			loss: 0.01,
+			lossUntilS: 200,
+		})
 		const over: number[] = []
 		world.tell = (line) => {
 			const at = /^(\d+) \S+ draining .*"phase":"over"/.exec(line)
 			if (at !== null) over.push(Number(at[1]))
 		}
 		await world.play()
-		assert.deepEqual(world.rules.broken, [], name)
-		assert.deepEqual(world.rules.unfinished(), [], name)
+		assert.deepEqual(world.invariants.violations, [], name)
+		assert.deepEqual(world.invariants.unfinished(), [], name)
 		assert.ok(
 			over.every((ms) => ms <= 30_000 + 30_500),
 			`${name}: ${over}`,
@@ -144,7 +151,7 @@
 when_unsure = hold-until-limit
 classes = merchant-payout, payout-2
 grant = team-jobs`
-	const read = await withIni(full, readIni)
+	const read = await withIni(full, readOperatorSettings)
 	assert.deepEqual(read.plugins, {
 		dir: '/etc/plugins',
 		lookS: 5,
@@ -157,7 +164,7 @@
 				whenUnsure: 'hold',
 				classes: ['merchant-payout', 'payout-2'],
 				teams: null,
-				grant: ['team-jobs'],
+				permissions: ['team-jobs'],
 			},
 		},
 	})
@@ -175,7 +182,7 @@
 	for (const [name, text, what] of rows)
 		await withIni(text, (path) =>
 			assert.throws(
-				() => readIni(path),
+				() => readOperatorSettings(path),
 				(e) => e instanceof ConfigError && what.test(e.message),
 				name,
 			),
@@ -183,11 +190,11 @@
 })
 
 test('a reload says what it cannot take over', () => {
-	const before = { ...DEFAULTS } as Parameters<typeof needRestart>[0]
-	assert.deepEqual(needRestart(before, DEFAULTS), [])
+	const before = { ...DEFAULT_OPERATOR_SETTINGS } as Parameters<typeof needRestart>[0]
+	assert.deepEqual(needRestart(before, DEFAULT_OPERATOR_SETTINGS), [])
 	const after = {
-		...DEFAULTS,
-		tuning: { ...DEFAULTS.tuning, idleReports: 9 },
+		...DEFAULT_OPERATOR_SETTINGS,
+		tuning: { ...DEFAULT_OPERATOR_SETTINGS.tuning, idleReports: 9 },
 		metrics: { listen: '127.0.0.1:1' },
 	}
 	assert.deepEqual(needRestart(before, after), ['metrics'])
@@ -206,7 +213,7 @@
 		end: () => told.push('end'),
 	})
 	const ask = (d: Daemon, path: string, body: unknown = {}) =>
-		new Promise<Reply>((done) => answerAdmin(d, path, body, done))
+		new Promise<HttpReply>((done) => answerAdmin(d, path, body, done))
 	const rows: [path: string, body: unknown, plugins: PluginHost | null, status: number][] = [
 		['/admin/plugins', {}, host, 200],
 		['/admin/plugins', {}, null, 200],
@@ -227,7 +234,7 @@
 
 test('metrics: figures of the moment, one page, nothing else', async () => {
 	let open = 3
-	const { port, close } = await tellMetrics('127.0.0.1:0', {
+	const { port, close } = await serveMetrics('127.0.0.1:0', {
 		figures: () => ({ openJobs: open, right: 'grant', healthy: true }),
 		plugins: () => [
 			{
--- a/tests/events.test.ts
+++ b/tests/events.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { comparePositions, type Final, FinalsLog } from '@heathroad/cluster'
+import { comparePositions, type TerminalState, TerminalStateLog } from '@heathroad/cluster'
 import {
 	Admission,
 	Cursors,
@@ -15,14 +15,15 @@
 import { uniformInt } from 'pure-rand/distribution/uniformInt'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 
-/** The records of an installation, and controllers that know them up to an epoch of their own. */
+/** The records of an installation, and controllers that know them up to an revision of their own. */
 class Book {
-	epoch = 0
-	readonly log: { epoch: number; uid: string; team: string; final?: 'done' | 'aborted'; done: number }[] = []
+	revision = 0
+	readonly log: { revision: number; uid: string; team: string; final?: 'done' | 'aborted'; done: number }[] =
+		[]
 
 	change(uid: string, team: string, done: number, final?: 'done' | 'aborted', sameEpoch = false): void {
-		if (!sameEpoch) this.epoch++
-		this.log.push({ epoch: this.epoch, uid, team, done, final })
+		if (!sameEpoch) this.revision++
+		this.log.push({ revision: this.revision, uid, team, done, final })
 	}
 }
 
@@ -30,8 +31,8 @@
 	private known = 0
 	private at = 0
 	private readonly jobs = new Map<string, OpenJob>()
-	private readonly over = new Map<string, Final>()
-	readonly finals: FinalsLog
+	private readonly over = new Map<string, TerminalState>()
+	readonly finals: TerminalStateLog
 	readonly hub: Hub
 	now = 0
 
@@ -40,15 +41,15 @@
 		keep = 1000,
 		installation = 'here',
 	) {
-		this.finals = new FinalsLog(keep, (uid) => this.over.get(uid))
+		this.finals = new TerminalStateLog(keep, (uid) => this.over.get(uid))
 		this.hub = new Hub(this, installation, 500, () => this.now)
 	}
 
-	/** Reads the book up to an epoch; `ahead`: a change that is known before those in between. */
-	read(epoch = this.book.epoch): void {
-		for (; this.at < this.book.log.length && this.book.log[this.at].epoch <= epoch; this.at++)
+	/** Reads the book up to an revision; `ahead`: a change that is known before those in between. */
+	read(revision = this.book.revision): void {
+		for (; this.at < this.book.log.length && this.book.log[this.at].revision <= revision; this.at++)
 			this.take(this.book.log[this.at])
-		this.known = Math.max(this.known, epoch)
+		this.known = Math.max(this.known, revision)
 		this.hub.advanced()
 	}
 
@@ -59,7 +60,14 @@
 			if (!this.over.has(c.uid)) this.jobs.set(c.uid, { team: c.team, tasks: 5, done: c.done, running })
 		} else if (!this.over.has(c.uid)) {
 			this.jobs.delete(c.uid)
-			const f = { uid: c.uid, team: c.team, state: c.final, epoch: c.epoch, tasks: 5, done: c.done }
+			const f = {
+				uid: c.uid,
+				team: c.team,
+				state: c.final,
+				revision: c.revision,
+				taskCount: 5,
+				doneCount: c.done,
+			}
 			this.over.set(c.uid, f)
 			this.finals.add(f)
 		}
@@ -71,7 +79,7 @@
 		if (job !== undefined) job.running = running
 	}
 
-	epoch(): number {
+	revision(): number {
 		return this.known
 	}
 
@@ -217,16 +225,16 @@
 					book.change(uid, 'a', was + 1)
 				} else if (was !== undefined) {
 					open.delete(uid)
-					// Several outcomes may share one transaction, and with it an epoch.
+					// Several outcomes may share one transaction, and with it an revision.
 					book.change(
 						uid,
 						'a',
 						5,
 						below(4) === 0 ? 'aborted' : 'done',
-						below(2) === 0 && book.epoch > node.epoch(),
+						below(2) === 0 && book.revision > node.revision(),
 					)
 				}
-			} else if (kind < 5) nodes[below(3)].read(book.epoch - below(3))
+			} else if (kind < 5) nodes[below(3)].read(book.revision - below(3))
 			else if (kind < 6) for (const n of nodes) n.hub.look()
 			else if (kind < 7) node.run(uid, [null, 0, 1, 2][below(4)])
 			else if (kind < 9) for (const e of drain(s, 1 + below(4))) hear(e)
@@ -258,7 +266,7 @@
 	for (const n of [one, other, elsewhere]) n.read()
 	const [{ cursor }] = drain(one.subscribe({ team: 'a' }), 1)
 	other.subscribe({ team: 'a' }, cursor)
-	const later = new Cursors('here', { team: 'a' }).write({ phase: 'live', epoch: 99, uid: '~' })
+	const later = new Cursors('here', { team: 'a' }).write({ phase: 'live', revision: 99, uid: '~' })
 	const cases: [name: string, node: Node, selection: Selection, cursor: string, says: string][] = [
 		['another installation', elsewhere, { team: 'a' }, cursor, 'invalid cursor'],
 		['another team', other, { team: 'b' }, cursor, 'invalid cursor'],
@@ -267,7 +275,7 @@
 		['one character changed', other, { team: 'a' }, cursor.replace('.p.', '.l.'), 'invalid cursor'],
 		['cut short', other, { team: 'a' }, cursor.slice(0, -1), 'invalid cursor'],
 		['no cursor at all', other, { team: 'a' }, 'x'.repeat(5000), 'invalid cursor'],
-		['of an epoch that is yet to come', other, { team: 'a' }, later, 'out of range'],
+		['of an revision that is yet to come', other, { team: 'a' }, later, 'out of range'],
 	]
 	for (const [name, node, selection, text, says] of cases)
 		assert.equal(node.hub.subscribe(selection, text, { wake: () => {}, ended: () => {} }), says, name)
@@ -386,5 +394,5 @@
 	assert.equal(longest, 10, 'no turn is longer')
 	for (let i = 1; i < 5; i++)
 		assert.equal(sent.filter((x) => x === i).length, 4, 'the busy one holds up nobody')
-	assert.ok(comparePositions({ epoch: 1, uid: 'b' }, { epoch: 1, uid: 'a' }) > 0)
+	assert.ok(comparePositions({ revision: 1, uid: 'b' }, { revision: 1, uid: 'a' }) > 0)
 })
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { sweep, World } from '@heathroad/testkit'
+import { arrayJob, Simulation } from '@heathroad/testkit'
 
 /** Releases of machines for a reason, as the controllers log them. */
-const releases = (world: World, why: string): { atS: number; machines: number }[] => {
+const releases = (world: Simulation, why: string): { atS: number; machines: number }[] => {
 	const out: { atS: number; machines: number }[] = []
 	const tell = world.tell
 	world.tell = (line) => {
@@ -31,16 +31,16 @@
 
 for (const { name, report, forS } of cuts)
 	test(`machines that are silent together are ${name}`, async () => {
-		const world = new World({
+		const world = new Simulation({
 			seed: 41,
 			untilS: 320,
 			capacity: 12,
 			report,
 			jobs: Array.from({ length: 24 }, (_, i) => ({
 				atS: 1 + i * 0.5,
-				spec: sweep(`job-0008${String(i).padStart(2, '0')}`, { tasks: 16, expectedS: 40 }),
+				spec: arrayJob(`job-0008${String(i).padStart(2, '0')}`, { tasks: 16, expectedS: 40 }),
 			})),
-			troubles: [{ atS: 45, kind: 'machinesCut', forS }],
+			faults: [{ atS: 45, kind: 'machinesCut', forS }],
 		})
 		const silent = releases(world, 'silent')
 		let cut = 0
@@ -48,8 +48,8 @@
 			cut = Math.floor(world.workers.size / 2)
 		})
 		await world.play()
-		assert.deepEqual(world.rules.broken, [])
-		assert.deepEqual(world.rules.unfinished(), [], 'every job ends')
+		assert.deepEqual(world.invariants.violations, [])
+		assert.deepEqual(world.invariants.unfinished(), [], 'every job ends')
 		// A part of which fewer than two fifths are silent returns them: those are few.
 		const until = 45 + forS + report.reportS * 1.5
 		const early = silent.filter((r) => r.atS > 45 && r.atS < until).reduce((n, r) => n + r.machines, 0)
@@ -58,16 +58,16 @@
 
 test('jobs of a part whose zone is cut off move to parts that can run them', async () => {
 	const cut = { from: 60, forS: 120 }
-	const world = new World({
+	const world = new Simulation({
 		seed: 43,
 		untilS: 400,
 		controllers: 4,
 		capacity: 10,
 		jobs: Array.from({ length: 60 }, (_, i) => ({
 			atS: 1 + i * 0.9,
-			spec: sweep(`job-0010${String(i).padStart(2, '0')}`, { tasks: 24, expectedS: 12 }),
+			spec: arrayJob(`job-0010${String(i).padStart(2, '0')}`, { tasks: 24, expectedS: 12 }),
 		})),
-		troubles: [{ atS: cut.from, kind: 'zoneCut', zone: 'b', who: [1, 3], forS: cut.forS }],
+		faults: [{ atS: cut.from, kind: 'zoneCut', zone: 'b', who: [1, 3], forS: cut.forS }],
 	})
 	const moved = new Set<string>()
 	const over = new Map<string, number>()
@@ -78,8 +78,8 @@
 		else if (!over.has(at[3])) over.set(at[3], Number(at[1]) / 1000)
 	}
 	await world.play()
-	assert.deepEqual(world.rules.broken, [])
-	assert.deepEqual(world.rules.unfinished(), [], 'every job ends')
+	assert.deepEqual(world.invariants.violations, [])
+	assert.deepEqual(world.invariants.unfinished(), [], 'every job ends')
 	const during = [...moved].filter((uid) => (over.get(uid) ?? Number.POSITIVE_INFINITY) < cut.from + cut.forS)
 	assert.ok(moved.size >= 3, `${moved.size} jobs moved`)
 	assert.ok(during.length * 2 >= moved.size, `${during.length} of ${moved.size} ended while the cut lasted`)
@@ -87,7 +87,7 @@
 
 test('many machines and all controllers restart together: work is bounded by counts, no lease is lost', async () => {
 	const tasks = 40 * 130
-	const world = new World({
+	const world = new Simulation({
 		seed: 42,
 		untilS: 110,
 		controllers: 5,
@@ -95,9 +95,9 @@
 		report: { reportS: 4, leaseS: 26, cancelS: 46 },
 		jobs: Array.from({ length: 40 }, (_, i) => ({
 			atS: 1 + i * 0.1,
-			spec: sweep(`job-0009${String(i).padStart(2, '0')}`, { tasks: 130, expectedS: 45 }),
+			spec: arrayJob(`job-0009${String(i).padStart(2, '0')}`, { tasks: 130, expectedS: 45 }),
 		})),
-		troubles: [{ atS: 50, kind: 'crash', who: [0, 1, 2, 3, 4], forS: 4 }],
+		faults: [{ atS: 50, kind: 'crash', who: [0, 1, 2, 3, 4], forS: 4 }],
 	})
 	const rebuilt: number[] = []
 	world.tell = (line) => {
@@ -117,14 +117,14 @@
 				dead++
 			}
 		before.requests = world.state.requests
-		before.started = world.rules.started
+		before.started = world.invariants.started
 	})
 	world.clock.after(64_000, () => {
 		after.requests = world.state.requests
-		after.started = world.rules.started
+		after.started = world.invariants.started
 	})
 	await world.play()
-	assert.deepEqual(world.rules.broken, [])
+	assert.deepEqual(world.invariants.violations, [])
 	assert.ok(machines >= 450, `${machines} machines`)
 	assert.equal(rebuilt.length, 5, 'every part is owned and rebuilt once')
 	// 4 s until the processes are back, then 0.3 of a grant for the dead ones.
@@ -138,7 +138,7 @@
 	assert.equal(lost, 0, 'no machine lost its lease')
 	// Nothing runs again but what the dead machines held.
 	assert.ok(
-		world.rules.started <= tasks + dead * 8 + 8,
-		`${world.rules.started} starts of ${tasks} tasks, ${dead} dead`,
+		world.invariants.started <= tasks + dead * 8 + 8,
+		`${world.invariants.started} starts of ${tasks} tasks, ${dead} dead`,
 	)
 })
--- a/tests/gap.test.ts
+++ b/tests/gap.test.ts
@@ -1,14 +1,21 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { Cancellations, JobBook, readCancelled, readQuestion, writeCancelled } from '@heathroad/cluster'
-import { checkSettings, derive } from '@heathroad/config'
-import { Mirror } from '@heathroad/store'
-import { type Gap, gapDay, plainSettings, sweep, World } from '@heathroad/testkit'
+import {
+	CancellationLog,
+	decodeCancellations,
+	decodeJobRecord,
+	decodePromiseRequest,
+	encodeCancellations,
+	JobRegistry,
+} from '@heathroad/cluster'
+import { deriveLimits, parseSettings } from '@heathroad/config'
+import { WatchCache } from '@heathroad/store'
+import { arrayJob, type DoubleOutage, doubleOutageDay, plainSettings, Simulation } from '@heathroad/testkit'
 
 const five = { controllers: 5, report: { reportS: 4, leaseS: 26, cancelS: 46 } }
 const still = { atS: -0.6, kind: 'freeze', who: [0], forS: 50 } as const
 
-const cases: { name: string; gap: Partial<Gap>; seed: number }[] = [
+const cases: { name: string; gap: Partial<DoubleOutage>; seed: number }[] = [
 	{ name: 'as it was met', gap: {}, seed: 1 },
 	{ name: 'refused long before the outage', gap: { beforeS: 30, outageS: 60 }, seed: 2 },
 	{ name: 'an outage shorter than a cancellation may take', gap: { beforeS: 4, outageS: 20 }, seed: 3 },
@@ -60,11 +67,11 @@
 
 for (const { name, gap, seed } of cases)
 	test(`the gap: ${name}`, async () => {
-		const world = new World(gapDay(seed, gap))
+		const world = new Simulation(doubleOutageDay(seed, gap))
 		await world.play()
-		assert.deepEqual(world.rules.broken, [])
-		assert.deepEqual(world.rules.unfinished(), [], 'every job ends')
-		assert.ok(world.rules.started > 50, `only ${world.rules.started} tasks started`)
+		assert.deepEqual(world.invariants.violations, [])
+		assert.deepEqual(world.invariants.unfinished(), [], 'every job ends')
+		assert.ok(world.invariants.started > 50, `only ${world.invariants.started} tasks started`)
 	})
 
 test('a cancellation is confirmed at once, or later where its tasks might not be gone in time otherwise', async () => {
@@ -73,7 +80,7 @@
 		[10.5, 1800, 4000],
 	]) {
 		const gap = { refused: [], outageS: 0, report: { reportS: 1, leaseS: 10, cancelS }, archives: false }
-		const world = new World(gapDay(8, gap))
+		const world = new Simulation(doubleOutageDay(8, gap))
 		const durable = new Map<string, number>()
 		world.state.durable = (key, data) => {
 			const uid = /job\/(.*)$/.exec(key)?.[1]
@@ -81,14 +88,14 @@
 				durable.set(uid, world.clock.nowMs)
 		}
 		const waited: number[] = []
-		const { told } = world.rules
-		world.rules.told = (uid, status, state, known) => {
-			if (status === 200 && state === 'aborted' && world.rules.state(uid) !== 'aborted')
+		const { told } = world.invariants
+		world.invariants.told = (uid, status, state, known) => {
+			if (status === 200 && state === 'aborted' && world.invariants.state(uid) !== 'aborted')
 				waited.push(world.clock.nowMs - durable.get(uid)!)
-			told.call(world.rules, uid, status, state, known)
+			told.call(world.invariants, uid, status, state, known)
 		}
 		await world.play()
-		assert.deepEqual(world.rules.broken, [])
+		assert.deepEqual(world.invariants.violations, [])
 		assert.ok(waited.length > 20)
 		const least = Math.min(...waited)
 		assert.ok(least >= leastMs && least < mostMs, `${cancelS} s: confirmed after ${least} ms at the earliest`)
@@ -107,8 +114,14 @@
 	for (const [lease_s, cancel_s, mostMs] of cases) {
 		const { deployment } = base
 		const workers = { ...deployment.workers, lease_s, cancel_s }
-		const d = derive(checkSettings({ ...base, deployment: { ...deployment, workers } }))
-		const { staleMs, promiseMs, grantMs, leaseMs, confirmAfterMs } = d
+		const d = deriveLimits(parseSettings({ ...base, deployment: { ...deployment, workers } }))
+		const {
+			maxStalenessMs: staleMs,
+			takeoverPromiseMs: promiseMs,
+			controllerLeaseMs: grantMs,
+			agentLeaseMs: leaseMs,
+			cancellationConfirmDelayMs: confirmAfterMs,
+		} = d
 		const at = `lease ${lease_s} s, cancellation ${cancel_s} s`
 		// Whatever an owner acts on ends by then unless it hears of the cancellation.
 		assert.ok(grantMs <= staleMs && promiseMs * 1.002 <= staleMs, at)
@@ -117,34 +130,34 @@
 	}
 })
 
-test('cancellations by epoch, however long ago they were', () => {
+test('cancellations by revision, however long ago they were', () => {
 	let now = 0
-	const c = new Cancellations(4, () => now)
-	for (const epoch of [3, 5, 8]) c.add(`job-00000${epoch}`, epoch)
+	const c = new CancellationLog(4, () => now)
+	for (const revision of [3, 5, 8]) c.record(`job-00000${revision}`, revision)
 	now = 1e9
 	assert.deepEqual(
-		c.since(4)?.map((x) => x.epoch),
+		c.since(4)?.map((x) => x.revision),
 		[5, 8],
 	)
-	assert.equal(c.knownMs('job-000005'), 1e9)
-	c.incomplete(4)
+	assert.equal(c.knownForMs('job-000005'), 1e9)
+	c.markIncompleteUpTo(4)
 	assert.equal(c.since(3), null, 'something may have been left out')
-	for (const epoch of [9, 11, 12, 13]) c.add(`job-0000${epoch}`, epoch)
+	for (const revision of [9, 11, 12, 13]) c.record(`job-0000${revision}`, revision)
 	assert.equal(c.since(4), null, 'too many to be kept')
 	const told = c.since(9)
 	assert.deepEqual(
-		told?.map((x) => x.epoch),
+		told?.map((x) => x.revision),
 		[11, 12, 13],
 	)
-	assert.equal(c.knownMs('job-000003'), Number.POSITIVE_INFINITY)
-	assert.deepEqual(readCancelled(writeCancelled(told!)), told)
-	assert.equal(readCancelled(['job-000001']), null, 'as an older version tells them')
-	assert.equal(readQuestion({ name: 'c-0', owned: { 0: 9 } }), null, 'as an older version asks')
+	assert.equal(c.knownForMs('job-000003'), Number.POSITIVE_INFINITY)
+	assert.deepEqual(decodeCancellations(encodeCancellations(told!)), told)
+	assert.equal(decodeCancellations(['job-000001']), null, 'as an older version tells them')
+	assert.equal(decodePromiseRequest({ name: 'c-0', owned: { 0: 9 } }), null, 'as an older version asks')
 })
 
 test('a cancellation that a peer told holds against every read that is older', () => {
 	const uid = 'job-000001'
-	const open = { part: 0, spec: sweep(uid), at: 1 }
+	const open = { part: 0, spec: arrayJob(uid), at: 1 }
 	const cases: { name: string; before?: [string, unknown]; after: [string, unknown, number][] }[] = [
 		{ name: 'its record is known', before: ['intake/a', { jobs: [open] }], after: [] },
 		{ name: 'its record comes later', after: [['intake/a', { jobs: [open] }, 11]] },
@@ -161,32 +174,34 @@
 	]
 	for (const c of cases) {
 		const opened: string[] = []
-		const mirror: Mirror = new Mirror(
+		const cache: WatchCache = new WatchCache(
 			(key, entry) => {
-				if (key.startsWith('intake/')) for (const r of book.arrived(entry?.data)) opened.push(r.spec!.uid)
-				else if (key.startsWith('job/') && book.changed(uid, entry?.data as typeof open)) opened.push(uid)
+				if (key.startsWith('intake/'))
+					for (const r of book.onBatchAccepted(entry?.data)) opened.push(r.spec!.uid)
+				else if (key.startsWith('job/') && book.onJobRecordChanged(uid, decodeJobRecord(entry?.data)!))
+					opened.push(uid)
 			},
 			1,
 			() => 0,
 		)
-		const book = new JobBook(mirror)
-		mirror.onAdvance = () => book.settle()
-		const apply = (epoch: number, log: [string, unknown][]) =>
-			mirror.apply(
-				epoch,
-				log.map(([key, data]) => ({ key: `heathroad/${key}`, data, stamp: epoch })),
+		const book = new JobRegistry(cache)
+		cache.onRevisionAdvanced = () => book.dropJobsThatLeftPages()
+		const apply = (revision: number, log: [string, unknown][]) =>
+			cache.applyEvents(
+				revision,
+				log.map(([key, data]) => ({ key: `heathroad/${key}`, data, modRevision: revision })),
 			)
 		apply(10, c.before === undefined ? [] : [c.before])
 		opened.length = 0
-		assert.deepEqual(book.told([{ uid, epoch: 20 }]), [uid], c.name)
-		assert.deepEqual(book.told([{ uid, epoch: 20 }]), [], 'once')
-		for (const [key, data, epoch] of c.after) apply(epoch, [[key, data]])
+		assert.deepEqual(book.applyPeerCancellations([{ uid, revision: 20 }]), [uid], c.name)
+		assert.deepEqual(book.applyPeerCancellations([{ uid, revision: 20 }]), [], 'once')
+		for (const [key, data, revision] of c.after) apply(revision, [[key, data]])
 		assert.deepEqual(opened, [], c.name)
-		assert.equal(book.open.has(uid), false, c.name)
-		assert.equal(book.get(uid)?.record.final, 'aborted', c.name)
-		assert.equal(book.final(uid), undefined, `${c.name}: streams wait for the records`)
+		assert.equal(book.openJobs.has(uid), false, c.name)
+		assert.equal(book.get(uid)?.record.finalState, 'aborted', c.name)
+		assert.equal(book.terminalRecord(uid), undefined, `${c.name}: streams wait for the records`)
 		apply(20, [[`job/${uid}`, { part: 0, final: 'aborted' }]])
-		assert.equal(book.get(uid)?.record.final, 'aborted', c.name)
-		assert.deepEqual(book.told([{ uid, epoch: 20 }]), [], 'known by now')
+		assert.equal(book.get(uid)?.record.finalState, 'aborted', c.name)
+		assert.deepEqual(book.applyPeerCancellations([{ uid, revision: 20 }]), [], 'known by now')
 	}
 })
--- a/tests/gate.test.ts
+++ b/tests/gate.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { type JobRecord, release, releasedKey } from '@heathroad/cluster'
-import { DEFAULTS, derive } from '@heathroad/config'
-import { type Checks, Part, type Ports, type Verdict } from '@heathroad/controller'
-import { idlePorts, plainSettings, sweep } from '@heathroad/testkit'
+import { type JobRecord, markReleased, releasePageKey } from '@heathroad/cluster'
+import { DEFAULT_OPERATOR_SETTINGS, deriveLimits } from '@heathroad/config'
+import { type AdmissionChecks, Shard, type ShardPorts, type Verdict } from '@heathroad/controller'
+import { arrayJob, idlePorts, plainSettings } from '@heathroad/testkit'
 
 interface Scene {
-	part: Part
-	ports: Ports
+	part: Shard
+	ports: ShardPorts
 	nowMs: number
 	/** calls of the part to its ports, all of them */
 	calls: number
@@ -20,11 +20,11 @@
 /** One part alone, with everything it uses counted. `answer`: what a check says of a job. */
 const scene = (answer: (uid: string, asked: number) => Verdict, grouped = false): Scene => {
 	const settings = plainSettings('a')
-	const config = { settings, ...DEFAULTS, derived: derive(settings) }
-	const jobs = new Map<string, { record: JobRecord; stamp: number }>()
-	const keys = new Map<string, { data: unknown; stamp: number }>()
+	const config = { settings, ...DEFAULT_OPERATOR_SETTINGS, limits: deriveLimits(settings) }
+	const jobs = new Map<string, { record: JobRecord; modRevision: number }>()
+	const keys = new Map<string, { data: unknown; modRevision: number }>()
 	const released = new Set<string>()
-	const checks: Checks = {
+	const checks: AdmissionChecks = {
 		required: () => [],
 		admit: (_spec, done) => done(null, []),
 		terms: () => ({ atMostMs: 600_000, whenUnsure: 'hold', grouped }),
@@ -35,29 +35,29 @@
 	}
 	const plain = idlePorts({
 		now: () => s.nowMs,
-		wallClock: () => 1_700_000_000_000 + s.nowMs,
+		wallClockMs: () => 1_700_000_000_000 + s.nowMs,
 		entry: (key) => keys.get(key),
 		job: (uid) => jobs.get(uid),
 		checks: () => checks,
-		heldBack: (uid, record) => (record.checks?.length ?? 0) > 0 && !released.has(uid),
-		marked: () => true,
+		isPendingRelease: (uid, record) => (record.requiredChecks?.length ?? 0) > 0 && !released.has(uid),
+		keepsReleaseMark: () => true,
 		openJobs: () => jobs.keys(),
-		wrote: (key, data, stamp) => {
-			keys.set(key, { data, stamp })
+		applyOwnWrite: (key, data, modRevision) => {
+			keys.set(key, { data, modRevision })
 			const { uids } = data as { uids: string[] }
 			s.written.push(uids)
 			for (const uid of uids) released.add(uid)
-			s.part.released(uids)
+			s.part.onJobsReleased(uids)
 		},
-		write: (w) => {
+		enqueueWrite: (w) => {
 			const content = w.build()
-			w.done(content === null ? { kind: 'refused' } : { kind: 'ok', epoch: 9 })
-			return { ...w, until: 0 }
+			w.onResult(content === null ? { kind: 'refused' } : { kind: 'ok', revision: 9 })
+			return { ...w, deadline: 0 }
 		},
 	})
 	const ports = new Proxy(plain, {
 		get: (target, name) => {
-			const f = target[name as keyof Ports]
+			const f = target[name as keyof ShardPorts]
 			if (typeof f !== 'function') return f
 			return (...args: unknown[]) => {
 				s.calls++
@@ -66,7 +66,7 @@
 		},
 	})
 	const s: Scene = {
-		part: undefined as unknown as Part,
+		part: undefined as unknown as Shard,
 		ports,
 		nowMs: 0,
 		calls: 0,
@@ -80,14 +80,14 @@
 		},
 		add: (n, from, list) => {
 			for (let i = from; i < from + n; i++) {
-				const spec = sweep(`job-${String(i).padStart(6, '0')}`, { tasks: 2 })
-				const record = { part: 0, spec, at: 1_700_000_000_000 + s.nowMs, checks: list }
-				jobs.set(spec.uid, { record, stamp: 0 })
-				s.part.jobChanged(spec.uid, record)
+				const spec = arrayJob(`job-${String(i).padStart(6, '0')}`, { tasks: 2 })
+				const record = { shardId: 0, spec, acceptedAtMs: 1_700_000_000_000 + s.nowMs, requiredChecks: list }
+				jobs.set(spec.uid, { record, modRevision: 0 })
+				s.part.onJobChanged(spec.uid, record)
 			}
 		},
 	}
-	s.part = new Part(0, 3, config, ports)
+	s.part = new Shard(0, 3, config, ports)
 	return s
 }
 
@@ -101,7 +101,7 @@
 		s.pass(1000)
 		s.calls = 0
 		s.pass(10_000)
-		assert.equal(s.part.heldJobs, held)
+		assert.equal(s.part.pendingReleaseCount, held)
 		assert.equal(s.part.jobs.size, 30)
 		return s.calls
 	}
@@ -113,7 +113,7 @@
 	s.add(200, 0, ['one'])
 	s.pass(30_000)
 	assert.equal(s.asked.length, 800, 'four times each')
-	assert.equal(s.part.heldJobs, 0)
+	assert.equal(s.part.pendingReleaseCount, 0)
 	assert.equal(s.part.jobs.size, 200)
 })
 
@@ -124,7 +124,7 @@
 		s.pass(500)
 	}
 	s.pass(40_000)
-	assert.equal(s.part.heldJobs, 0)
+	assert.equal(s.part.pendingReleaseCount, 0)
 	assert.ok(s.asked.length < 25, `${s.asked.length} questions`)
 })
 
@@ -132,7 +132,7 @@
 	const s = scene((uid, asked) => (Number(uid.slice(-1)) > asked ? hold(1) : { kind: 'release' }))
 	s.add(100, 0, ['one', 'two'])
 	s.pass(60_000)
-	assert.equal(s.part.heldJobs, 0)
+	assert.equal(s.part.pendingReleaseCount, 0)
 	const last = s.written.at(-1)!
 	assert.equal(new Set(last).size, 100)
 	assert.equal(last.length, 100)
@@ -141,11 +141,14 @@
 test('marks share pages: those that stay, then new ones, as many as fit', () => {
 	const uid = (i: number) => `job-${String(i).padStart(6, '0')}`
 	const uids = (from: number, to: number) => Array.from({ length: to - from }, (_, i) => uid(from + i))
-	const page = (n: number, list: string[], stamp: number) =>
-		[releasedKey(0, n), { data: { uids: list }, stamp }] as const
+	const page = (n: number, list: string[], modRevision: number) =>
+		[releasePageKey(0, n), { data: { uids: list }, modRevision }] as const
 	const known = (...pages: ReturnType<typeof page>[]) => {
-		const map = new Map<string, { data: unknown; stamp: number }>(pages)
-		return { get: (key: string) => map.get(key), stamp: (key: string) => map.get(key)?.stamp ?? 0 }
+		const map = new Map<string, { data: unknown; modRevision: number }>(pages)
+		return {
+			get: (key: string) => map.get(key),
+			modRevision: (key: string) => map.get(key)?.modRevision ?? 0,
+		}
 	}
 	const limits = { room: 16 + 9 * 13 + 5, ops: 3 }
 	const rows: [
@@ -172,8 +175,8 @@
 		],
 	]
 	for (const [name, pages, stays, n, want] of rows) {
-		const { content, taken } = release(known(...pages), 0, uids(0, n), () => stays, limits)
-		const sizes = content.changes.map((c) => ('set' in c ? (c.data as { uids: string[] }).uids.length : 0))
+		const { content, taken } = markReleased(known(...pages), 0, uids(0, n), () => stays, limits)
+		const sizes = content.mutations.map((c) => ('set' in c ? (c.data as { uids: string[] }).uids.length : 0))
 		assert.deepEqual(
 			sizes,
 			want.map(([kept, fresh]) => kept + fresh),
@@ -187,6 +190,6 @@
 			),
 			name,
 		)
-		assert.equal(content.conditions.length, content.changes.length, name)
+		assert.equal(content.conditions.length, content.mutations.length, name)
 	}
 })
--- /dev/null
+++ b/tests/golden-days.test.ts
@@ -0,0 +1,67 @@
+/**
+ * Plays the fixed days of `tests/golden/days.ts` and compares what was stored and sent on them with the fixtures
+ * `tests/fixtures/golden/day-*.json`: every form has the same features, and every value that was kept occurs again,
+ * byte for byte.
+ */
+import assert from 'node:assert/strict'
+import { test } from 'node:test'
+import { FakeStateStore, VirtualClock } from '@heathroad/testkit'
+import { decode } from '@heathroad/wire'
+import { GOLDEN_DAYS } from './golden/days.js'
+import { bytesOf, fixtureText, readFixture, updating, writeFixture } from './golden/fixtures.js'
+import { type FormOfDay, Recorder } from './golden/recorder.js'
+import { readableBy, snapshotOf } from './golden/snapshots.js'
+
+const isJson = (form: string): boolean => form.startsWith('plug-in call')
+
+for (const day of GOLDEN_DAYS)
+	test(`the day "${day.name}" stores and sends what it always did`, async (t) => {
+		const recorder = new Recorder()
+		const world = await day.play(recorder)
+		assert.deepEqual(world.invariants.violations, [])
+		const name = `day-${day.name}.json`
+		const result = recorder.result()
+		if (updating) writeFixture(name, fixtureText(result))
+		const golden = JSON.parse(readFixture(name)) as Record<string, FormOfDay>
+		assert.deepEqual(Object.keys(result), Object.keys(golden), 'the forms of the day')
+		for (const [form, { features, samples }] of Object.entries(golden)) {
+			assert.deepEqual(result[form].features, features, form)
+			for (const sample of samples)
+				assert.ok(recorder.saw(form, sample), `${form}: ${sample.about}: ${JSON.stringify(sample.view)}`)
+		}
+		await t.test('its state as a snapshot', async () => {
+			const file = `snapshot-${day.name}.jsonl`
+			const text = await snapshotOf(world.state)
+			if (updating) writeFixture(file, text)
+			assert.equal(text, readFixture(file))
+		})
+	})
+
+for (const day of GOLDEN_DAYS)
+	test(`the values kept of the day "${day.name}" decode to what is shown of them`, () => {
+		const golden = JSON.parse(readFixture(`day-${day.name}.json`)) as Record<string, FormOfDay>
+		for (const [form, { samples }] of Object.entries(golden))
+			for (const sample of samples.filter(() => !isJson(form))) {
+				const value = decode(Buffer.from(sample.bytes, 'hex'))
+				assert.deepEqual(value, sample.view, form)
+				assert.equal(bytesOf(value), sample.bytes, form)
+			}
+	})
+
+for (const day of GOLDEN_DAYS)
+	test(`the snapshot of the day "${day.name}" is read, checked, imported and exported again`, async () => {
+		const { findings, imported } = await readableBy(`snapshot-${day.name}.jsonl`)
+		assert.deepEqual(findings, [])
+		const file = `snapshot-${day.name}-imported.jsonl`
+		if (updating) writeFixture(file, imported)
+		assert.equal(imported, readFixture(file))
+	})
+
+test('a snapshot of a state that changes meanwhile', async () => {
+	const state = new FakeStateStore(new VirtualClock(1))
+	for (const key of ['heathroad/a', 'heathroad/b', 'heathroad/c']) state.put(key, { of: key })
+	const apply = [{ set: 'heathroad/b', data: 'later' }, { delete: 'heathroad/c' }]
+	const text = await snapshotOf(state, () => state.handle('POST', '/txn', { if: [], apply }, () => {}))
+	if (updating) writeFixture('snapshot-late.jsonl', text)
+	assert.equal(text, readFixture('snapshot-late.jsonl'))
+})
--- a/tests/grpc.test.ts
+++ b/tests/grpc.test.ts
@@ -9,30 +9,30 @@
 	type ServiceError,
 	status,
 } from '@grpc/grpc-js'
-import { grpcDefaults } from '@heathroad/config'
+import { defaultGrpcSettings } from '@heathroad/config'
 import { GrpcFace } from '@heathroad/grpc'
-import { leafKey, ordinal, pack, writeLeaf } from '@heathroad/history'
+import { archivePageKey, encodeArchivePage, ordinalOf, packJobs } from '@heathroad/history'
 import { type EventMessage, jobsClient, toSubmitRequest } from '@heathroad/proto'
-import { RealClock, sweep, World } from '@heathroad/testkit'
+import { arrayJob, RealClock, Simulation } from '@heathroad/testkit'
 
 /** One controller among stand-ins, in real time, with its face for gRPC. */
 const withFace = async (
-	more: Partial<ReturnType<typeof grpcDefaults>>,
+	more: Partial<ReturnType<typeof defaultGrpcSettings>>,
 	work: (at: {
 		port: number
 		face: GrpcFace
-		world: World
+		world: Simulation
 		client: InstanceType<ReturnType<typeof jobsClient>>
 	}) => Promise<void>,
-	before: (world: World) => void = () => {},
+	before: (world: Simulation) => void = () => {},
 ): Promise<void> => {
 	const clock = new RealClock()
-	const day = { seed: 1, untilS: 0, jobs: [], troubles: [], controllers: 1, up: 4, capacity: 0 }
-	const world = new World({ ...day, report: { reportS: 0.5, leaseS: 6, cancelS: 14 } }, clock)
+	const day = { seed: 1, untilS: 0, jobs: [], faults: [], controllers: 1, up: 4, capacity: 0 }
+	const world = new Simulation({ ...day, report: { reportS: 0.5, leaseS: 6, cancelS: 14 } }, clock)
 	let face: GrpcFace | null = null
 	let started: Promise<number> = Promise.resolve(0)
 	world.started = (_, node) => {
-		face = new GrpcFace(node, { ...grpcDefaults('127.0.0.1:0'), everyS: 0.1, ...more })
+		face = new GrpcFace(node, { ...defaultGrpcSettings('127.0.0.1:0'), everyS: 0.1, ...more })
 		started = face.start()
 	}
 	before(world)
@@ -77,7 +77,9 @@
 test('calls and their statuses, as users of gRPC expect them', async () => {
 	await withFace({ uids: 5 }, async ({ client }) => {
 		const submit = (job: object) => unary((done) => client.Submit(job, done))
-		const good = toSubmitRequest(sweep('job-000001', { tasks: 2, expectedS: 0.3, imageGb: 0.1, spot: false }))
+		const good = toSubmitRequest(
+			arrayJob('job-000001', { tasks: 2, expectedS: 0.3, imageGb: 0.1, spot: false }),
+		)
 		const job = (await submit(good)) as { uid: string; state: string; tasks: number }
 		assert.deepEqual([job.uid, job.state, job.tasks], ['job-000001', 'STATE_PENDING', 2])
 		assert.equal(((await submit(good)) as { uid: string }).uid, 'job-000001', 'a retry gets the job')
@@ -313,13 +315,13 @@
 })
 
 test('jobs that were archived long ago: told like all others, and each final state once, over a resume', async () => {
-	const archive = (world: World) => {
+	const archive = (world: Simulation) => {
 		const items = [
-			{ at: ordinal('job-000100'), aborted: false, tasks: 3, done: 3, epoch: 2 },
-			{ at: ordinal('job-000200'), aborted: true, tasks: 4, done: 1, epoch: 1 },
+			{ ordinal: ordinalOf('job-000100'), aborted: false, taskCount: 3, doneCount: 3, revision: 2 },
+			{ ordinal: ordinalOf('job-000200'), aborted: true, taskCount: 4, doneCount: 1, revision: 1 },
 		]
-		const leaf = { from: '', to: '~', depth: 0, deeper: false, packed: pack(items), stamp: 0 }
-		world.state.put(leafKey(1, '~'), writeLeaf(leaf))
+		const leaf = { from: '', to: '~', depth: 0, deeper: false, packed: packJobs(items), modRevision: 0 }
+		world.state.put(archivePageKey(1, '~'), encodeArchivePage(leaf))
 		world.state.put('heathroad/history', { form: 2, turn: 1, legacy: false })
 	}
 	await withFace(
@@ -335,7 +337,7 @@
 				1,
 				4,
 			])
-			const again = toSubmitRequest(sweep('job-000100', { tasks: 3 }))
+			const again = toSubmitRequest(arrayJob('job-000100', { tasks: 3 }))
 			assert.deepEqual(brief(await unary((d) => client.Submit(again, d))), ['STATE_DONE', 3, 3])
 			const heard = (uids: string[], cursor: string, ms: number) =>
 				new Promise<{ events: EventMessage[]; ended: boolean }>((resolve) => {
--- a/tests/http.test.ts
+++ b/tests/http.test.ts
@@ -3,10 +3,10 @@
 import type { AddressInfo } from 'node:net'
 import * as net from 'node:net'
 import { test } from 'node:test'
-import { DEFAULTS, derive } from '@heathroad/config'
-import { listen, Service } from '@heathroad/server'
-import { plainSettings, sweep } from '@heathroad/testkit'
-import { encode, NoAnswer, writeSubmission } from '@heathroad/wire'
+import { DEFAULT_OPERATOR_SETTINGS, deriveLimits } from '@heathroad/config'
+import { Service, startHttpServer } from '@heathroad/server'
+import { arrayJob, plainSettings } from '@heathroad/testkit'
+import { encode, encodeSubmission, NoResponse } from '@heathroad/wire'
 import { Effect } from 'effect'
 
 const settings = plainSettings('c-0')
@@ -14,14 +14,16 @@
 test('answers over HTTP while the state cannot be reached', async () => {
 	const config = {
 		settings,
-		...DEFAULTS,
-		derived: derive(settings),
+		...DEFAULT_OPERATOR_SETTINGS,
+		limits: deriveLimits(settings),
 	}
 	const service = new Service(config, () => {}, undefined, {
-		call: () => Effect.fail(new NoAnswer({ reason: 'nobody there' })),
+		request: () => Effect.fail(new NoResponse({ reason: 'nobody there' })),
 	})
 	const limits = { idleMs: 1000, requestMs: 1000, sockets: 50 }
-	const server = await listen('127.0.0.1:0', limits, (call, reply) => service.face(call, reply))
+	const server = await startHttpServer('127.0.0.1:0', limits, (call, reply) =>
+		service.handleRequest(call, reply),
+	)
 	const { port } = server.address() as AddressInfo
 	const ask = (method: string, path: string, body?: Buffer): Promise<http.IncomingMessage> =>
 		new Promise((resolve, reject) => {
@@ -29,7 +31,7 @@
 			request.on('error', reject)
 			request.end(body)
 		})
-	const job = encode(writeSubmission(sweep('job-000412')))
+	const job = encode(encodeSubmission(arrayJob('job-000412')))
 	const cases: [name: string, method: string, path: string, body: Buffer | undefined, status: number][] = [
 		['an unknown path', 'GET', '/v3/runs', undefined, 404],
 		['a path too long', 'GET', '/v2/runs/job-000001/withdraw/now', undefined, 404],
@@ -58,7 +60,7 @@
 
 test('a body that is too long gets its 400 while the client still writes', async () => {
 	const limits = { idleMs: 1000, requestMs: 1000, sockets: 50 }
-	const server = await listen('127.0.0.1:0', limits, (_, reply) => reply({ status: 200, body: {} }))
+	const server = await startHttpServer('127.0.0.1:0', limits, (_, reply) => reply({ status: 200, body: {} }))
 	const { port } = server.address() as AddressInfo
 	const mib = 1024 * 1024
 	/** Writes a body of so many bytes in pieces, reading all the while. */
@@ -123,7 +125,7 @@
 test("idle and half-open connections of users leave the workers' sockets free", async () => {
 	const sockets = 20
 	const limits = { idleMs: 60_000, requestMs: 400, sockets, yields: (path: string) => path === '/user' }
-	const server = await listen('127.0.0.1:0', limits, (_, reply) => reply({ status: 200, body: {} }))
+	const server = await startHttpServer('127.0.0.1:0', limits, (_, reply) => reply({ status: 200, body: {} }))
 	const { port } = server.address() as AddressInfo
 	const agents: http.Agent[] = []
 	const ask = (path: string): Promise<string> => {
--- a/tests/inspect.test.ts
+++ b/tests/inspect.test.ts
@@ -3,8 +3,8 @@
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import { after, test } from 'node:test'
-import { ended, writePage } from '@heathroad/cluster'
-import { leafKey, ordinal, type Past, pack, writeLeaf } from '@heathroad/history'
+import { encodeTerminalPage, toTerminalJob } from '@heathroad/cluster'
+import { type ArchivedJob, archivePageKey, encodeArchivePage, ordinalOf, packJobs } from '@heathroad/history'
 import {
 	BadSnapshot,
 	Checker,
@@ -19,9 +19,9 @@
 	Unreadable,
 	walk,
 } from '@heathroad/inspect'
-import { makeStoreClient, ROOT, type StoreClient } from '@heathroad/store'
-import { StateStandIn, sweep, VirtualClock } from '@heathroad/testkit'
-import { type Answer, type Caller, NoAnswer } from '@heathroad/wire'
+import { createStoreClient, KEY_PREFIX, type StoreClient } from '@heathroad/store'
+import { arrayJob, FakeStateStore, VirtualClock } from '@heathroad/testkit'
+import { type HttpClient, type HttpResponse, NoResponse } from '@heathroad/wire'
 import { Effect } from 'effect'
 
 const dir = mkdtempSync(join(tmpdir(), 'heathroad-'))
@@ -29,55 +29,60 @@
 const LIMITS = { perS: 100_000, tries: 1 }
 const IMPORT = { ...LIMITS, changesPerS: 1e6, ops: 8, bytes: 48 * 1024 }
 
-const past = (uid: string, more: Partial<Past> = {}): Past => ({
-	at: ordinal(uid),
+const past = (uid: string, more: Partial<ArchivedJob> = {}): ArchivedJob => ({
+	ordinal: ordinalOf(uid),
 	aborted: false,
-	tasks: 4,
-	done: 4,
-	epoch: 700,
+	taskCount: 4,
+	doneCount: 4,
+	revision: 700,
 	...more,
 })
-const leaf = (from: string, to: string, items: Past[], more: object = {}) =>
-	writeLeaf({ from, to, depth: 1, deeper: false, packed: pack(items), stamp: 0, ...more })
-const job = (uid: string) => ({ part: 0, spec: sweep(uid), at: 0 })
+const leaf = (from: string, to: string, items: ArchivedJob[], more: object = {}) =>
+	encodeArchivePage({ from, to, depth: 1, deeper: false, packed: packJobs(items), modRevision: 0, ...more })
+const job = (uid: string) => ({ part: 0, spec: arrayJob(uid), at: 0 })
 const page = (...uids: string[]) =>
-	writePage({
-		part: 0,
-		batches: [{ epoch: null, jobs: uids.map((u) => ended(u, 'done', sweep(u, { tasks: 4 }), 4)) }],
+	encodeTerminalPage({
+		shardId: 0,
+		batches: [
+			{ revision: null, jobs: uids.map((u) => toTerminalJob(u, 'done', arrayJob(u, { tasks: 4 }), 4)) },
+		],
 	})
-const MIDDLE = ordinal('job-500000')
+const MIDDLE = ordinalOf('job-500000')
 
 /** A state in which everything fits. */
 const good = (): Record<string, unknown> => ({
-	[leafKey(1, MIDDLE)]: leaf('', MIDDLE, [
+	[archivePageKey(1, MIDDLE)]: leaf('', MIDDLE, [
 		past('job-100000'),
-		past('job-200000', { aborted: true, done: 1 }),
+		past('job-200000', { aborted: true, doneCount: 1 }),
+	]),
+	[archivePageKey(1, '~')]: leaf(MIDDLE, '~', [
+		past('job-00000000000000000001'),
+		past('job-99999999999999999999'),
 	]),
-	[leafKey(1, '~')]: leaf(MIDDLE, '~', [past('job-00000000000000000001'), past('job-99999999999999999999')]),
-	[`${ROOT}history`]: { form: 2, turn: 4, legacy: false },
-	[`${ROOT}installation`]: 'here',
-	[`${ROOT}intake/a`]: { jobs: [job('job-300001'), job('job-300002')] },
-	[`${ROOT}job/job-300001`]: { ...job('job-300001'), done: [0, 2] },
-	[`${ROOT}fleet/r0`]: { part: 0, type: 't', zone: 'a', spot: false, asked: 0, hosts: { 'i-1': null } },
-	[`${ROOT}over/0`]: page('job-400000'),
-	[`${ROOT}part/0`]: { owner: 'a', life: 'b' },
+	[`${KEY_PREFIX}history`]: { form: 2, turn: 4, legacy: false },
+	[`${KEY_PREFIX}installation`]: 'here',
+	[`${KEY_PREFIX}intake/a`]: { jobs: [job('job-300001'), job('job-300002')] },
+	[`${KEY_PREFIX}job/job-300001`]: { ...job('job-300001'), done: [0, 2] },
+	[`${KEY_PREFIX}fleet/r0`]: { part: 0, type: 't', zone: 'a', spot: false, asked: 0, hosts: { 'i-1': null } },
+	[`${KEY_PREFIX}over/0`]: page('job-400000'),
+	[`${KEY_PREFIX}part/0`]: { owner: 'a', life: 'b' },
 })
 
 const serve = (keys: Record<string, unknown>) => {
-	const state = new StateStandIn(new VirtualClock(1))
+	const state = new FakeStateStore(new VirtualClock(1))
 	for (const [key, data] of Object.entries(keys)) state.put(key, data)
 	let refuse = Number.POSITIVE_INFINITY
-	const caller: Caller = {
-		call: (_, method, path, body) => {
-			if (method === 'POST' && --refuse < 0) return Effect.fail(new NoAnswer({ reason: 'cut' }))
-			let answer: Answer = { status: 0, body: null, retryAfter: null }
+	const caller: HttpClient = {
+		request: (_, method, path, body) => {
+			if (method === 'POST' && --refuse < 0) return Effect.fail(new NoResponse({ reason: 'cut' }))
+			let answer: HttpResponse = { status: 0, body: null, retryAfter: null }
 			state.handle(method, path, body === undefined ? undefined : JSON.parse(JSON.stringify(body)), (r) => {
 				answer = { ...r, retryAfter: null }
 			})
 			return Effect.succeed(answer)
 		},
 	}
-	const client: StoreClient = makeStoreClient(caller, 'state:1', 1000, () => {})
+	const client: StoreClient = createStoreClient(caller, 'state:1', 1000, () => {})
 	return {
 		state,
 		client,
@@ -97,15 +102,15 @@
 }
 
 test('check: what does not fit is named, and nothing else is', async () => {
-	const upper = leafKey(1, MIDDLE)
-	const last = leafKey(1, '~')
+	const upper = archivePageKey(1, MIDDLE)
+	const last = archivePageKey(1, '~')
 	for (const [why, change, said] of [
 		['all fits', {}, []],
 		[
 			'a state in the middle of a move down is in two places',
 			{
-				[leafKey(2, '~')]: leaf('', '~', [past('job-100000')]),
-				[upper]: leaf('', MIDDLE, [past('job-100000'), past('job-200000', { aborted: true, done: 1 })], {
+				[archivePageKey(2, '~')]: leaf('', '~', [past('job-100000')]),
+				[upper]: leaf('', MIDDLE, [past('job-100000'), past('job-200000', { aborted: true, doneCount: 1 })], {
 					deeper: true,
 				}),
 			},
@@ -116,8 +121,8 @@
 			{ [upper]: { from: '', depth: 1, deeper: false, packed: 'AAAA' } },
 			[/1\/.*: cannot be unpacked/],
 		],
-		['an overlap', { [last]: leaf(ordinal('job-400000'), '~', []) }, [/1\/~: overlaps/]],
-		['a gap', { [last]: leaf(ordinal('job-600000'), '~', []) }, [/1\/~: leaves a gap/]],
+		['an overlap', { [last]: leaf(ordinalOf('job-400000'), '~', []) }, [/1\/~: overlaps/]],
+		['a gap', { [last]: leaf(ordinalOf('job-600000'), '~', []) }, [/1\/~: leaves a gap/]],
 		['no end', { [last]: undefined }, [/past\/1\/: its last record is missing/]],
 		[
 			'out of range',
@@ -126,50 +131,61 @@
 		],
 		[
 			'where nobody looks',
-			{ [leafKey(2, '~')]: leaf('', '~', [past('job-100001')]) },
+			{ [archivePageKey(2, '~')]: leaf('', '~', [past('job-100001')]) },
 			[/job-100001, which nobody looks for/],
 		],
 		[
 			'over twice, in two ways',
-			{ [`${ROOT}over/1`]: { ...(page('job-200000') as object), part: 1 } },
+			{ [`${KEY_PREFIX}over/1`]: { ...(page('job-200000') as object), part: 1 } },
 			[/over\/1: job-200000 ended another way/],
 		],
 		[
 			'archived and open',
-			{ [`${ROOT}intake/b`]: { jobs: [job('job-100000')] } },
+			{ [`${KEY_PREFIX}intake/b`]: { jobs: [job('job-100000')] } },
 			[/intake\/b: job-100000 is open there/],
 		],
 		[
 			'progress of a job that is over',
-			{ [`${ROOT}done/job-400000/1`]: [0, 3] },
+			{ [`${KEY_PREFIX}done/job-400000/1`]: [0, 3] },
 			[/done\/job-400000\/1: is progress/],
 		],
 		[
 			'a machine in two records',
 			{
-				[`${ROOT}fleet/r1`]: { part: 1, type: 't', zone: 'a', spot: false, asked: 0, hosts: { 'i-1': null } },
+				[`${KEY_PREFIX}fleet/r1`]: {
+					part: 1,
+					type: 't',
+					zone: 'a',
+					spot: false,
+					asked: 0,
+					hosts: { 'i-1': null },
+				},
 			},
 			[/fleet\/r1: holds machine i-1/],
 		],
 		[
 			'a part that is not there',
-			{ [`${ROOT}part/7`]: { owner: 'a', life: 'b' } },
+			{ [`${KEY_PREFIX}part/7`]: { owner: 'a', life: 'b' } },
 			[/part\/7: there are 3 parts/],
 		],
-		['a later form', { [`${ROOT}history`]: { form: 3, turn: 1 } }, [/history: is of form 3/]],
+		['a later form', { [`${KEY_PREFIX}history`]: { form: 3, turn: 1 } }, [/history: is of form 3/]],
 		[
 			'a page of another make',
-			{ [`${ROOT}over/0`]: { part: 0, over: [[1], 7] } },
+			{ [`${KEY_PREFIX}over/0`]: { part: 0, over: [[1], 7] } },
 			[/over\/0: does not parse/],
 		],
 		[
 			'none of ours',
-			{ [`${ROOT}what`]: 1, 'heathroad.x': 1 },
+			{ [`${KEY_PREFIX}what`]: 1, 'heathroad.x': 1 },
 			[/heathroad\.x: is none/, /what: is of no kind/],
 		],
 		[
 			'garbage',
-			{ [`${ROOT}over/0`]: 7, [`${ROOT}intake/a`]: { jobs: 1 }, [`${ROOT}job/job-300001`]: [] },
+			{
+				[`${KEY_PREFIX}over/0`]: 7,
+				[`${KEY_PREFIX}intake/a`]: { jobs: 1 },
+				[`${KEY_PREFIX}job/job-300001`]: [],
+			},
 			[/intake\/a: does not parse/, /job-300001: does not parse/, /over\/0: does not parse/],
 		],
 	] as const) {
@@ -209,7 +225,7 @@
 	...good(),
 	...Object.fromEntries(
 		Array.from({ length: n }, (_, i) => [
-			`${ROOT}intake/m${String(i).padStart(4, '0')}`,
+			`${KEY_PREFIX}intake/m${String(i).padStart(4, '0')}`,
 			{ jobs: [job(`job-${800_000 + i}`)] },
 		]),
 	),
@@ -220,16 +236,16 @@
 	let pages = 0
 	const moving: StoreClient = {
 		...client,
-		page: (...args) =>
-			client.page(...args).pipe(
+		list: (...args) =>
+			client.list(...args).pipe(
 				Effect.tap(() =>
 					Effect.sync(() => {
 						if (++pages !== 1) return
 						// Both a key that was read and one that was not yet.
 						const apply = [
-							{ set: `${ROOT}fleet/r0`, data: 'new' },
-							{ delete: `${ROOT}intake/m0440` },
-							{ set: `${ROOT}a`, data: 1 },
+							{ set: `${KEY_PREFIX}fleet/r0`, data: 'new' },
+							{ delete: `${KEY_PREFIX}intake/m0440` },
+							{ set: `${KEY_PREFIX}a`, data: 1 },
 						]
 						state.handle('POST', '/txn', { if: [], apply }, () => {})
 					}),
@@ -243,9 +259,9 @@
 		assert.ok(!got.has(key), key)
 		got.set(key, data)
 	}
-	assert.equal(got.get(`${ROOT}fleet/r0`), 'new')
-	assert.equal(got.get(`${ROOT}a`), 1)
-	assert.ok(!got.has(`${ROOT}intake/m0440`))
+	assert.equal(got.get(`${KEY_PREFIX}fleet/r0`), 'new')
+	assert.equal(got.get(`${KEY_PREFIX}a`), 1)
+	assert.ok(!got.has(`${KEY_PREFIX}intake/m0440`))
 	assert.equal(got.size, Object.keys(many(450)).length)
 })
 
@@ -276,7 +292,7 @@
 		)
 	}
 	await assert.rejects(openSnapshot(join(dir, 'nowhere')), /cannot be read \(ENOENT\)/)
-	const used = serve({ [`${ROOT}history`]: { form: 2, turn: 1 } })
+	const used = serve({ [`${KEY_PREFIX}history`]: { form: 2, turn: 1 } })
 	await assert.rejects(importState(used.client, await openSnapshot(path), IMPORT), /is not empty/)
 	assert.equal(used.state.count(''), 1)
 })
@@ -304,11 +320,11 @@
 	const differences = await diffStates(snapshot, await openSnapshot(back))
 	// Epochs begin anew, owners and the installation's name stay behind.
 	assert.deepEqual(differences, [
-		`~ ${leafKey(1, MIDDLE)}`,
-		`~ ${leafKey(1, '~')}`,
-		`- ${ROOT}installation`,
-		`~ ${ROOT}over/0`,
-		`- ${ROOT}part/0`,
+		`~ ${archivePageKey(1, MIDDLE)}`,
+		`~ ${archivePageKey(1, '~')}`,
+		`- ${KEY_PREFIX}installation`,
+		`~ ${KEY_PREFIX}over/0`,
+		`- ${KEY_PREFIX}part/0`,
 	])
 	const restored: Record<string, unknown> = {}
 	for await (const { key, data } of entriesOf(await openSnapshot(back))) restored[key] = data
@@ -322,8 +338,8 @@
 		heldS: i === 8 ? 2 : 600,
 	}))
 	let calls = 0
-	const caller: Caller = {
-		call: (_, __, path) => {
+	const caller: HttpClient = {
+		request: (_, __, path) => {
 			if (++calls % 2 === 0) return Effect.succeed({ status: 429, body: {}, retryAfter: null })
 			const from = new URLSearchParams(path.split('?')[1]).get('from') ?? ''
 			const rest = all.filter((m) => m.uid > from)
@@ -348,6 +364,6 @@
 		'i-000009: is charged since 600 s, and no record knows it',
 		'fleet/y: holds machine i-gone, which the cloud does not list',
 	])
-	const deaf: Caller = { call: () => Effect.succeed({ status: 503, body: {}, retryAfter: null }) }
+	const deaf: HttpClient = { request: () => Effect.succeed({ status: 503, body: {}, retryAfter: null }) }
 	await assert.rejects(Effect.runPromise(listMachines(deaf, 'cloud:1', 10_000, 100)), /cloud does not answer/)
 })
