--- a/tests/lab.test.ts
+++ b/tests/lab.test.ts
@@ -3,11 +3,11 @@
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import { after, test } from 'node:test'
-import { Recall, uidOf } from '@heathroad/history'
+import { ArchiveReader, jobIdOf } from '@heathroad/history'
 import { BadExperiment, madeIds, measureStart, putArchive, readExperiment } from '@heathroad/lab'
-import { makeStoreClient, Pace } from '@heathroad/store'
-import { StateStandIn, VirtualClock } from '@heathroad/testkit'
-import { type Answer, type Caller, UID } from '@heathroad/wire'
+import { createStoreClient, RequestPacer } from '@heathroad/store'
+import { FakeStateStore, VirtualClock } from '@heathroad/testkit'
+import { type HttpClient, type HttpResponse, JOB_ID_PATTERN } from '@heathroad/wire'
 import { Effect } from 'effect'
 
 const dir = mkdtempSync(join(tmpdir(), 'heathroad-lab-test-'))
@@ -44,26 +44,31 @@
 	const ids = [...madeIds(30_000, 5)]
 	assert.equal(ids.length, 30_000)
 	for (let i = 1; i < ids.length; i++) assert.ok(ids[i - 1] < ids[i], `${ids[i - 1]}, ${ids[i]}`)
-	assert.ok(ids.every((at) => UID.test(uidOf(at))))
-	const state = new StateStandIn(new VirtualClock(1))
+	assert.ok(ids.every((at) => JOB_ID_PATTERN.test(jobIdOf(at))))
+	const state = new FakeStateStore(new VirtualClock(1))
 	const sample = putArchive(state, 30_000, 1024, 5, 150)
-	const caller: Caller = {
-		call: (_, method, path, body) => {
-			let answer: Answer = { status: 0, body: null, retryAfter: null }
+	const caller: HttpClient = {
+		request: (_, method, path, body) => {
+			let answer: HttpResponse = { status: 0, body: null, retryAfter: null }
 			state.handle(method, path, body, (r) => {
 				answer = { ...r, retryAfter: null }
 			})
 			return Effect.succeed(answer)
 		},
 	}
-	const client = makeStoreClient(caller, 'state:1', 1000, () => {})
-	const recall = new Recall(client, () => ({ legacy: false, levels: true }), new Pace(0, () => 0), {
-		cache: 100_000,
-		waiting: 1000,
-		run: 16,
-	})
+	const client = createStoreClient(caller, 'state:1', 1000, () => {})
+	const recall = new ArchiveReader(
+		client,
+		() => ({ legacy: false, levels: true }),
+		new RequestPacer(0, () => 0),
+		{
+			maxCacheChars: 100_000,
+			maxPendingLookups: 1000,
+			maxPagesPerRead: 16,
+		},
+	)
 	const found = await Effect.runPromise(
-		Effect.forEach(sample, (p) => recall.find(uidOf(p.at)), { concurrency: 'unbounded' }),
+		Effect.forEach(sample, (p) => recall.lookUp(jobIdOf(p.ordinal)), { concurrency: 'unbounded' }),
 	)
 	assert.deepEqual(found, sample)
 })
--- a/tests/meetings.test.ts
+++ b/tests/meetings.test.ts
@@ -1,12 +1,18 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { anyMeetingDay, type Day, sweep, type Trouble, World } from '@heathroad/testkit'
+import {
+	arrayJob,
+	type Fault,
+	randomCompoundFaultDay,
+	type SimulatedDay,
+	Simulation,
+} from '@heathroad/testkit'
 
 /** Jobs of two or three tasks that end far apart, some of many, a third cancelled; long ones end in no other way. */
-const jobs: Day['jobs'] = Array.from({ length: 30 }, (_, i) => {
+const jobs: SimulatedDay['jobs'] = Array.from({ length: 30 }, (_, i) => {
 	const atS = 1 + i * 4
 	const cancelled = i % 3 === 1
-	const spec = sweep(`job-${String(i).padStart(6, '0')}`, {
+	const spec = arrayJob(`job-${String(i).padStart(6, '0')}`, {
 		tasks: i % 4 === 0 ? 20 : 2 + (i % 2),
 		expectedS: cancelled ? 300 : 5 + ((i * 17) % 60),
 		image: `img-${i % 3}`,
@@ -17,16 +23,16 @@
 	return { atS, spec, ...(cancelled ? { cancelAtS: atS + 8 + ((i * 11) % 50) } : {}) }
 })
 
-const cut = (atS: number, who: number, forS: number): Trouble => ({
+const cut = (atS: number, who: number, forS: number): Fault => ({
 	atS,
 	kind: 'cut',
 	who: [who],
 	from: ['state', 'peers'],
 	forS,
 })
-const crash = (atS: number, who: number[], forS: number): Trouble => ({ atS, kind: 'crash', who, forS })
+const crash = (atS: number, who: number[], forS: number): Fault => ({ atS, kind: 'crash', who, forS })
 
-const meetings: { name: string; troubles: Trouble[]; controllers?: number }[] = [
+const meetings: { name: string; troubles: Fault[]; controllers?: number }[] = [
 	{
 		name: 'a leader without state and peers keeps its workers and users, jobs are cancelled through the new one',
 		troubles: [cut(30, 0, 40), cut(80, 1, 12), cut(100, 2, 60)],
@@ -107,11 +113,11 @@
 
 for (const [i, { name, troubles, controllers }] of meetings.entries())
 	test(`a meeting: ${name}`, async () => {
-		const world = new World({
+		const world = new Simulation({
 			seed: i + 1,
 			untilS: 340,
 			jobs,
-			troubles,
+			faults: troubles,
 			controllers,
 			// In both forms of the records, by turns.
 			history: i % 2 === 0 ? undefined : null,
@@ -120,19 +126,19 @@
 			up: 5,
 		})
 		await world.play()
-		assert.deepEqual(world.rules.broken, [])
-		assert.deepEqual(world.rules.failures(), [])
-		assert.deepEqual(world.rules.unfinished(), [], 'every job ends')
+		assert.deepEqual(world.invariants.violations, [])
+		assert.deepEqual(world.invariants.failures(), [])
+		assert.deepEqual(world.invariants.unfinished(), [], 'every job ends')
 		const tasks = jobs.reduce((n, j) => n + j.spec.tasks, 0)
-		assert.ok(world.rules.started >= tasks * 0.7, `${world.rules.started} starts of ${tasks} tasks`)
+		assert.ok(world.invariants.started >= tasks * 0.7, `${world.invariants.started} starts of ${tasks} tasks`)
 	})
 
 /** Two teams that always want more than their limits; every third job is long, and called off if nothing else is. */
-const limited: Day['jobs'] = Array.from({ length: 36 }, (_, i) => {
+const limited: SimulatedDay['jobs'] = Array.from({ length: 36 }, (_, i) => {
 	const atS = 1 + i * 4
 	const long = i % 3 === 2
 	const team = i % 2 === 0 ? 'core' : 'guest'
-	const spec = sweep(`job-${String(i).padStart(6, '0')}`, {
+	const spec = arrayJob(`job-${String(i).padStart(6, '0')}`, {
 		team,
 		jobClass: team,
 		tasks: 2 + (i % 3),
@@ -143,9 +149,9 @@
 })
 
 /** More than there is room for, urgent and not; a third bound to one zone, some of them wide. */
-const crowded: Day['jobs'] = Array.from({ length: 40 }, (_, i) => ({
+const crowded: SimulatedDay['jobs'] = Array.from({ length: 40 }, (_, i) => ({
 	atS: 1 + i * 2,
-	spec: sweep(`job-${String(i).padStart(6, '0')}`, {
+	spec: arrayJob(`job-${String(i).padStart(6, '0')}`, {
 		tasks: i % 7 === 3 ? 60 : 3 + (i % 6),
 		expectedS: 8 + ((i * 11) % 25),
 		priority: i % 4 === 0 ? 'urgent' : i % 4 === 1 ? 'idle' : 'normal',
@@ -155,43 +161,43 @@
 }))
 
 /** Wide jobs that end bit by bit. */
-const wide: Day['jobs'] = Array.from({ length: 10 }, (_, i) => ({
+const wide: SimulatedDay['jobs'] = Array.from({ length: 10 }, (_, i) => ({
 	atS: 1 + i * 6,
-	spec: sweep(`job-${String(i).padStart(6, '0')}`, { tasks: 60, expectedS: 4 + i }),
+	spec: arrayJob(`job-${String(i).padStart(6, '0')}`, { tasks: 60, expectedS: 4 + i }),
 }))
 
 /** Bursts far enough apart that idle machines go back in between: each meets machines that boot. */
-const bursts: Day['jobs'] = Array.from({ length: 48 }, (_, i) => ({
+const bursts: SimulatedDay['jobs'] = Array.from({ length: 48 }, (_, i) => ({
 	atS: 10 + Math.floor(i / 4) * 22 + (i % 4) * 0.2,
-	spec: sweep(`job-${String(i).padStart(6, '0')}`, { tasks: 8, expectedS: 7 }),
+	spec: arrayJob(`job-${String(i).padStart(6, '0')}`, { tasks: 8, expectedS: 7 }),
 }))
 
 /** Four a second, each of one task. */
-const ones: Day['jobs'] = Array.from({ length: 240 }, (_, i) => ({
+const ones: SimulatedDay['jobs'] = Array.from({ length: 240 }, (_, i) => ({
 	atS: 10 + i / 4,
-	spec: sweep(`job-${String((i * 7919 + 13) % 1_000_003).padStart(6, '0')}`, { tasks: 1, expectedS: 5 }),
+	spec: arrayJob(`job-${String((i * 7919 + 13) % 1_000_003).padStart(6, '0')}`, { tasks: 1, expectedS: 5 }),
 }))
 
-const later = (forS: number): Trouble => ({ atS: 10, kind: 'closeLooks', forS, share: 1 })
-const calledOff = (atS: number, count: number, hangS = 0): Trouble => ({
+const later = (forS: number): Fault => ({ atS: 10, kind: 'closeLooks', forS, share: 1 })
+const calledOff = (atS: number, count: number, hangS = 0): Fault => ({
 	atS,
 	kind: 'cancelNow',
 	count,
 	hangS,
 })
-const drain = (atS: number, who: number[], forS: number): Trouble => ({ atS, kind: 'drain', who, forS })
+const drain = (atS: number, who: number[], forS: number): Fault => ({ atS, kind: 'drain', who, forS })
 
 /** As `meetings`, each on jobs and in a world of its own; `least`: tasks that start at the least, of those there are. */
-const further: { name: string; day: Partial<Day>; least?: number }[] = [
+const further: { name: string; day: Partial<SimulatedDay>; least?: number }[] = [
 	{
 		name: 'users ask at all controllers within milliseconds and submit again, right after each thing they are told',
-		day: { troubles: [later(200), crash(50, [0], 2), drain(80, [1], 1), cut(110, 2, 15)] },
+		day: { faults: [later(200), crash(50, [0], 2), drain(80, [1], 1), cut(110, 2, 15)] },
 	},
 	{
 		name: 'users ask ten times as often, at any controller, while wide jobs end bit by bit and leaders change',
 		day: {
 			jobs: wide,
-			troubles: [
+			faults: [
 				{ atS: 5, kind: 'pollStorm', factor: 10, forS: 200 },
 				crash(40, [0], 2),
 				drain(70, [1], 1),
@@ -202,17 +208,17 @@
 	{
 		name: 'transactions are carried out at once and only their answers are lost, while others read what they wrote',
 		day: {
-			troubles: [later(200), { atS: 10, kind: 'lostAnswers', share: 0.5, forS: 150 }, crash(70, [1], 1)],
+			faults: [later(200), { atS: 10, kind: 'lostAnswers', share: 0.5, forS: 150 }, crash(70, [1], 1)],
 		},
 	},
 	{
 		name: 'a cancellation, a question and a repeated submission reach others as the last task ends, nothing else happens',
-		day: { troubles: [{ atS: 1, kind: 'cancelAtEnd', share: 1, forS: 250 }] },
+		day: { faults: [{ atS: 1, kind: 'cancelAtEnd', share: 1, forS: 250 }] },
 	},
 	{
 		name: 'the same, while answers of transactions are lost and users look closely',
 		day: {
-			troubles: [
+			faults: [
 				{ atS: 1, kind: 'cancelAtEnd', share: 0.7, forS: 250 },
 				{ atS: 5, kind: 'lostAnswers', share: 0.4, forS: 150 },
 				{ atS: 5, kind: 'stateSlow', forS: 180 },
@@ -227,7 +233,7 @@
 			capacity: 10,
 			// On pages, which outcomes and cancellations share.
 			history: undefined,
-			troubles: [
+			faults: [
 				{ atS: 5, kind: 'cancelAtEnd', share: 0.6, forS: 100 },
 				{ atS: 5, kind: 'stateSlow', forS: 100 },
 				{ atS: 5, kind: 'closeLooks', share: 0.2, forS: 100 },
@@ -237,7 +243,7 @@
 	{
 		name: 'jobs are called off in the seconds in which the work of a controller changes hands, and comes back',
 		day: {
-			troubles: [30, 62, 95, 128].flatMap((atS, i) => [
+			faults: [30, 62, 95, 128].flatMap((atS, i) => [
 				drain(atS, [i % 3], 0.3),
 				...[0.1, 0.4, 0.9, 1.6, 3].map((s) => calledOff(atS + s, 2)),
 			]),
@@ -246,7 +252,7 @@
 	{
 		name: 'jobs move between parts as they are called off',
 		day: {
-			troubles: [
+			faults: [
 				{ atS: 40, kind: 'zoneCut', zone: 'a', who: [0], forS: 40 },
 				...[41, 44, 47, 50, 53, 56, 80, 81, 82].map((atS) => calledOff(atS, 1)),
 				{ atS: 40, kind: 'closeLooks', share: 1, forS: 60 },
@@ -263,7 +269,7 @@
 				['guest', 8],
 			]),
 			guarantees: new Map([['guest', 4]]),
-			troubles: [
+			faults: [
 				{ atS: 40, kind: 'machinesCut', forS: 14 },
 				calledOff(41, 4, 8),
 				crash(42, [0, 1], 1),
@@ -283,22 +289,23 @@
 			jobs: bursts,
 			up: 0,
 			untilS: 500,
-			troubles: [
+			faults: [
 				{ atS: 1, kind: 'boots', factor: 0.1, forS: 270 },
 				{ atS: 5, kind: 'lateWrites', share: 0.4, forS: 265 },
 				{ atS: 6, kind: 'stateSlow', forS: 264 },
-				...Array.from({ length: 12 }, (_, i) => 10 + i * 22 + 1.6 + (i % 6) * 0.4).flatMap(
-					(atS): Trouble[] => [{ atS: atS - 0.1, kind: 'machinesCut', forS: 7 }, crash(atS, [0, 1, 2], 0.3)],
-				),
+				...Array.from({ length: 12 }, (_, i) => 10 + i * 22 + 1.6 + (i % 6) * 0.4).flatMap((atS): Fault[] => [
+					{ atS: atS - 0.1, kind: 'machinesCut', forS: 7 },
+					crash(atS, [0, 1, 2], 0.3),
+				]),
 			],
 		},
 	},
 	{
 		name: 'old reports reach every controller just as a new leader begins',
 		day: {
-			troubles: [
+			faults: [
 				{ atS: 10, kind: 'heldReports', share: 0.2, forS: 140 },
-				...[30, 50, 72, 95, 121].flatMap((atS, i): Trouble[] => [
+				...[30, 50, 72, 95, 121].flatMap((atS, i): Fault[] => [
 					{ atS: atS - 0.1, kind: 'machinesCut', forS: 6 },
 					crash(atS, [i % 3, (i + 1) % 3], 0.5),
 				]),
@@ -309,7 +316,7 @@
 	{
 		name: 'machines reach no controller while direct commands reach them, jobs on them are called off, leaders end',
 		day: {
-			troubles: [
+			faults: [
 				{ atS: 30, kind: 'machineMute', share: 0.7, forS: 25 },
 				calledOff(31, 5),
 				crash(33, [0], 0.5),
@@ -324,7 +331,7 @@
 	{
 		name: 'leaders change ten times in two minutes, also inside an outage',
 		day: {
-			troubles: [
+			faults: [
 				...Array.from({ length: 10 }, (_, i) => crash(30 + i * 12, [i % 3], 1)),
 				{ atS: 70, kind: 'stateDown', forS: 22 },
 				calledOff(65, 3),
@@ -336,7 +343,7 @@
 	{
 		name: 'all controllers are away for longer than a lease, and a zone with one and its workers is cut off for longer',
 		day: {
-			troubles: [
+			faults: [
 				crash(35, [0, 1, 2], 16),
 				{ atS: 80, kind: 'zoneCut', zone: 'a', who: [0], forS: 28 },
 				calledOff(82, 3),
@@ -352,9 +359,9 @@
 			untilS: 700,
 			up: 0,
 			capacity: 3,
-			troubles: [
+			faults: [
 				{ atS: 10, kind: 'slowLinks', factor: 1.5, forS: 80 },
-				...[30, 34, 38, 42, 60, 64, 68].map((atS): Trouble => ({ atS, kind: 'machineDies' })),
+				...[30, 34, 38, 42, 60, 64, 68].map((atS): Fault => ({ atS, kind: 'machineDies' })),
 				crash(50, [1], 1),
 			],
 		},
@@ -362,18 +369,18 @@
 	},
 	{
 		name: 'users err all day: they repeat, cancel what is over, send what can never run or lacks a field',
-		day: { troubles: [{ atS: 5, kind: 'oddRequests', forS: 200 }, crash(60, [0, 1], 1), later(100)] },
+		day: { faults: [{ atS: 5, kind: 'oddRequests', forS: 200 }, crash(60, [0, 1], 1), later(100)] },
 	},
 ]
 
 for (const [i, { name, day, least }] of further.entries())
 	test(`a meeting: ${name}`, async () => {
 		const of = day.jobs ?? jobs
-		const world = new World({
+		const world = new Simulation({
 			seed: i + 1,
 			untilS: 340,
 			jobs: of,
-			troubles: [],
+			faults: [],
 			history: i % 2 === 0 ? undefined : null,
 			drift: true,
 			capacity: 5,
@@ -382,28 +389,28 @@
 			...day,
 		})
 		await world.play()
-		assert.deepEqual(world.rules.broken, [])
-		assert.deepEqual(world.rules.failures(), [])
-		assert.deepEqual(world.rules.unfinished(), [], 'every job ends')
+		assert.deepEqual(world.invariants.violations, [])
+		assert.deepEqual(world.invariants.failures(), [])
+		assert.deepEqual(world.invariants.unfinished(), [], 'every job ends')
 		const tasks = of.reduce((n, j) => n + j.spec.tasks, 0)
 		assert.ok(
-			world.rules.started >= tasks * (least ?? 0.6),
-			`${world.rules.started} starts of ${tasks} tasks`,
+			world.invariants.started >= tasks * (least ?? 0.6),
+			`${world.invariants.started} starts of ${tasks} tasks`,
 		)
 	})
 
 test('one-task jobs, four a second for minutes, a quarter called off: within the change rate, and nothing piles up', async () => {
 	const forS = 150
-	const ones: Day['jobs'] = Array.from({ length: 4 * forS }, (_, i) => ({
+	const ones: SimulatedDay['jobs'] = Array.from({ length: 4 * forS }, (_, i) => ({
 		atS: 15 + i / 4,
-		spec: sweep(`job-${String((i * 7919 + 13) % 1_000_003).padStart(6, '0')}`, { tasks: 1, expectedS: 6 }),
+		spec: arrayJob(`job-${String((i * 7919 + 13) % 1_000_003).padStart(6, '0')}`, { tasks: 1, expectedS: 6 }),
 		...(i % 4 === 1 ? { cancelAtS: 15 + i / 4 + 0.5 + ((i * 13) % 9) } : {}),
 	}))
-	const world = new World({
+	const world = new Simulation({
 		seed: 3,
 		untilS: 260,
 		jobs: ones,
-		troubles: [],
+		faults: [],
 		capacity: 12,
 		up: 4,
 		stateLimits: true,
@@ -415,14 +422,14 @@
 	const records: number[] = []
 	let longest = 0
 	const asked = new Map(ones.map((j) => [j.spec.uid, j.atS * 1000]))
-	world.rules.news = (uid, state) => {
+	world.invariants.news = (uid, state) => {
 		if (state === 'pending') longest = Math.max(longest, world.clock.nowMs - asked.get(uid)!)
 	}
 	for (let s = 45; s < 15 + forS; s += 5)
 		world.clock.after(s * 1000, () => records.push(world.state.count('heathroad/intake/')))
 	await world.play()
-	assert.deepEqual(world.rules.broken, [])
-	assert.deepEqual(world.rules.unfinished(), [])
+	assert.deepEqual(world.invariants.violations, [])
+	assert.deepEqual(world.invariants.unfinished(), [])
 	assert.ok(changes / ones.length < 3.2, `${changes} changes for ${ones.length} jobs`)
 	assert.ok(world.state.refused < 20, `${world.state.refused} requests too many`)
 	assert.ok(longest < 2000, `accepted after ${longest} ms`)
@@ -432,8 +439,8 @@
 })
 
 test('any troubles that meet', async () => {
-	const world = new World(anyMeetingDay(1))
+	const world = new Simulation(randomCompoundFaultDay(1))
 	await world.play()
-	assert.deepEqual(world.rules.broken, [])
-	assert.deepEqual(world.rules.unfinished(), [])
+	assert.deepEqual(world.invariants.violations, [])
+	assert.deepEqual(world.invariants.unfinished(), [])
 })
--- a/tests/part.test.ts
+++ b/tests/part.test.ts
@@ -1,26 +1,26 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import type { JobRecord } from '@heathroad/cluster'
-import { DEFAULTS, derive } from '@heathroad/config'
-import { Part } from '@heathroad/controller'
-import type { Write } from '@heathroad/store'
-import { idlePorts, plainSettings, sweep } from '@heathroad/testkit'
-import type { JobSpec, Order, Report, ReportedTask } from '@heathroad/wire'
+import { DEFAULT_OPERATOR_SETTINGS, deriveLimits } from '@heathroad/config'
+import { Shard } from '@heathroad/controller'
+import type { QueuedWrite } from '@heathroad/store'
+import { arrayJob, idlePorts, plainSettings } from '@heathroad/testkit'
+import type { Command, Heartbeat, JobSpec, ReportedTask } from '@heathroad/wire'
 
 /** The token under which the part was taken. */
 const TOKEN = 3
 const settings = plainSettings('a')
-const { reportMs, leaseMs } = derive(settings)
+const { heartbeatMs: reportMs, agentLeaseMs: leaseMs } = deriveLimits(settings)
 
 /** One part alone with machines that a former owner may have used; writes and commands wait until they are answered. */
 const scene = (machines: readonly string[]) => {
 	let nowMs = 0
-	const jobs = new Map<string, { record: JobRecord; stamp: number }>()
-	const writes: Write[] = []
+	const jobs = new Map<string, { record: JobRecord; modRevision: number }>()
+	const writes: QueuedWrite[] = []
 	const commands: {
 		addr: string
-		orders: Order[]
-		answer: (status: number, report: Report | null) => void
+		orders: Command[]
+		answer: (status: number, report: Heartbeat | null) => void
 	}[] = []
 	const fleet = (ids: readonly string[]) => ({
 		part: 0,
@@ -32,38 +32,44 @@
 	})
 	const ports = idlePorts({
 		now: () => nowMs,
-		wallClock: () => 1_700_000_000_000 + nowMs,
-		under: (prefix) => (prefix === 'fleet/' ? [['fleet/r', { data: fleet(machines), stamp: 2 }]] : []),
+		wallClockMs: () => 1_700_000_000_000 + nowMs,
+		withPrefix: (prefix) =>
+			prefix === 'fleet/' ? [['fleet/r', { data: fleet(machines), modRevision: 2 }]] : [],
 		job: (uid) => jobs.get(uid),
 		openJobs: () => jobs.keys(),
-		write: (w) => {
-			const write = { ...w, until: 0 }
+		enqueueWrite: (w) => {
+			const write = { ...w, deadline: 0 }
 			writes.push(write)
 			return write
 		},
-		command: (addr, _token, _tenure, orders, answer) => commands.push({ addr, orders, answer }),
+		sendCommands: (addr, _token, _tenure, orders, answer) => commands.push({ addr, orders, answer }),
 	})
-	const part = new Part(0, TOKEN, { settings, ...DEFAULTS, derived: derive(settings) }, ports)
+	const part = new Shard(
+		0,
+		TOKEN,
+		{ settings, ...DEFAULT_OPERATOR_SETTINGS, limits: deriveLimits(settings) },
+		ports,
+	)
 	const counters = new Map<string, number>()
 	/** a report as its machine makes it now */
-	const made = (machine: string, tasks: ReportedTask[], token = TOKEN): Report => {
+	const made = (machine: string, tasks: ReportedTask[], token = TOKEN): Heartbeat => {
 		counters.set(machine, (counters.get(machine) ?? 0) + 1)
 		return {
-			machine,
-			addr: `${machine}:1`,
-			type: 'box',
+			machineId: machine,
+			address: `${machine}:1`,
+			machineType: 'box',
 			zone: 'a',
 			spot: true,
-			tenure: 1,
-			counter: counters.get(machine)!,
-			token,
-			noticeS: null,
+			agentEpoch: 1,
+			sequence: counters.get(machine)!,
+			fencingToken: token,
+			preemptionNoticeS: null,
 			tasks,
 		}
 	}
-	const send = (report: Report): Order[] => {
-		let orders: Order[] = []
-		part.report(report, (answer) => {
+	const send = (report: Heartbeat): Command[] => {
+		let orders: Command[] = []
+		part.handleHeartbeat(report, (answer) => {
 			orders = answer?.orders ?? []
 		})
 		return orders
@@ -76,11 +82,11 @@
 		send,
 		report: (machine: string, tasks: ReportedTask[] = [], token = TOKEN) => send(made(machine, tasks, token)),
 		accept: (uid: string, tasks: number, more: Partial<JobSpec> = {}) => {
-			const record = { part: 0, spec: sweep(uid, { tasks, ...more }), at: 1_700_000_000_000 }
-			jobs.set(uid, { record, stamp: 0 })
-			part.jobChanged(uid, record)
+			const record = { shardId: 0, spec: arrayJob(uid, { tasks, ...more }), acceptedAtMs: 1_700_000_000_000 }
+			jobs.set(uid, { record, modRevision: 0 })
+			part.onJobChanged(uid, record)
 		},
-		comes: (id: string) => part.fleetChanged('r', fleet([...machines, id]), fleet(machines)),
+		comes: (id: string) => part.onMachineGroupChanged('r', fleet([...machines, id]), fleet(machines)),
 		pass: (ms: number) => {
 			for (const until = nowMs + ms; nowMs < until; ) {
 				nowMs += 250
@@ -93,25 +99,26 @@
 const task = (
 	name: string,
 	state: ReportedTask['state'],
-	cause: ReportedTask['cause'] = null,
+	cause: ReportedTask['exitReason'] = null,
 	attempt = 7,
 ): ReportedTask => {
 	const [uid, n] = name.split('/')
-	return { name, uid, task: Number(n), attempt, state, cause }
+	return { taskName: name, uid, taskIndex: Number(n), attempt, state, exitReason: cause }
 }
-const starts = (orders: readonly Order[]) => orders.filter((o) => o.verb === 'start').map((o) => o.name)
-const forgets = (orders: readonly Order[]) => orders.filter((o) => o.verb === 'forget').map((o) => o.name)
+const starts = (orders: readonly Command[]) => orders.filter((o) => o.verb === 'start').map((o) => o.taskName)
+const forgets = (orders: readonly Command[]) =>
+	orders.filter((o) => o.verb === 'forget').map((o) => o.taskName)
 
 test('a report from before the takeover does not account for its machine', () => {
 	const s = scene(['i-1'])
 	s.accept('job-000001', 1)
 	// Held up since before the former owner's start was answered: it shows nothing, and proves nothing.
 	assert.deepEqual(starts(s.report('i-1', [], TOKEN - 1)), [])
-	assert.equal(s.part.rebuilt, false)
+	assert.equal(s.part.isReconciled, false)
 	s.pass(reportMs)
 	assert.deepEqual(starts(s.report('i-1', [], TOKEN - 1)), [], 'nor does another one')
 	s.report('i-1', [task('job-000001/0', 'running')])
-	assert.equal(s.part.rebuilt, true)
+	assert.equal(s.part.isReconciled, true)
 	assert.deepEqual(starts(s.report('i-1', [task('job-000001/0', 'running')])), [], 'it runs already')
 })
 
@@ -124,7 +131,7 @@
 			(s) => s.commands.at(-1)!.answer(200, s.made('i-1', [task('job-000009/0', 'ended', 'halted')])),
 			false,
 		],
-		['an older report comes again', (s) => s.send({ ...s.made('i-1', []), counter: 1 }), false],
+		['an older report comes again', (s) => s.send({ ...s.made('i-1', []), sequence: 1 }), false],
 		['the next report does not have it', (s) => s.report('i-1'), true],
 		['its lease is over', (s) => s.pass(leaseMs + 500), true],
 	]
@@ -133,7 +140,7 @@
 		s.accept('job-000009', 1)
 		s.report('i-1', [task('job-000009/0', 'running')])
 		// A command is under way, so that its answer may overtake another response.
-		s.part.applyCancelled('job-000009')
+		s.part.applyCancellation('job-000009')
 		assert.ok(s.commands.length > 0)
 		s.accept('job-000001', 1)
 		assert.deepEqual(starts(s.report('i-1', [task('job-000009/0', 'running')])), ['job-000001/0'], name)
@@ -159,11 +166,11 @@
 	assert.ok(s.writes.length > 0)
 	for (const w of s.writes.splice(0)) {
 		assert.notEqual(w.build(), null)
-		w.done({ kind: 'unknown' })
+		w.onResult({ kind: 'unknown' })
 	}
 	s.pass(reportMs * 4)
 	assert.deepEqual(forgets(s.report('i-1', done)), [], 'whether it was carried out is not known')
-	for (const w of s.writes.splice(0)) if (w.build() !== null) w.done({ kind: 'ok', epoch: 9 })
+	for (const w of s.writes.splice(0)) if (w.build() !== null) w.onResult({ kind: 'ok', revision: 9 })
 	s.pass(reportMs)
 	assert.deepEqual(forgets(s.report('i-1', done)), ['job-000001/0'])
 })
@@ -179,7 +186,7 @@
 	assert.equal(first.length, 8, 'as many as it has room for')
 	s.pass(500)
 	const waiting = s.part.jobs.get('job-000001')
-	assert.equal(waiting?.ready.size, 4, 'the others wait, and may be rented for')
+	assert.equal(waiting?.readyTasks.size, 4, 'the others wait, and may be rented for')
 	assert.equal(starts(s.report('i-1')).length, 4, 'until it is heard again')
 })
 
@@ -188,9 +195,9 @@
 	s.accept('job-000001', 2, { checkpointS: 30, saveS: 4 })
 	const tasks = [task('job-000001/0', 'running'), task('job-000001/1', 'flushing')]
 	s.report('i-1', tasks)
-	s.part.applyCancelled('job-000001')
-	const kills = (orders: readonly Order[] = []) =>
-		orders.flatMap((o) => (o.verb === 'kill' ? [`${o.name} ${o.graceS}`] : []))
+	s.part.applyCancellation('job-000001')
+	const kills = (orders: readonly Command[] = []) =>
+		orders.flatMap((o) => (o.verb === 'kill' ? [`${o.taskName} ${o.gracePeriodS}`] : []))
 	const both = ['job-000001/0 0', 'job-000001/1 0']
 	assert.deepEqual(kills(s.commands.at(-1)?.orders), both, 'told directly')
 	assert.deepEqual(kills(s.report('i-1', tasks)), both, 'and with the next report, in case that was lost')
--- a/tests/placement.test.ts
+++ b/tests/placement.test.ts
@@ -1,25 +1,25 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { Boots } from '@heathroad/controller'
+import { BootTimeEstimator } from '@heathroad/controller'
 import {
 	type Candidate,
 	canEverRun,
 	chooseOffer,
 	choosePacking,
 	chooseVictims,
-	howMany,
-	inOrder,
-	type Offer,
+	type InstanceOffer,
+	isZoneAllowed,
 	orderRank,
 	type PackedMachine,
-	rank,
-	rentWeight,
+	priorityRank,
+	rankCandidates,
+	scaleOutWeight,
 	startBounds,
+	tasksThatFit,
 	type Victim,
 	withinLimit,
-	zoneAllowed,
 } from '@heathroad/policy'
-import { sweep } from '@heathroad/testkit'
+import { arrayJob } from '@heathroad/testkit'
 import type { MachineType } from '@heathroad/wire'
 
 const candidate = (id: string, more: Partial<Candidate>): Candidate => ({
@@ -67,7 +67,7 @@
 		},
 	]
 	for (const c of cases) {
-		const order = inOrder(c.machines, 1, () => c.rentable === true).map((m) => m.id)
+		const order = rankCandidates(c.machines, 1, () => c.rentable === true).map((m) => m.id)
 		assert.equal(order.join(''), c.want, c.name)
 	}
 })
@@ -85,13 +85,13 @@
 	zones: ['a'],
 	...more,
 })
-const offer = (t: MachineType, spot = false): Offer => ({ type: t, zone: 'a', spot })
+const offer = (t: MachineType, spot = false): InstanceOffer => ({ type: t, zone: 'a', spot })
 
 test('what to rent', () => {
 	const slow = type('slow', 1)
 	const quick = type('quick', 3, { bootS: 10 })
-	const spec = sweep('job-000001')
-	const cases: { name: string; share: number; offers: Offer[]; want: string | undefined }[] = [
+	const spec = arrayJob('job-000001')
+	const cases: { name: string; share: number; offers: InstanceOffer[]; want: string | undefined }[] = [
 		{
 			name: 'the fastest that the share covers',
 			share: 1,
@@ -133,9 +133,9 @@
 	]
 	for (const c of cases) {
 		const r = orderRank('idle', c.age, bounds)
-		assert.equal(r > rank('normal') && r < rank('urgent'), c.lifted, c.name)
+		assert.equal(r > priorityRank('normal') && r < priorityRank('urgent'), c.lifted, c.name)
 	}
-	assert.equal(orderRank('urgent', 50, bounds), rank('urgent'), 'urgent jobs are never lowered')
+	assert.equal(orderRank('urgent', 50, bounds), priorityRank('urgent'), 'urgent jobs are never lowered')
 })
 
 test('zones, limits and fits', () => {
@@ -144,23 +144,28 @@
 		['b', 0],
 	])
 	const place = [
-		{ name: 'free', spec: sweep('job-000001'), zone: 'b', want: true },
-		{ name: 'same place, elsewhere', spec: sweep('job-000001', { samePlace: true }), zone: 'b', want: false },
-		{ name: 'same place, there', spec: sweep('job-000001', { samePlace: true }), zone: 'a', want: true },
+		{ name: 'free', spec: arrayJob('job-000001'), zone: 'b', want: true },
+		{
+			name: 'same place, elsewhere',
+			spec: arrayJob('job-000001', { samePlace: true }),
+			zone: 'b',
+			want: false,
+		},
+		{ name: 'same place, there', spec: arrayJob('job-000001', { samePlace: true }), zone: 'a', want: true },
 		{
 			name: 'apart: 2 of 4 are full',
-			spec: sweep('job-000001', { apart: true, tasks: 4 }),
+			spec: arrayJob('job-000001', { apart: true, tasks: 4 }),
 			zone: 'a',
 			want: false,
 		},
 		{
 			name: 'apart: 3 of 5 may be',
-			spec: sweep('job-000001', { apart: true, tasks: 5 }),
+			spec: arrayJob('job-000001', { apart: true, tasks: 5 }),
 			zone: 'a',
 			want: true,
 		},
 	]
-	for (const c of place) assert.equal(zoneAllowed(c.spec, c.zone, zones), c.want, c.name)
+	for (const c of place) assert.equal(isZoneAllowed(c.spec, c.zone, zones), c.want, c.name)
 	const team = { name: 't', cpus: 0, gpus: 0, cpus_max: 8, gpus_max: 0 }
 	assert.equal(
 		withinLimit(team, { cpus: 6, gpus: 0 }, { cpus: 2, gpus: 1, ramGb: 0 }),
@@ -168,9 +173,13 @@
 		'0 means no limit',
 	)
 	assert.equal(withinLimit(team, { cpus: 7, gpus: 0 }, { cpus: 2, gpus: 0, ramGb: 0 }), false)
-	assert.equal(howMany({ cpus: 2, gpus: 0, ramGb: 10 }, { cpus: 8, gpus: 0, ramGb: 32 }), 3, 'memory decides')
-	assert.equal(canEverRun(sweep('job-000001', { cpus: 9 }), [type('slow', 1)]), false)
-	assert.equal(canEverRun(sweep('job-000001', { zone: 'z' }), [type('slow', 1)]), false)
+	assert.equal(
+		tasksThatFit({ cpus: 2, gpus: 0, ramGb: 10 }, { cpus: 8, gpus: 0, ramGb: 32 }),
+		3,
+		'memory decides',
+	)
+	assert.equal(canEverRun(arrayJob('job-000001', { cpus: 9 }), [type('slow', 1)]), false)
+	assert.equal(canEverRun(arrayJob('job-000001', { zone: 'z' }), [type('slow', 1)]), false)
 })
 
 test('whom to stop', () => {
@@ -220,7 +229,7 @@
 			want: 0.25,
 		},
 	]
-	for (const c of cases) assert.equal(rentWeight(c.run, c.boot, c.age, c.bounds), c.want, c.name)
+	for (const c of cases) assert.equal(scaleOutWeight(c.run, c.boot, c.age, c.bounds), c.want, c.name)
 })
 
 test('machines that are emptied by moving what can save', () => {
@@ -303,9 +312,9 @@
 		{ name: 'a single slow one does not', cameMs: [...Array(12).fill(9000), 70_000], want: 18 },
 	]
 	for (const c of cases) {
-		const boots = new Boots()
-		for (const ms of c.cameMs) boots.came(box, ms)
-		assert.equal(Math.round(boots.givenUpMs(box) / 1000), c.want, c.name)
-		assert.ok(boots.returnedMs(box) > boots.givenUpMs(box), c.name)
+		const boots = new BootTimeEstimator()
+		for (const ms of c.cameMs) boots.observe(box, ms)
+		assert.equal(Math.round(boots.giveUpAfterMs(box) / 1000), c.want, c.name)
+		assert.ok(boots.returnAfterMs(box) > boots.giveUpAfterMs(box), c.name)
 	}
 })
--- a/tests/plugindays.test.ts
+++ b/tests/plugindays.test.ts
@@ -1,14 +1,14 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import {
+	arrayJob,
 	CHECKED,
-	type CheckedDay,
 	type FakeCall,
 	type FakeVersion,
+	type Fault,
 	PLUGIN,
-	playChecked,
-	sweep,
-	type Trouble,
+	type PluginDay,
+	playPluginDay,
 } from '@heathroad/testkit'
 
 const release = { release: true }
@@ -30,10 +30,10 @@
 })
 
 const UNTIL_S = 300
-const jobs = (n: number): CheckedDay['jobs'] =>
+const jobs = (n: number): PluginDay['jobs'] =>
 	Array.from({ length: n }, (_, i) => ({
 		atS: 1 + i * 1.5,
-		spec: sweep(`job-00${String(i).padStart(4, '0')}`, {
+		spec: arrayJob(`job-00${String(i).padStart(4, '0')}`, {
 			jobClass: i % 2 === 0 ? CHECKED : 'any',
 			tasks: 6,
 			expectedS: 6,
@@ -41,17 +41,17 @@
 		...(i % 10 === 4 ? { cancelAtS: 4 + i * 1.5 } : {}),
 	}))
 
-const day = (more: Partial<CheckedDay>): CheckedDay => ({
+const day = (more: Partial<PluginDay>): PluginDay => ({
 	seed: 51,
 	untilS: UNTIL_S,
 	jobs: jobs(40),
-	troubles: [],
+	faults: [],
 	plugins: { one: PLUGIN },
 	directory: { one: version('1', patient(8)) },
 	...more,
 })
 
-const troubles: readonly Trouble[] = [
+const troubles: readonly Fault[] = [
 	{ atS: 20, kind: 'crash', who: [0] },
 	{ atS: 33, kind: 'stateDown', forS: 12 },
 	{ atS: 50, kind: 'cut', who: [1], forS: 14 },
@@ -60,25 +60,25 @@
 	{ atS: 95, kind: 'machinesCut', forS: 12 },
 ]
 
-const days: { name: string; day: Partial<CheckedDay>; starts?: 'released' | 'limit' | 'unsure' }[] = [
+const days: { name: string; day: Partial<PluginDay>; starts?: 'released' | 'limit' | 'unsure' }[] = [
 	{ name: 'a check that takes its time', day: {}, starts: 'released' },
-	{ name: 'over crashes, outages, cuts and standstills', day: { troubles, loss: 0.01, drift: true } },
+	{ name: 'over crashes, outages, cuts and standstills', day: { faults: troubles, loss: 0.01, drift: true } },
 	{
 		name: 'the same for a whole class at a time',
-		day: { troubles, directory: { one: version('1', patient(8), { ask: 'class' }) } },
+		day: { faults: troubles, directory: { one: version('1', patient(8), { ask: 'class' }) } },
 	},
 	{
 		name: 'controllers with different versions of one plug-in for a while, over drains and crashes',
 		day: {
 			lagS: 25,
 			upgrades: [{ atS: 15, name: 'one', to: version('2', patient(2)) }],
-			troubles: [...troubles, { atS: 28, kind: 'drain', who: [1], forS: 4 }],
+			faults: [...troubles, { atS: 28, kind: 'drain', who: [1], forS: 4 }],
 		},
 	},
 	{
 		name: 'two checks, both of which must release',
 		day: {
-			troubles,
+			faults: troubles,
 			plugins: { one: PLUGIN, two: PLUGIN },
 			directory: { one: version('1', patient(4)), two: version('1', patient(12)) },
 		},
@@ -113,9 +113,9 @@
 
 for (const row of days)
 	test(`checked jobs: ${row.name}`, async () => {
-		const { world, broken, starts, late } = await playChecked(day(row.day))
+		const { world, broken, starts, late } = await playPluginDay(day(row.day))
 		assert.deepEqual(broken, [])
-		assert.deepEqual(world.rules.unfinished(), [], 'every job ends')
+		assert.deepEqual(world.invariants.unfinished(), [], 'every job ends')
 		assert.equal(late, 0, 'nothing is asked about a job that has started')
 		const all = starts.released + starts.limit + starts.unsure
 		assert.ok(all >= 12, `${all} checked jobs started`)
@@ -134,15 +134,15 @@
 		name: 'one',
 		to: version(`${i + 2}`, i % 3 === 1 ? faults[(i / 3) & 3] : patient(6)),
 	}))
-	const drains: Trouble[] = [
+	const drains: Fault[] = [
 		{ atS: 40, kind: 'drain', who: [1], forS: 4 },
 		{ atS: 110, kind: 'drain', who: [2], forS: 4 },
 	]
-	const { world, broken, starts, hosts } = await playChecked(
-		day({ upgrades, troubles: [...troubles, ...drains], drift: true }),
+	const { world, broken, starts, hosts } = await playPluginDay(
+		day({ upgrades, faults: [...troubles, ...drains], drift: true }),
 	)
 	assert.deepEqual(broken, [])
-	assert.deepEqual(world.rules.unfinished(), [])
+	assert.deepEqual(world.invariants.unfinished(), [])
 	assert.equal(starts.unsure, 0)
 	assert.ok(starts.released > starts.limit, JSON.stringify(starts))
 	const seen = hosts.flatMap((h) => h?.list() ?? [])
@@ -154,10 +154,10 @@
 		const own = [...firstStart].filter(([uid]) => Number(uid.slice(-4)) % 2 === 1)
 		return own.reduce((sum, [uid, ms]) => sum + ms - (1 + Number(uid.slice(-4)) * 1.5) * 1000, 0) / own.length
 	}
-	const without = await playChecked(day({ plugins: {}, directory: {} }))
+	const without = await playPluginDay(day({ plugins: {}, directory: {} }))
 	for (const behave of [() => {}, (c: FakeCall) => c.crash('no'), (c: FakeCall) => c.answer(hold(1))]) {
 		const ratio =
-			meanMs(await playChecked(day({ directory: { one: version('1', behave) } }))) / meanMs(without)
+			meanMs(await playPluginDay(day({ directory: { one: version('1', behave) } }))) / meanMs(without)
 		assert.ok(ratio < 1.2, `${ratio.toFixed(2)} of the wait without plug-ins`)
 	}
 })
@@ -169,11 +169,13 @@
 			: c.answer(Number(c.job.uid.slice(-4)) % 4 === 0 ? { refuse: 'no cut-off today' } : { pass: true })
 	const refused = jobs(40).filter((j) => Number(j.spec.uid.slice(-4)) % 4 === 0).length
 	const hooks = ['admit', 'release'] as const
-	const one = await playChecked(day({ directory: { one: version('1', admit, { hooks }) }, troubles }))
+	const one = await playPluginDay(
+		day({ directory: { one: version('1', admit, { hooks }) }, faults: troubles }),
+	)
 	assert.deepEqual(one.broken, [])
-	assert.equal(one.world.crowd.submissions.get(422), refused)
-	const hung = await playChecked(day({ directory: { one: version('1', () => {}, { hooks }) } }))
+	assert.equal(one.world.workload.submissions.get(422), refused)
+	const hung = await playPluginDay(day({ directory: { one: version('1', () => {}, { hooks }) } }))
 	assert.deepEqual(hung.broken, [])
-	assert.equal(hung.world.crowd.submissions.get(422), undefined)
-	assert.deepEqual(hung.world.rules.unfinished(), [])
+	assert.equal(hung.world.workload.submissions.get(422), undefined)
+	assert.deepEqual(hung.world.invariants.unfinished(), [])
 })
--- a/tests/plugins.test.ts
+++ b/tests/plugins.test.ts
@@ -3,7 +3,7 @@
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import { test } from 'node:test'
-import { readIni } from '@heathroad/config'
+import { readOperatorSettings } from '@heathroad/config'
 import { Nonsense, readAdmission, readManifest, readRelease, tryPlugin } from '@heathroad/plugin-api'
 import { Blame, Breaker, digestOf, Slot, scanDirectory, scanFolder } from '@heathroad/plugins'
 import { type FakeCall, type FakeVersion, fakeSeating, VirtualClock } from '@heathroad/testkit'
@@ -353,7 +353,7 @@
 test('the examples under deploy/ are whole, and their settings name them', async () => {
 	const { found, problems } = await scanDirectory('deploy/plugins', readManifest)
 	assert.deepEqual(problems, [])
-	const { plugins } = readIni('deploy/plugins.ini')
+	const { plugins } = readOperatorSettings('deploy/plugins.ini')
 	assert.deepEqual(Object.keys(plugins!.plugins).sort(), found.map((f) => f.manifest.name).sort())
 	const load = (name: string) => {
 		const { source } = found.find((f) => f.manifest.name === name)!
--- a/tests/policy.test.ts
+++ b/tests/policy.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import {
+	BudgetLedger,
 	earliestFinish,
 	executionOrder,
-	Ledger,
+	leastLoadedShard,
 	levels,
-	type PartRoom,
 	type PipelineJob,
-	Ranges,
-	rebuildPatienceMs,
-	roomiest,
+	RangeSet,
+	reconcilePatienceMs,
+	type ShardLoad,
 	splitBudget,
 } from '@heathroad/policy'
 
@@ -75,7 +75,7 @@
 		{ name: 'debt', cost: 4, after: 1 },
 	]
 	for (const c of cases) {
-		const ledger = new Ledger([job('a', [], 3, [opt(5, 1)])], 6)
+		const ledger = new BudgetLedger([job('a', [], 3, [opt(5, 1)])], 6)
 		const share = ledger.start('a')
 		assert.equal(share, 2)
 		ledger.finish(share, c.cost)
@@ -131,7 +131,7 @@
 		},
 	]
 	for (const c of cases) {
-		const r = new Ranges()
+		const r = new RangeSet()
 		for (const [op, a, b] of c.ops) {
 			if (op === 'add') r.add(a)
 			else if (op === 'delete') r.delete(a)
@@ -139,7 +139,7 @@
 		}
 		assert.deepEqual([r.pairs(), r.size], [c.pairs, c.size])
 	}
-	assert.deepEqual(new Ranges([0, 5, 8, 20]).slice(4, 10), [0, 1, 4, 6])
+	assert.deepEqual(new RangeSet([0, 5, 8, 20]).slice(4, 10), [0, 1, 4, 6])
 })
 
 test('how long a rebuild waits for machines that do not answer', () => {
@@ -152,12 +152,12 @@
 		['the only one', 1, 1, null],
 	]
 	for (const [name, missing, machines, want] of cases)
-		assert.equal(rebuildPatienceMs(missing, machines, 5000), want, name)
+		assert.equal(reconcilePatienceMs(missing, machines, 5000), want, name)
 })
 
 test('which part a new job goes to', () => {
-	const part = (cpus: number, work: number, stranded = false) => ({ cpus, work, stranded })
-	const cases: [name: string, parts: PartRoom[], grows: boolean, first: number, want: number][] = [
+	const part = (cpus: number, work: number, partitioned = false) => ({ cpus, work, partitioned })
+	const cases: [name: string, parts: ShardLoad[], grows: boolean, first: number, want: number][] = [
 		['the least work for its CPUs', [part(100, 500), part(200, 800), part(100, 600)], false, 0, 1],
 		['a tie goes to the first asked', [part(100, 500), part(100, 500)], false, 1, 1],
 		['a part without machines can rent one', [part(80, 800), part(0, 60)], false, 0, 1],
@@ -179,5 +179,5 @@
 		['all of them: as if none were', [part(100, 500, true), part(100, 400, true)], true, 0, 1],
 	]
 	for (const [name, parts, grows, first, want] of cases)
-		assert.equal(roomiest(parts, 8, grows, first), want, name)
+		assert.equal(leastLoadedShard(parts, 8, grows, first), want, name)
 })
--- a/tests/release-model.test.ts
+++ b/tests/release-model.test.ts
@@ -1,7 +1,13 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { asPart, asReleased, partKey, release, releasedKey } from '@heathroad/cluster'
-import { type Content, ROOT } from '@heathroad/store'
+import {
+	decodeReleasePage,
+	decodeShardOwner,
+	markReleased,
+	releasePageKey,
+	shardKey,
+} from '@heathroad/cluster'
+import { KEY_PREFIX, type TransactionContent } from '@heathroad/store'
 import { explore } from '@heathroad/testkit'
 
 // Controller 0 owns part 0 with two jobs that wait for a check, and marks those released that the check lets go;
@@ -9,12 +15,12 @@
 // answers are lost, each sees changes when it does. The write is the service's own.
 
 const JOBS = ['job-000001', 'job-000002'] as const
-type Keys = Record<string, { data: unknown; stamp: number }>
+type Keys = Record<string, { data: unknown; modRevision: number }>
 interface State {
-	epoch: number
+	revision: number
 	keys: Keys
-	views: { epoch: number; keys: Keys }[]
-	pending: { by: number; content: Content }[]
+	views: { revision: number; keys: Keys }[]
+	pending: { by: number; content: TransactionContent }[]
 	/** jobs that each controller was told to release, and those that controller 1 was told to hold */
 	passed: [string[], string[]]
 	held: string[]
@@ -24,17 +30,17 @@
 	taken: boolean
 	started: string[]
 }
-type Fault = 'none' | 'ownership' | "page's stamp"
+type Fault = 'none' | 'ownership' | "page's modRevision"
 
-const marks = (keys: Keys): string[] => asReleased(keys[releasedKey(0, 0)]?.data) ?? []
-const owner = (keys: Keys): number => Number(asPart(keys[partKey(0)]?.data)?.owner)
+const marks = (keys: Keys): string[] => decodeReleasePage(keys[releasePageKey(0, 0)]?.data) ?? []
+const owner = (keys: Keys): number => Number(decodeShardOwner(keys[shardKey(0)]?.data)?.owner)
 
 const model = (fault: Fault) => {
-	const keys: Keys = { [partKey(0)]: { data: { owner: '0', life: 'a' }, stamp: 1 } }
+	const keys: Keys = { [shardKey(0)]: { data: { owner: '0', life: 'a' }, modRevision: 1 } }
 	const start: State = {
-		epoch: 1,
+		revision: 1,
 		keys,
-		views: [0, 1].map(() => ({ epoch: 1, keys })),
+		views: [0, 1].map(() => ({ revision: 1, keys })),
 		pending: [],
 		passed: [[], []],
 		held: [],
@@ -43,21 +49,22 @@
 		taken: false,
 		started: [],
 	}
-	const token = (s: State, c: number) => s.views[c].keys[partKey(0)].stamp
+	const token = (s: State, c: number) => s.views[c].keys[shardKey(0)].modRevision
 	const owns = (s: State, c: number) => owner(s.views[c].keys) === c
 	/** knows all that came before its take */
-	const knows = (s: State, c: number) => owns(s, c) && s.views[c].epoch >= token(s, c)
+	const knows = (s: State, c: number) => owns(s, c) && s.views[c].revision >= token(s, c)
 	const open = (s: State, c: number) => s.passed[c].filter((j) => !marks(s.views[c].keys).includes(j))
-	const content = (s: State, c: number): Content => {
+	const content = (s: State, c: number): TransactionContent => {
 		const view = s.views[c].keys
-		const known = { get: (k: string) => view[k], stamp: (k: string) => view[k]?.stamp ?? 0 }
-		const made = release(known, 0, open(s, c), () => true, { room: 1000, ops: 1 }).content
-		const owning = { key: ROOT + partKey(0), stamp: token(s, c) }
-		const without = fault === 'ownership' ? partKey(0) : fault === "page's stamp" ? releasedKey(0, 0) : ''
-		return { ...made, conditions: [owning, ...made.conditions].filter((x) => x.key !== ROOT + without) }
+		const known = { get: (k: string) => view[k], modRevision: (k: string) => view[k]?.modRevision ?? 0 }
+		const made = markReleased(known, 0, open(s, c), () => true, { room: 1000, ops: 1 }).content
+		const owning = { key: KEY_PREFIX + shardKey(0), modRevision: token(s, c) }
+		const without =
+			fault === 'ownership' ? shardKey(0) : fault === "page's modRevision" ? releasePageKey(0, 0) : ''
+		return { ...made, conditions: [owning, ...made.conditions].filter((x) => x.key !== KEY_PREFIX + without) }
 	}
 	const seen = (s: State, c: number) =>
-		s.views.map((v, i) => (i === c ? { epoch: s.epoch, keys: s.keys } : v))
+		s.views.map((v, i) => (i === c ? { revision: s.revision, keys: s.keys } : v))
 	const two = <A>(pair: [A, A], c: number, value: A): [A, A] =>
 		c === 0 ? [value, pair[1]] : [pair[0], value]
 	return {
@@ -79,7 +86,7 @@
 			for (const i of s.pending.keys()) yield `applied ${i}`
 			for (const c of [0, 1]) {
 				if (s.waits[c]) yield `lost ${c}`
-				if (s.views[c].epoch < s.epoch) yield `sees ${c}`
+				if (s.views[c].revision < s.revision) yield `sees ${c}`
 			}
 			if (!s.taken) yield 'take'
 		},
@@ -99,22 +106,22 @@
 					waits: two(s.waits, c, true),
 					pending: [...s.pending, { by: c, content: content(s, c) }],
 				}
-			const epoch = s.epoch + 1
+			const revision = s.revision + 1
 			if (verb === 'take') {
 				const data = { owner: '1', life: 'b' }
-				const own = { [partKey(0)]: { data, stamp: epoch } }
+				const own = { [shardKey(0)]: { data, modRevision: revision } }
 				// Its own take it knows before all that came earlier.
 				const views = s.views.map((v, i) => (i === 1 ? { ...v, keys: { ...v.keys, ...own } } : v))
-				return { ...s, epoch, taken: true, views, keys: { ...s.keys, ...own } }
+				return { ...s, revision, taken: true, views, keys: { ...s.keys, ...own } }
 			}
 			const { content: one } = s.pending[c]
 			const pending = s.pending.filter((_, i) => i !== c)
-			const stamp = (key: string) => s.keys[key.slice(ROOT.length)]?.stamp ?? 0
-			if (one.conditions.some((x) => stamp(x.key) !== x.stamp)) return { ...s, pending }
+			const modRevision = (key: string) => s.keys[key.slice(KEY_PREFIX.length)]?.modRevision ?? 0
+			if (one.conditions.some((x) => modRevision(x.key) !== x.modRevision)) return { ...s, pending }
 			const after = { ...s.keys }
-			for (const x of one.changes)
-				if ('set' in x) after[x.set.slice(ROOT.length)] = { data: x.data, stamp: epoch }
-			return { ...s, epoch, pending, keys: after }
+			for (const x of one.mutations)
+				if ('set' in x) after[x.set.slice(KEY_PREFIX.length)] = { data: x.data, modRevision: revision }
+			return { ...s, revision, pending, keys: after }
 		},
 		wrong: (s: State): string | null => {
 			if (s.started.some((j) => !marks(s.keys).includes(j)))
@@ -126,7 +133,7 @@
 	}
 }
 
-for (const fault of ['none', 'ownership', "page's stamp"] as const)
+for (const fault of ['none', 'ownership', "page's modRevision"] as const)
 	test(`releases over a takeover, every history: ${fault === 'none' ? 'none is forbidden' : `without the ${fault} one is`}`, () => {
 		const { states, fault: found } = explore(model(fault), 400_000)
 		if (fault === 'none') {
--- a/tests/rules.test.ts
+++ b/tests/rules.test.ts
@@ -1,13 +1,13 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { type Room, Rules, sweep } from '@heathroad/testkit'
+import { arrayJob, InvariantChecker, type Room } from '@heathroad/testkit'
 
 /** A checker with a clock of its own, one accepted job of two tasks, and troubles that end after 100 s. */
 const watch = () => {
 	let now = 0
-	const rules = new Rules(() => now, 30_000, new Map([['core', 4]]))
+	const rules = new InvariantChecker(() => now, 30_000, new Map([['core', 4]]))
 	rules.calmFromMs = 100_000
-	rules.submitted(sweep('job-000001', { tasks: 2, zone: 'a', cpus: 2 }))
+	rules.submitted(arrayJob('job-000001', { tasks: 2, zone: 'a', cpus: 2 }))
 	rules.told('job-000001', 201, 'pending', null)
 	return { rules, at: (s: number) => (now = s * 1000) }
 }
@@ -32,7 +32,7 @@
 const ODD = 'job-800001'
 const odd = ({ rules }: Watch, status: number, right: number) => {
 	rules.mustRefuse(ODD)
-	rules.submitted(sweep(ODD))
+	rules.submitted(arrayJob(ODD))
 	rules.refusedAs(ODD, status, right)
 }
 const wait = (w: Watch, fromS: number, toS: number, more: Partial<Room> = {}) => {
@@ -43,7 +43,7 @@
 }
 /** Another job of the team takes what its limit leaves. */
 const others = (w: Watch) => {
-	w.rules.submitted(sweep('job-000002', { tasks: 1, cpus: 3 }))
+	w.rules.submitted(arrayJob('job-000002', { tasks: 1, cpus: 3 }))
 	w.rules.told('job-000002', 201, 'pending', null)
 	return [place(w, 'job-000002/0', 'i-2')]
 }
@@ -117,7 +117,7 @@
 		const w = watch()
 		play(w)
 		assert.deepEqual(
-			[...new Set(w.rules.broken.map((b) => b.split(' ')[0]))],
+			[...new Set(w.rules.violations.map((b) => b.split(' ')[0]))],
 			rule === null ? [] : [rule],
 			name,
 		)
@@ -134,11 +134,11 @@
 	]
 	for (const [name, served, largestBeginsS, failed] of cases) {
 		let now = 0
-		const rules = new Rules(() => now, 30_000, new Map())
+		const rules = new InvariantChecker(() => now, 30_000, new Map())
 		for (let i = 0; i < 20; i++) {
 			const uid = `job-${String(i).padStart(6, '0')}`
 			now = 0
-			rules.submitted(sweep(uid, { tasks: i >= 18 ? 9 : 1 }))
+			rules.submitted(arrayJob(uid, { tasks: i >= 18 ? 9 : 1 }))
 			rules.told(uid, 201, 'pending', null)
 			now = (i >= 18 ? largestBeginsS : 5) * 1000
 			if (!Number.isFinite(now)) continue
@@ -167,6 +167,6 @@
 	place(w, `${UID}/1`)
 	w.rules.told(UID, 200, 'aborted', 'aborted')
 	assert.equal(w.rules.startedCancelled, 1)
-	assert.deepEqual(w.rules.broken, [])
+	assert.deepEqual(w.rules.violations, [])
 	assert.deepEqual(news, ['aborted'])
 })
--- a/tests/simulation.test.ts
+++ b/tests/simulation.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { type Day, sweep, type Trouble, World } from '@heathroad/testkit'
+import { arrayJob, type Fault, type SimulatedDay, Simulation } from '@heathroad/testkit'
 
-const jobs = (n: number, everyS = 4): Day['jobs'] =>
+const jobs = (n: number, everyS = 4): SimulatedDay['jobs'] =>
 	Array.from({ length: n }, (_, i) => ({
 		atS: 1 + i * everyS,
-		spec: sweep(`job-${String(i).padStart(6, '0')}`, {
+		spec: arrayJob(`job-${String(i).padStart(6, '0')}`, {
 			tasks: 3 + ((i * 7) % 15),
 			image: `img-${i % 3}`,
 			priority: i % 4 === 0 ? 'urgent' : 'normal',
@@ -19,7 +19,7 @@
 
 const cases: {
 	name: string
-	troubles: Trouble[]
+	troubles: Fault[]
 	loss?: number
 	seeds: number[]
 	limit?: number
@@ -173,11 +173,11 @@
 for (const c of cases)
 	for (const seed of c.seeds)
 		test(`the rules hold: ${c.name}, seed ${seed}`, async () => {
-			const world = new World({
+			const world = new Simulation({
 				seed,
 				untilS: 400,
 				jobs: jobs(16),
-				troubles: c.troubles,
+				faults: c.troubles,
 				loss: c.loss,
 				controllers: c.controllers,
 				up: c.up,
@@ -185,17 +185,17 @@
 				limits: c.limit === undefined ? undefined : new Map([['core', c.limit]]),
 			})
 			await world.play()
-			assert.deepEqual(world.rules.broken, [])
-			assert.ok(world.rules.started > 50, `only ${world.rules.started} tasks started`)
-			assert.deepEqual(world.rules.unfinished(), [], 'every job ends')
+			assert.deepEqual(world.invariants.violations, [])
+			assert.ok(world.invariants.started > 50, `only ${world.invariants.started} tasks started`)
+			assert.deepEqual(world.invariants.unfinished(), [], 'every job ends')
 		})
 
 test('a dead machine gets no more work, and its release is not hammered (incident 2)', async () => {
-	const world = new World({
+	const world = new Simulation({
 		seed: 21,
 		untilS: 120,
 		jobs: jobs(10),
-		troubles: [
+		faults: [
 			{ atS: 30, kind: 'machineDies' },
 			{ atS: 31, kind: 'machineDies' },
 			{ atS: 32, kind: 'cloudDown', forS: 60 },
@@ -207,7 +207,7 @@
 		if (at !== null) seen.set(at[0], (seen.get(at[0]) ?? 0) + 1)
 	}
 	await world.play()
-	assert.deepEqual(world.rules.broken, [])
+	assert.deepEqual(world.invariants.violations, [])
 	const overs = [...seen].filter(([line]) => line.startsWith('lease over'))
 	assert.ok(overs.length > 0, 'some task was lost with its machine')
 	for (const [line, n] of overs) assert.equal(n, 1, `${line} was said ${n} times`)
@@ -215,12 +215,12 @@
 })
 
 test('an unreachable machine does not hold a rebuild up for its whole lease (incident 3)', async () => {
-	const world = new World({
+	const world = new Simulation({
 		seed: 22,
 		untilS: 90,
 		jobs: jobs(24, 1.5),
 		report: { reportS: 1, leaseS: 20, cancelS: 60 },
-		troubles: [
+		faults: [
 			{ atS: 40, kind: 'machineDies' },
 			{ atS: 41, kind: 'crash', who: [0, 1, 2], forS: 1 },
 		],
@@ -231,7 +231,7 @@
 		if (at !== null && Number(at[1]) > 41_000) rebuilt.push(Number(at[2]))
 	}
 	await world.play()
-	assert.deepEqual(world.rules.broken, [])
+	assert.deepEqual(world.invariants.violations, [])
 	assert.ok(Math.max(...rebuilt) > 1000, 'the dead machine did hold one rebuild up')
 	assert.ok(Math.max(...rebuilt) < 10_000, `rebuilds took ${rebuilt} ms`)
 })
@@ -239,13 +239,13 @@
 test('a faulty machine is drained, and jobs that fail everywhere cost no healthy machine (incident 8)', async () => {
 	// One is wider than the fleet: it has started nearly everywhere before its first error is known.
 	const broken = [5, 120].map((tasks, i) =>
-		sweep(`job-00090${i}`, { jobClass: 'broken', tasks, expectedS: 1 }),
+		arrayJob(`job-00090${i}`, { jobClass: 'broken', tasks, expectedS: 1 }),
 	)
-	const world = new World({
+	const world = new Simulation({
 		seed: 23,
 		untilS: 400,
 		jobs: [...jobs(12), ...broken.map((spec, i) => ({ atS: 20 + i * 50, spec, cancelAtS: 150 }))],
-		troubles: [14, 15, 16].map((atS) => ({ atS, kind: 'machineFaulty' })),
+		faults: [14, 15, 16].map((atS) => ({ atS, kind: 'machineFaulty' })),
 	})
 	const drained = new Set<string>()
 	const failed = new Map<string, number>()
@@ -256,8 +256,8 @@
 		if (uid !== undefined) failed.set(uid, (failed.get(uid) ?? 0) + 1)
 	}
 	await world.play()
-	assert.deepEqual(world.rules.broken, [])
-	assert.deepEqual(world.rules.unfinished(), [], 'every job ends')
+	assert.deepEqual(world.invariants.violations, [])
+	assert.deepEqual(world.invariants.unfinished(), [], 'every job ends')
 	assert.ok(drained.size >= 1, 'some faulty machine is found')
 	for (const id of drained) assert.ok(world.faulty.has(id), `${id} is drained and healthy`)
 	const [narrow, wide] = broken.map((b) => failed.get(b.uid) ?? 0)
@@ -266,7 +266,7 @@
 })
 
 test('a dead machine is returned in its turn while rentals lack calls to the cloud', async () => {
-	const world = new World({
+	const world = new Simulation({
 		seed: 29,
 		untilS: 48,
 		controllers: 1,
@@ -275,14 +275,14 @@
 		// Always more wanted, in two zones, than the next call can ask for.
 		jobs: Array.from({ length: 40 }, (_, i) => ({
 			atS: 1 + i,
-			spec: sweep(`job-0006${String(i).padStart(2, '0')}`, {
+			spec: arrayJob(`job-0006${String(i).padStart(2, '0')}`, {
 				tasks: 700,
 				expectedS: 60,
 				priority: 'urgent',
 				zone: i % 2 === 0 ? 'a' : 'b',
 			}),
 		})),
-		troubles: [25, 26, 27].map((atS) => ({ atS, kind: 'machineDies' })),
+		faults: [25, 26, 27].map((atS) => ({ atS, kind: 'machineDies' })),
 	})
 	const returned: number[] = []
 	world.tell = (line) => {
@@ -290,19 +290,19 @@
 		if (at !== null) returned.push(Number(at[1]) / 1000)
 	}
 	await world.play()
-	assert.deepEqual(world.rules.broken, [])
+	assert.deepEqual(world.invariants.violations, [])
 	assert.ok(returned.length > 0 && returned[0] < 40, `dead since 25 s, returned at ${returned}`)
 })
 
 test('machines that cannot reach their owner but others are handed to one of those (incident 10)', async () => {
-	const world = new World({
+	const world = new Simulation({
 		seed: 26,
 		untilS: 200,
 		jobs: Array.from({ length: 9 }, (_, i) => ({
 			atS: 1 + i,
-			spec: sweep(`job-00080${i}`, { tasks: 16, expectedS: 50 }),
+			spec: arrayJob(`job-00080${i}`, { tasks: 16, expectedS: 50 }),
 		})),
-		troubles: [{ atS: 40, kind: 'cut', who: [0], from: 'workers', forS: 20 }],
+		faults: [{ atS: 40, kind: 'cut', who: [0], from: 'workers', forS: 20 }],
 	})
 	const seen = new Map<string, number>()
 	world.tell = (line) => {
@@ -312,8 +312,8 @@
 		if (event !== undefined) seen.set(event, (seen.get(event) ?? 0) + 1)
 	}
 	await world.play()
-	assert.deepEqual(world.rules.broken, [])
-	assert.deepEqual(world.rules.unfinished(), [], 'every job ends')
+	assert.deepEqual(world.invariants.violations, [])
+	assert.deepEqual(world.invariants.unfinished(), [], 'every job ends')
 	assert.equal(seen.get('machines reach'), 1, 'the part went to who hears its machines, once')
 	assert.equal(seen.get('lease over') ?? 0, 0, 'no task lost its lease')
 	assert.equal(seen.get('workers can be reached again'), 1)
@@ -321,20 +321,20 @@
 })
 
 test('some 200 machines and bursts of arrays: every job ends, and what is written follows jobs and rentals', async () => {
-	const world = new World({
+	const world = new Simulation({
 		seed: 24,
 		untilS: 260,
 		controllers: 5,
 		capacity: 60,
 		jobs: Array.from({ length: 60 }, (_, i) => ({
 			atS: i < 40 ? 1 : 1 + i * 2,
-			spec: sweep(`job-${String(i).padStart(6, '0')}`, {
+			spec: arrayJob(`job-${String(i).padStart(6, '0')}`, {
 				tasks: 60,
 				image: `img-${i % 5}`,
 				expectedS: 12 + (i % 9),
 			}),
 		})),
-		troubles: [
+		faults: [
 			{ atS: 60, kind: 'crash', who: [1, 3] },
 			{ atS: 90, kind: 'stateSlow', forS: 30 },
 		],
@@ -345,8 +345,8 @@
 		if (event !== undefined) count.set(event, (count.get(event) ?? 0) + 1)
 	}
 	await world.play()
-	assert.deepEqual(world.rules.broken, [])
-	assert.deepEqual(world.rules.unfinished(), [], 'every job ends')
+	assert.deepEqual(world.invariants.violations, [])
+	assert.deepEqual(world.invariants.unfinished(), [], 'every job ends')
 	const machines = count.get('machine is up') ?? 0
 	assert.ok(machines > 150, `${machines} machines came up`)
 	// Three changes a machine and two a job were the rule once: more than the state takes in the time.
@@ -367,18 +367,18 @@
 	['lifted', { priority: 'idle', jobClass: 'letters' }, 130],
 ] as const)
 	test(`${who} tasks that need several slots of one machine do not wait behind small ones (incidents 5 and 13)`, async () => {
-		const wide = sweep('job-000701', { tasks: 4, cpus: 4, expectedS: 5, ...more })
-		const world = new World({
+		const wide = arrayJob('job-000701', { tasks: 4, cpus: 4, expectedS: 5, ...more })
+		const world = new Simulation({
 			seed: 25,
 			untilS: 300,
 			controllers: 1,
 			capacity: 1,
 			waits: new Map([['letters', 60]]),
 			jobs: [
-				{ atS: 1, spec: sweep('job-000700', { tasks: 700, expectedS: 9 }) },
+				{ atS: 1, spec: arrayJob('job-000700', { tasks: 700, expectedS: 9 }) },
 				{ atS: 60, spec: wide },
 			],
-			troubles: [],
+			faults: [],
 		})
 		let doneAt = 0
 		world.tell = (line) => {
@@ -386,15 +386,15 @@
 			if (at !== null) doneAt = Number(at[1]) / 1000
 		}
 		await world.play()
-		assert.deepEqual(world.rules.broken, [])
+		assert.deepEqual(world.invariants.violations, [])
 		assert.ok(doneAt > 0 && doneAt < by, `the job of 60 s ended at ${doneAt} s`)
 	})
 
 test('a team gets its guarantee from a guest whose tasks cannot save, and no more than that', async () => {
-	const lab = sweep('job-000720', { team: 'lab', priority: 'idle', tasks: 32, expectedS: 500 })
+	const lab = arrayJob('job-000720', { team: 'lab', priority: 'idle', tasks: 32, expectedS: 500 })
 	// The guarantee has room for one of them beside the other: what the second wants beyond it waits.
-	const own = [721, 722].map((n) => sweep(`job-000${n}`, { tasks: 12, expectedS: 20 }))
-	const world = new World({
+	const own = [721, 722].map((n) => arrayJob(`job-000${n}`, { tasks: 12, expectedS: 20 }))
+	const world = new Simulation({
 		seed: 29,
 		untilS: 300,
 		controllers: 1,
@@ -404,7 +404,7 @@
 			['lab', 0],
 		]),
 		jobs: [{ atS: 1, spec: lab }, ...own.map((spec) => ({ atS: 60, spec }))],
-		troubles: [],
+		faults: [],
 	})
 	const doneAt: number[] = []
 	let stopped = 0
@@ -414,26 +414,26 @@
 		if (line.includes('preempting')) stopped++
 	}
 	await world.play()
-	assert.deepEqual(world.rules.broken, [])
+	assert.deepEqual(world.invariants.violations, [])
 	assert.equal(doneAt.length, 2)
 	assert.ok(doneAt[0] < 100 && doneAt[1] < 140, `work of 20 s that came at 60 s ended at ${doneAt}`)
 	assert.ok(stopped >= 8 && stopped <= 16, `${stopped} tasks of the guest's were stopped for 12 CPUs`)
 })
 
 test('a swarm of single jobs: many outcomes share a change, and nothing is left of them in memory', async () => {
-	const world = new World({
+	const world = new Simulation({
 		seed: 28,
 		untilS: 150,
 		capacity: 8,
 		jobs: Array.from({ length: 150 }, (_, i) => ({
 			atS: 1 + i * 0.3,
-			spec: sweep(`job-0005${String(i).padStart(3, '0')}`, { tasks: 1, cpus: 0.25, expectedS: 12 }),
+			spec: arrayJob(`job-0005${String(i).padStart(3, '0')}`, { tasks: 1, cpus: 0.25, expectedS: 12 }),
 		})),
-		troubles: [],
+		faults: [],
 	})
 	await world.play()
-	assert.deepEqual(world.rules.broken, [])
-	assert.deepEqual(world.rules.unfinished(), [], 'every job ends')
+	assert.deepEqual(world.invariants.violations, [])
+	assert.deepEqual(world.invariants.unfinished(), [], 'every job ends')
 	assert.equal(world.state.changes('job/').set, 0, 'no progress of a job with one task')
 	const pages = world.state.changes('over/')
 	assert.ok(
@@ -445,9 +445,9 @@
 })
 
 test('several teams: a guarantee above the limit, a limit below one task', async () => {
-	const guest = sweep('job-000730', { team: 'lab', priority: 'idle', tasks: 20, expectedS: 8 })
-	const tooLarge = sweep('job-000731', { team: 'tiny', cpus: 2 })
-	const world = new World({
+	const guest = arrayJob('job-000730', { team: 'lab', priority: 'idle', tasks: 20, expectedS: 8 })
+	const tooLarge = arrayJob('job-000731', { team: 'tiny', cpus: 2 })
+	const world = new Simulation({
 		seed: 35,
 		untilS: 500,
 		guarantees: new Map([
@@ -460,20 +460,20 @@
 			['tiny', 1],
 		]),
 		jobs: [...jobs(8), { atS: 2, spec: guest }, { atS: 30, spec: tooLarge }],
-		troubles: [{ atS: 50, kind: 'crash', who: [0, 1, 2] }],
+		faults: [{ atS: 50, kind: 'crash', who: [0, 1, 2] }],
 	})
 	await world.play()
 	// The rules' checker counts what each team uses at any time.
-	assert.deepEqual(world.rules.broken, [])
-	assert.deepEqual(world.rules.unfinished(), [tooLarge.uid], 'all but what can never run')
+	assert.deepEqual(world.invariants.violations, [])
+	assert.deepEqual(world.invariants.unfinished(), [tooLarge.uid], 'all but what can never run')
 })
 
 test('a report that comes late to any controller, with an older counter than others have seen, moves no task', async () => {
-	const world = new World({
+	const world = new Simulation({
 		seed: 34,
 		untilS: 400,
 		jobs: jobs(16),
-		troubles: [
+		faults: [
 			{ atS: 40, kind: 'crash', who: [0, 1] },
 			{ atS: 62, kind: 'crash', who: [2] },
 		],
@@ -487,29 +487,29 @@
 	for (const atS of [38, 42, 46, 50, 58, 64, 68, 75])
 		world.clock.after(atS * 1000, () => {
 			for (const body of old)
-				for (const i of [0, 1, 2]) void world.face(i, 'POST', '/checkin', body).then(() => repeated++)
+				for (const i of [0, 1, 2]) void world.sendRequest(i, 'POST', '/checkin', body).then(() => repeated++)
 		})
 	await world.play()
-	assert.deepEqual(world.rules.broken, [])
-	assert.deepEqual(world.rules.unfinished(), [], 'every job ends')
+	assert.deepEqual(world.invariants.violations, [])
+	assert.deepEqual(world.invariants.unfinished(), [], 'every job ends')
 	assert.ok(repeated > 400, `${repeated} late reports`)
 	// No machine dies on this day: beside a few that were moved, a task that starts twice was taken for lost.
 	const tasks = jobs(16).reduce((n, j) => n + j.spec.tasks, 0)
-	assert.ok(world.rules.started <= tasks * 1.1, `${world.rules.started} starts of ${tasks} tasks`)
+	assert.ok(world.invariants.started <= tasks * 1.1, `${world.invariants.started} starts of ${tasks} tasks`)
 })
 
 test('an array of 100,000 tasks ends, over a crash of all controllers', async () => {
-	const spec = sweep('job-000640', { tasks: 100_000, cpus: 0.1, ramGb: 0.1, expectedS: 3, imageGb: 0.5 })
-	const world = new World({
+	const spec = arrayJob('job-000640', { tasks: 100_000, cpus: 0.1, ramGb: 0.1, expectedS: 3, imageGb: 0.5 })
+	const world = new Simulation({
 		seed: 31,
 		untilS: 300,
 		capacity: 8,
 		jobs: [{ atS: 1, spec }],
-		troubles: [{ atS: 60, kind: 'crash', who: [0, 1, 2], forS: 4 }],
+		faults: [{ atS: 60, kind: 'crash', who: [0, 1, 2], forS: 4 }],
 	})
 	await world.play()
-	assert.deepEqual(world.rules.broken, [])
-	assert.deepEqual(world.rules.unfinished(), [], 'it ends')
+	assert.deepEqual(world.invariants.violations, [])
+	assert.deepEqual(world.invariants.unfinished(), [], 'it ends')
 	// 98 keys of ranges, each written when its turn comes, and deleted at the end.
 	const progress = world.state.changes('done/')
 	assert.ok(progress.set > 97 && progress.set < 3000, `${progress.set} changes of its progress`)
--- a/tests/statecli.test.ts
+++ b/tests/statecli.test.ts
@@ -5,8 +5,8 @@
 import { join } from 'node:path'
 import { after, test } from 'node:test'
 import { listenHere, putArchive, serveState } from '@heathroad/lab'
-import { ROOT } from '@heathroad/store'
-import { plainSettings, RealClock, StateStandIn } from '@heathroad/testkit'
+import { KEY_PREFIX } from '@heathroad/store'
+import { FakeStateStore, plainSettings, RealClock } from '@heathroad/testkit'
 
 const MAIN = 'target/main.cjs'
 const dir = mkdtempSync(join(tmpdir(), 'heathroad-state-'))
@@ -49,9 +49,9 @@
 
 test('check, export, import and diff from the command line, over sockets', async (t) => {
 	if (!existsSync(MAIN)) return t.skip('there is no build')
-	const [full, empty] = [new StateStandIn(clock), new StateStandIn(clock)]
+	const [full, empty] = [new FakeStateStore(clock), new FakeStateStore(clock)]
 	putArchive(full, 20_000, 8192, 3, 1000)
-	full.put(`${ROOT}fleet/r0`, {
+	full.put(`${KEY_PREFIX}fleet/r0`, {
 		part: 0,
 		type: 'box',
 		zone: 'a',
@@ -76,7 +76,7 @@
 	assert.equal(withCloud.code, 1)
 	assert.deepEqual(withCloud.out.trim().split('\n'), [
 		'i-7: is charged since 900 s, and no record knows it',
-		`${ROOT}fleet/r0: holds machine i-2, which the cloud does not list`,
+		`${KEY_PREFIX}fleet/r0: holds machine i-2, which the cloud does not list`,
 	])
 
 	const saved = await verb('export', file, '--config', a)
@@ -94,7 +94,7 @@
 	await verb('export', back, '--config', b)
 	const same = await verb('diff', back, back)
 	assert.deepEqual([same.code, same.out], [0, ''])
-	// Only the epochs in the archive's records differ.
+	// Only the revisions in the archive's records differ.
 	const differs = await verb('diff', file, back)
 	assert.equal(differs.code, 1)
 	assert.ok(
@@ -112,10 +112,10 @@
 	assert.equal(damaged.code, 2)
 	assert.match(damaged.err, /checksum does not fit|cannot be read/)
 
-	full.put(`${ROOT}over/0`, 7)
+	full.put(`${KEY_PREFIX}over/0`, 7)
 	const found = await verb('check', '--config', a)
 	assert.equal(found.code, 1)
-	assert.equal(found.out, `${ROOT}over/0: does not parse\n`)
+	assert.equal(found.out, `${KEY_PREFIX}over/0: does not parse\n`)
 	full.down = true
 	const deaf = verb('export', join(dir, 'never'), '--config', a)
 	// It asks again for a while; the file never appears under its name.
--- a/tests/streamdays.test.ts
+++ b/tests/streamdays.test.ts
@@ -3,7 +3,7 @@
 import { Hub, type JobEvent, type Selection, type Subscription } from '@heathroad/events'
 import { ServiceRecords } from '@heathroad/grpc'
 import type { Service } from '@heathroad/server'
-import { sweep, type Trouble, World } from '@heathroad/testkit'
+import { arrayJob, type Fault, Simulation } from '@heathroad/testkit'
 
 const EVERY_MS = 500
 
@@ -15,7 +15,7 @@
 
 	constructor(
 		readonly node: Service,
-		world: World,
+		world: Simulation,
 		i: number,
 	) {
 		this.records = new ServiceRecords(node, 1000)
@@ -27,7 +27,7 @@
 				this.hub = new Hub(this.records, id, EVERY_MS, node.now)
 				this.records.hub = this.hub
 			}
-			if (!node.healthy()) this.hub?.endAll('not serving')
+			if (!node.isHealthy()) this.hub?.endAll('not serving')
 			this.hub?.look()
 			world.clock.after(EVERY_MS, look, i)
 		}
@@ -36,7 +36,7 @@
 }
 
 test('fifty streams over days of crashes, outages and cuts: what they tell keeps the rules', async () => {
-	const days: { name: string; troubles: Trouble[]; seed: number }[] = [
+	const days: { name: string; troubles: Fault[]; seed: number }[] = [
 		{
 			name: 'one, two and all controllers crash',
 			seed: 51,
@@ -60,10 +60,10 @@
 	for (const { name, troubles, seed } of days) {
 		const jobs = Array.from({ length: 24 }, (_, i) => ({
 			atS: 1 + i * 4,
-			spec: sweep(`job-0007${String(i).padStart(2, '0')}`, { tasks: 3 + (i % 9), expectedS: 6 }),
+			spec: arrayJob(`job-0007${String(i).padStart(2, '0')}`, { tasks: 3 + (i % 9), expectedS: 6 }),
 			...(i % 8 === 7 ? { cancelAtS: 12 + i * 4 } : {}),
 		}))
-		const world = new World({ seed, untilS: 300, jobs, troubles, loss: 0.01 })
+		const world = new Simulation({ seed, untilS: 300, jobs, faults: troubles, loss: 0.01 })
 		const nodes: (Streams | null)[] = [null, null, null]
 		world.started = (i, node) => {
 			nodes[i] = new Streams(node, world, i)
@@ -84,7 +84,7 @@
 			let sub: Subscription | null = null
 			let asking = false
 			const hear = (e: JobEvent) => {
-				const known = world.rules.state(e.uid)
+				const known = world.invariants.state(e.uid)
 				const status = e.state === 'cancelled' ? 'aborted' : e.state
 				if (finals.has(e.uid)) wrong.push(`${n}: ${e.uid} told ${e.state} after ${finals.get(e.uid)}`)
 				if (e.done < (done.get(e.uid) ?? 0)) wrong.push(`${n}: ${e.uid} went back to ${e.done}`)
@@ -92,15 +92,15 @@
 				if (status === 'done' || status === 'aborted') {
 					finals.set(e.uid, e.state)
 					// A state that is not final may be told a moment after another user heard the end; a final one never differs.
-					world.rules.told(e.uid, 200, status, known)
+					world.invariants.told(e.uid, 200, status, known)
 				}
 				cursor = e.cursor
 			}
 			const begin = () => {
 				const some = nodes[Math.floor(world.clock.random() * 3)]
-				if (some === null || some.hub === null || !some.node.healthy()) return
+				if (some === null || some.hub === null || !some.node.isHealthy()) return
 				asking = true
-				some.node.whenFresh((ok) => {
+				some.node.afterLinearizableRead((ok) => {
 					asking = false
 					if (!ok || some.over || some.hub === null) return
 					reconnects++
@@ -129,8 +129,8 @@
 			return { n, finals, selection }
 		})
 		await world.play()
-		assert.deepEqual(world.rules.broken, [], name)
-		assert.deepEqual(world.rules.unfinished(), [], name)
+		assert.deepEqual(world.invariants.violations, [], name)
+		assert.deepEqual(world.invariants.unfinished(), [], name)
 		assert.deepEqual(wrong.slice(0, 5), [], name)
 		assert.ok(reconnects > 500, `${reconnects} streams`)
 		// A team's stream begins with what is not over; the first job may have ended before a reader began.
--- a/tests/wire.test.ts
+++ b/tests/wire.test.ts
@@ -1,22 +1,25 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { sweep } from '@heathroad/testkit'
+import { arrayJob } from '@heathroad/testkit'
 import {
 	decode,
 	encode,
-	int,
-	Malformed,
-	readReport,
-	readSubmission,
-	writeOrders,
-	writeSubmission,
+	encodeCommands,
+	encodeSubmission,
+	InvalidSubmission,
+	parseHeartbeat,
+	parseSubmission,
+	toWireInteger,
 } from '@heathroad/wire'
 
-const body = (more: Record<string, unknown> = {}) => ({ ...writeSubmission(sweep('job-000412')), ...more })
+const body = (more: Record<string, unknown> = {}) => ({
+	...encodeSubmission(arrayJob('job-000412')),
+	...more,
+})
 
 test('submissions', () => {
-	const read = readSubmission(decode(encode(body({ future: 1 }))))
-	assert.deepEqual(read, sweep('job-000412'), 'unknown fields are ignored')
+	const read = parseSubmission(decode(encode(body({ future: 1 }))))
+	assert.deepEqual(read, arrayJob('job-000412'), 'unknown fields are ignored')
 	// What may be null may be left out; every other field has to be there.
 	const nullable = ['flavours', 'site', 'dueS']
 	for (const field of Object.keys(body()))
@@ -24,9 +27,9 @@
 			['left out', Object.fromEntries(Object.entries(body()).filter(([k]) => k !== field))],
 			['null', body({ [field]: null })],
 		] as const) {
-			const read = readSubmission(b)
-			if (nullable.includes(field)) assert.deepEqual(read, sweep('job-000412'), `${field} ${how}`)
-			else assert.equal(read instanceof Malformed && read.field, field, `${field} ${how}`)
+			const read = parseSubmission(b)
+			if (nullable.includes(field)) assert.deepEqual(read, arrayJob('job-000412'), `${field} ${how}`)
+			else assert.equal(read instanceof InvalidSubmission && read.field, field, `${field} ${how}`)
 		}
 	// What a user reads: the field as the protocol names it, and what it must be, in words.
 	const bad: [name: string, body: unknown, says: string][] = [
@@ -49,15 +52,15 @@
 		],
 	]
 	for (const [name, b, says] of bad) {
-		const read = readSubmission(b)
-		assert.ok(read instanceof Malformed, name)
+		const read = parseSubmission(b)
+		assert.ok(read instanceof InvalidSubmission, name)
 		assert.ok(String(read).startsWith(says), `${name}: ${read}`)
 	}
 })
 
 test('integers up to 2^64 survive, and nothing but plain MessagePack goes out', () => {
 	const large = 2n ** 64n - 1n
-	const report = readReport(
+	const report = parseHeartbeat(
 		decode(
 			encode({
 				host: 'i-000001',
@@ -73,18 +76,18 @@
 			}),
 		),
 	)
-	assert.equal(report?.counter, large)
+	assert.equal(report?.sequence, large)
 	assert.equal(report?.tasks[0].attempt, large)
-	const out = encode(writeOrders(7, [{ verb: 'start', name: 'job-000412/3', attempt: 5 * 2 ** 40 }]))
+	const out = encode(encodeCommands(7, [{ verb: 'start', taskName: 'job-000412/3', attempt: 5 * 2 ** 40 }]))
 	assert.equal(out.includes(0xcb), false, 'a large integer is not written as a float')
 	for (const ext of [0xc7, 0xc8, 0xc9, 0xd4, 0xd5, 0xd6, 0xd7, 0xd8])
 		assert.equal(encode({ a: undefined, b: [1, null] }).includes(ext), false, 'no extension types')
-	assert.equal(int(5), 5)
+	assert.equal(toWireInteger(5), 5)
 })
 
 test('reports that are none', () => {
 	const good = { host: 'i-1', addr: 'x:1', flavour: 'g', site: 'a', tenure: 1, counter: 1, fence: 0 }
-	assert.ok(readReport(good))
+	assert.ok(parseHeartbeat(good))
 	const bad: [string, unknown][] = [
 		['no machine', { ...good, host: undefined }],
 		['a negative counter', { ...good, counter: -1 }],
@@ -92,5 +95,5 @@
 		['a task without an attempt', { ...good, pieces: [{ piece: 'job-000001/1', status: 'running' }] }],
 		['a task without a number', { ...good, pieces: [{ piece: 'job-000001', try: 1, status: 'running' }] }],
 	]
-	for (const [name, b] of bad) assert.equal(readReport(b), null, name)
+	for (const [name, b] of bad) assert.equal(parseHeartbeat(b), null, name)
 })
