--- a/packages/grpc/src/face.ts
+++ b/packages/grpc/src/face.ts
@@ -49,7 +49,8 @@
 	cancelled: 'STATE_CANCELLED',
 } as const
 
-const eventMessage = (e: JobEvent): Partial<EventMessage> => ({ ...e, state: EVENT_STATES[e.state] })
+/** An event of a stream as a message of the definition. */
+export const eventMessage = (e: JobEvent): Partial<EventMessage> => ({ ...e, state: EVENT_STATES[e.state] })
 
 /** What is wrong, with its field as it is called here. */
 const problem = (body: unknown): string => {
--- a/packages/testkit/src/hunt.ts
+++ b/packages/testkit/src/hunt.ts
@@ -2,6 +2,7 @@
 import { randomDoubleOutageDay } from './gap.js'
 import { CHECKED, type PluginDay, playPluginDay } from './plugindays.js'
 import { type FakeVersion, PLUGIN } from './plugins.js'
+import type { TracedMessage } from './trace.js'
 import { arrayJob, type Fault, type SimulatedDay, Simulation } from './world.js'
 
 const KINDS: readonly Fault['kind'][] = [
@@ -209,6 +210,29 @@
 /** Days of any troubles, those with plug-ins, meetings of a refusal with an outage, and of any two or three troubles. */
 export type HuntKind = 'any' | 'plugins' | 'gap' | 'meetings'
 
+/** What follows such a day as it is played. */
+export interface DayObservers {
+	/** takes the controllers' logs */
+	tell?: (line: string) => void
+	/** takes every message that crosses a boundary of a controller */
+	trace?: (message: TracedMessage) => void
+}
+
+/** Plays the day of a kind that follows from a seed. */
+export const playHuntDay = async (
+	seed: number,
+	kind: HuntKind,
+	{ tell = () => {}, trace }: DayObservers = {},
+): Promise<Simulation> => {
+	if (kind === 'plugins') return (await playPluginDay(randomPluginDay(seed), tell, trace)).world
+	const day = { any: randomDay, gap: randomDoubleOutageDay, meetings: randomCompoundFaultDay }[kind]
+	const simulation = new Simulation(day(seed))
+	simulation.tell = tell
+	simulation.trace = trace ?? null
+	await simulation.play()
+	return simulation
+}
+
 /** Plays such a day; `count`: events of the log that are counted. */
 export const huntDay = async (
 	seed: number,
@@ -219,14 +243,7 @@
 	const tell = (line: string) => {
 		for (const event of count) if (line.includes(` ${event} {`)) said[event]++
 	}
-	let simulation: Simulation
-	if (kind === 'plugins') simulation = (await playPluginDay(randomPluginDay(seed), tell)).world
-	else {
-		const day = { any: randomDay, gap: randomDoubleOutageDay, meetings: randomCompoundFaultDay }[kind]
-		simulation = new Simulation(day(seed))
-		simulation.tell = tell
-		await simulation.play()
-	}
+	const simulation = await playHuntDay(seed, kind, { tell })
 	return {
 		broken: [...simulation.invariants.violations, ...simulation.invariants.failures()],
 		unfinished: simulation.invariants.unfinished(),
--- a/packages/testkit/src/plugindays.ts
+++ b/packages/testkit/src/plugindays.ts
@@ -1,6 +1,7 @@
 import type { PluginSettings } from '@heathroad/config'
 import type { PluginHost } from '@heathroad/plugins'
 import { type FakeCall, type FakeDirectory, type FakeVersion, fakePlugins } from './plugins.js'
+import type { TracedMessage } from './trace.js'
 import { type SimulatedDay, Simulation } from './world.js'
 
 /** What came of a day with plug-ins. */
@@ -45,6 +46,17 @@
 							},
 			}
 
+/** A call of a plug-in, or with a value what it answers. */
+const pluginMessage = (call: FakeCall, value: unknown): TracedMessage => ({
+	atMs: call.nowMs,
+	controller: `ctl-${call.controller}`,
+	other: 'plug-in',
+	direction: value === undefined ? 'out' : 'in',
+	kind: value === undefined ? 'request' : 'answer',
+	head: call.hook,
+	body: value === undefined ? { job: call.job, facts: call.facts } : value,
+})
+
 export interface PluginDay extends SimulatedDay {
 	plugins: Record<string, PluginSettings>
 	directory: FakeDirectory
@@ -64,9 +76,11 @@
 export const playPluginDay = async (
 	day: PluginDay,
 	tell: (line: string) => void = () => {},
+	trace: ((message: TracedMessage) => void) | null = null,
 ): Promise<PluginDayResult> => {
 	const simulation = new Simulation(day)
 	simulation.tell = tell
+	simulation.trace = trace
 	const released = new Set<string>()
 	const submitted = new Map(day.jobs.map((j) => [j.spec.uid, j]))
 	const directories = Array.from({ length: day.controllers ?? 3 }, (): FakeDirectory => ({}))
@@ -81,6 +95,7 @@
 	}
 	const note = (call: FakeCall, value: unknown) => {
 		const { uid } = call.job
+		trace?.(pluginMessage(call, value))
 		if (value === undefined && call.hook === 'release') {
 			out.asked++
 			if (call.nowMs - (out.firstStart.get(uid) ?? Number.POSITIVE_INFINITY) > UNDER_WAY_MS) out.late++
--- a/packages/testkit/src/world.ts
+++ b/packages/testkit/src/world.ts
@@ -25,6 +25,7 @@
 import { type DayJob, UserWorkload } from './crowd.js'
 import { InvariantChecker, type Room } from './rules.js'
 import { FakeCloud, type FakeResponse, FakeStateStore, FakeWorker } from './standins.js'
+import type { TracedMessage } from './trace.js'
 
 export interface Fault {
 	atS: number
@@ -264,7 +265,7 @@
 				send: (machine, controller, path, body, reply) => {
 					const i = this.names.indexOf(controller)
 					if (this.silent.has(machine) || this.mute.has(machine)) return
-					const serve = () => this.sendRequest(i, 'POST', path, body)
+					const serve = () => this.sendRequest(i, 'POST', path, body, machine)
 					const heard = (r: FakeResponse | null) => {
 						if (!this.deaf.has(machine)) reply(r)
 					}
@@ -273,7 +274,7 @@
 					// Copies of old reports, whoever lives at the address by then.
 					if (!this.chances.happens('lateReports')) return
 					const again = this.clock.between(2000, this.times.leaseS * 2500)
-					this.clock.after(again, () => void this.sendRequest(i, 'POST', path, body), null)
+					this.clock.after(again, () => void this.sendRequest(i, 'POST', path, body, machine), null)
 				},
 			},
 			id,
@@ -289,7 +290,7 @@
 		this.kept = []
 		for (const body of all)
 			for (const i of this.names.keys()) {
-				const arrive = () => void this.sendRequest(i, 'POST', '/checkin', body)
+				const arrive = () => void this.sendRequest(i, 'POST', '/checkin', body, 'kept report')
 				this.clock.after(this.clock.between(0, 400), arrive, null)
 			}
 	}
@@ -299,17 +300,40 @@
 		return () => this.nodes[i] !== null && this.lives[i] === life
 	}
 
-	sendRequest(i: number, method: string, path: string, body: unknown): Promise<FakeResponse | null> {
+	/** A request to a controller, and its answer. `from`: who sends it, for the trace alone. */
+	sendRequest(
+		i: number,
+		method: string,
+		path: string,
+		body: unknown,
+		from = 'user',
+	): Promise<FakeResponse | null> {
 		const node = this.nodes[i]
 		if (node === null) return Promise.resolve(null)
 		const raw = body === undefined ? undefined : decode(encode(body))
+		const call = `${method} ${path}`
+		this.traceMessage({ controller: i, other: from, direction: 'in', kind: 'request', head: call, body })
 		return new Promise((done) =>
-			node.handleRequest({ method, path, body: raw }, (r) =>
-				done({ status: r.status, body: decode(encode(r.body ?? {})) }),
-			),
+			node.handleRequest({ method, path, body: raw }, (r) => {
+				const head = `${r.status} retry-after=${r.retryAfterS ?? 'none'} to ${call}`
+				const answer = r.body ?? {}
+				this.traceMessage({
+					controller: i,
+					other: from,
+					direction: 'out',
+					kind: 'answer',
+					head,
+					body: answer,
+				})
+				done({ status: r.status, body: decode(encode(answer)) })
+			}),
 		)
 	}
 
+	private traceMessage(message: Omit<TracedMessage, 'atMs' | 'controller'> & { controller: number }): void {
+		this.trace?.({ ...message, atMs: this.clock.nowMs, controller: this.names[message.controller] })
+	}
+
 	/**
 	 * A message over an unreliable network: there and back, perhaps lost or late, never over a cut. `other`: the zone or
 	 * the number of whoever is at its other end; null: somebody in no zone.
@@ -359,12 +383,24 @@
 						() => resume(Effect.fail(new NoResponse({ reason: 'no answer' }))),
 						timeoutMs,
 					)
+					const request = `${method} ${path}`
 					const answer = (r: FakeResponse | null) => {
 						if (r === null || !life()) return
+						const head = `${r.status} to ${request}`
+						this.traceMessage({
+							controller: i,
+							other: to,
+							direction: 'in',
+							kind: 'answer',
+							head,
+							body: r.body,
+						})
 						clearTimeout(timer)
 						resume(Effect.succeed({ status: r.status, body: decode(encode(r.body)), retryAfter: null }))
 					}
 					const sent = body === undefined ? undefined : decode(encode(body))
+					const head = `${request} timeout=${timeoutMs}`
+					this.traceMessage({ controller: i, other: to, direction: 'out', kind: 'request', head, body })
 					if (to === 'state:1' && method === 'GET' && this.watchless.has(i)) return
 					if (to === 'state:1' && path === '/txn' && this.chances.happens('lateWrites')) {
 						const late = () => this.state.handle(method, path, sent, () => {}, i)
@@ -407,10 +443,7 @@
 							['peers', i],
 							{ from: i, to: j },
 							this.life(j),
-							() => {
-								const reply = this.nodes[j]?.membership.handlePeerRequest(path, sent) ?? null
-								return Promise.resolve(reply === null ? null : { status: 200, body: reply })
-							},
+							() => Promise.resolve(this.answerPeer(i, j, path, sent)),
 							answer,
 							j,
 						)
@@ -419,6 +452,16 @@
 		}
 	}
 
+	/** What a controller answers another one; null: nothing. */
+	private answerPeer(from: number, to: number, path: string, body: unknown): FakeResponse | null {
+		const message = { controller: to, other: this.names[from] }
+		this.traceMessage({ ...message, direction: 'in', kind: 'request', head: path, body })
+		const answer = this.nodes[to]?.membership.handlePeerRequest(path, body) ?? null
+		if (answer === null) return null
+		this.traceMessage({ ...message, direction: 'out', kind: 'answer', head: `200 to ${path}`, body: answer })
+		return { status: 200, body: answer }
+	}
+
 	boot(i: number): Service {
 		const settings = parseSettings({
 			host_name: this.names[i],
@@ -483,6 +526,9 @@
 	/** Called with every new life of a controller, before it begins. */
 	started: (i: number, node: Service) => void = () => {}
 
+	/** Called with every message that a controller sends or receives; null: nobody follows them. */
+	trace: ((message: TracedMessage) => void) | null = null
+
 	/** Where the controllers' logs go. */
 	tell: (line: string) => void = () => {}
 
@@ -536,7 +582,7 @@
 
 	private probe(): void {
 		for (const i of this.names.keys())
-			void this.sendRequest(i, 'GET', '/healthz', undefined).then((r) =>
+			void this.sendRequest(i, 'GET', '/healthz', undefined, 'balancer').then((r) =>
 				this.balancer.probed(i, r?.status === 200, this.clock.nowMs),
 			)
 		this.clock.after(1000, () => this.probe())
--- a/tests/streamdays.test.ts
+++ b/tests/streamdays.test.ts
@@ -1,39 +1,9 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { Hub, type JobEvent, type Selection, type Subscription } from '@heathroad/events'
-import { ServiceRecords } from '@heathroad/grpc'
-import type { Service } from '@heathroad/server'
-import { arrayJob, type Fault, Simulation } from '@heathroad/testkit'
+import type { JobEvent, Selection } from '@heathroad/events'
+import { arrayJob, type Fault, Simulation, StreamReader, streamsOf } from '@heathroad/testkit'
 
-const EVERY_MS = 500
-
-/** A controller's streams as its face for gRPC runs them, without the network. */
-class Streams {
-	readonly records: ServiceRecords
-	hub: Hub | null = null
-	over = false
-
-	constructor(
-		readonly node: Service,
-		world: Simulation,
-		i: number,
-	) {
-		this.records = new ServiceRecords(node, 1000)
-		const look = () => {
-			if (this.over) return
-			const id = this.records.installation()
-			if (id === null) this.records.nameInstallation(`by ${i}`)
-			else if (this.hub === null) {
-				this.hub = new Hub(this.records, id, EVERY_MS, node.now)
-				this.records.hub = this.hub
-			}
-			if (!node.isHealthy()) this.hub?.endAll('not serving')
-			this.hub?.look()
-			world.clock.after(EVERY_MS, look, i)
-		}
-		world.clock.after(EVERY_MS, look, i)
-	}
-}
+const CONTROLLERS = 3
 
 test('fifty streams over days of crashes, outages and cuts: what they tell keeps the rules', async () => {
 	const days: { name: string; troubles: Fault[]; seed: number }[] = [
@@ -64,14 +34,7 @@
 			...(i % 8 === 7 ? { cancelAtS: 12 + i * 4 } : {}),
 		}))
 		const world = new Simulation({ seed, untilS: 300, jobs, faults: troubles, loss: 0.01 })
-		const nodes: (Streams | null)[] = [null, null, null]
-		world.started = (i, node) => {
-			nodes[i] = new Streams(node, world, i)
-		}
-		world.ended = (i) => {
-			if (nodes[i] !== null) nodes[i].over = true
-			nodes[i] = null
-		}
+		const streams = streamsOf(world)
 		const wrong: string[] = []
 		const uids = jobs.map((j) => j.spec.uid)
 		let reconnects = 0
@@ -79,10 +42,6 @@
 			const selection: Selection = n % 2 === 0 ? { team: 'core' } : { uids }
 			const finals = new Map<string, string>()
 			const done = new Map<string, number>()
-			let cursor = ''
-			let at: Streams | null = null
-			let sub: Subscription | null = null
-			let asking = false
 			const hear = (e: JobEvent) => {
 				const known = world.invariants.state(e.uid)
 				const status = e.state === 'cancelled' ? 'aborted' : e.state
@@ -94,38 +53,12 @@
 					// A state that is not final may be told a moment after another user heard the end; a final one never differs.
 					world.invariants.told(e.uid, 200, status, known)
 				}
-				cursor = e.cursor
-			}
-			const begin = () => {
-				const some = nodes[Math.floor(world.clock.random() * 3)]
-				if (some === null || some.hub === null || !some.node.isHealthy()) return
-				asking = true
-				some.node.afterLinearizableRead((ok) => {
-					asking = false
-					if (!ok || some.over || some.hub === null) return
-					reconnects++
-					const begun = some.hub.subscribe(selection, cursor, { wake: () => {}, ended: () => {} })
-					if (typeof begun === 'string') wrong.push(`${n}: ${begun}`)
-					else [at, sub] = [some, begun]
-				})
-			}
-			const step = () => {
-				if (at?.over === true) sub = null
-				if (sub?.ended) sub = null
-				// Streams die at any moment besides.
-				if (sub !== null && world.clock.random() < 0.02) {
-					sub.end(null)
-					sub = null
-				}
-				if (sub === null && !asking) begin()
-				for (let k = 0; sub !== null && k < 5; k++) {
-					const e: JobEvent | null = sub.next()
-					if (e === null) break
-					hear(e)
-				}
-				world.clock.after(world.clock.between(100, 600), step, null)
 			}
-			world.clock.after(3000, step, null)
+			new StreamReader(world, streams, CONTROLLERS, selection, {
+				begun: () => reconnects++,
+				refused: (_controller, why) => wrong.push(`${n}: ${why}`),
+				heard: (_controller, e) => hear(e),
+			})
 			return { n, finals, selection }
 		})
 		await world.play()
