--- a/packages/cluster/src/membership.ts
+++ b/packages/cluster/src/membership.ts
@@ -1,4 +1,5 @@
 import type { DerivedLimits } from '@heathroad/config'
+import type { Log } from '@heathroad/logging'
 import type { StoreClient, WatchCache } from '@heathroad/store'
 import { KEY_PREFIX } from '@heathroad/store'
 import { type HttpClient, isMap } from '@heathroad/wire'
@@ -54,7 +55,7 @@
 	cancellationsSince(revision: number): CancelledJob[] | null
 	/** a peer told what it knows of cancellations while we are cut off from the state */
 	applyCancellations(all: readonly CancelledJob[]): void
-	log(level: 'info' | 'debug' | 'error', event: string, fields?: Record<string, unknown>): void
+	log: Log
 }
 
 /**
@@ -128,7 +129,7 @@
 		if (stoodMs < this.limits.controllerLeaseMs * 0.2) return
 		this.resumedAt = now
 		this.noFailbackUntil = now + Math.min(stoodMs, this.limits.agentLeaseMs * 2)
-		this.events.log('info', 'stood still', { ms: Math.round(stoodMs) })
+		this.events.log('info', 'process standstill', { ms: Math.round(stoodMs) })
 	}
 
 	/**
@@ -229,7 +230,7 @@
 		if (known !== undefined && known.fencingToken >= fencingToken) return
 		if (known !== undefined) this.relinquish(shardId, 'taken again')
 		this.ownedShards.set(shardId, { shardId: shardId, fencingToken: fencingToken, acquiredAt: this.now() })
-		this.events.log('info', 'took part', { part: shardId, token: fencingToken })
+		this.events.log('info', 'shard acquired', { part: shardId, token: fencingToken })
 		this.events.onShardAcquired(shardId, fencingToken)
 	}
 
--- a/packages/controller/src/faults.ts
+++ b/packages/controller/src/faults.ts
@@ -29,7 +29,7 @@
 			job.retryNotBefore = now + waitMs / 2
 			if (!before) {
 				this.state.queueDirty = true
-				this.state.ports.log('info', 'job is suspect', {
+				this.state.ports.log('info', 'job quarantined', {
 					uid: job.spec.uid,
 					machines: [...job.failedMachineIds],
 				})
@@ -65,6 +65,6 @@
 			else if (!job.isQuarantined) open++
 		if (certain < 2 && open < 3) return
 		machine.drainReason = 'faulty'
-		this.state.ports.log('info', 'draining a faulty machine', { machine: machine.id, certain, open })
+		this.state.ports.log('info', 'faulty machine draining', { machine: machine.id, certain, open })
 	}
 }
--- a/packages/controller/src/gate.ts
+++ b/packages/controller/src/gate.ts
@@ -1,5 +1,6 @@
 import { type JobRecord, markReleased } from '@heathroad/cluster'
 import { maxValueChars } from '@heathroad/config'
+import type { LogEvent } from '@heathroad/logging'
 import { KEY_PREFIX, type TransactionContent, WritePriority } from '@heathroad/store'
 import type { JobSpec } from '@heathroad/wire'
 import TinyQueue from 'tinyqueue'
@@ -210,7 +211,7 @@
 		} else if (verdict.kind === 'unsure') {
 			const pause = Math.min(MOST_PAUSE_MS, Math.max(verdict.againMs, 500 * 2 ** Math.min(10, q.unsure++)))
 			q.askAt = now + pause
-			this.say(q, 'job held unasked', verdict.why)
+			this.say(q, 'job held without an answer', verdict.why)
 		} else {
 			q.unsure = 0
 			q.askAt = now + verdict.againMs
@@ -224,7 +225,7 @@
 		this.tick(now)
 	}
 
-	private say(q: Question, event: string, why: string): void {
+	private say(q: Question, event: LogEvent, why: string): void {
 		const [first] = q.jobs
 		if (first !== undefined)
 			this.state.ports.log('info', event, { uid: first.uid, check: q.name, jobs: q.jobs.size, why })
@@ -233,7 +234,7 @@
 	private releasedBy(job: Held, name: string, why: string): void {
 		for (const [key, q] of this.ofJob(job)) if (q.name === name) this.withdraw(job, key, q)
 		job.waits.delete(name)
-		this.state.ports.log('info', 'check passed', { uid: job.uid, check: name, why })
+		this.state.ports.log('info', 'admission check passed', { uid: job.uid, check: name, why })
 		if (job.waits.size === 0) this.passed.add(job)
 	}
 
--- a/packages/controller/src/model.ts
+++ b/packages/controller/src/model.ts
@@ -1,5 +1,6 @@
 import type { RentalRequest, RentResult } from '@heathroad/cloud'
 import type { JobRecord, LeadershipStatus } from '@heathroad/cluster'
+import type { Log } from '@heathroad/logging'
 import type { BudgetLedger } from '@heathroad/policy'
 import { RangeSet } from '@heathroad/policy'
 import type { CacheEntry, QueuedWrite } from '@heathroad/store'
@@ -197,5 +198,5 @@
 	availableCloudCalls(): number
 	machineTypes(): readonly MachineType[]
 	offerAvailability: OfferAvailability
-	log(level: 'info' | 'debug' | 'error', event: string, fields?: Record<string, unknown>): void
+	log: Log
 }
--- a/packages/controller/src/moves.ts
+++ b/packages/controller/src/moves.ts
@@ -65,7 +65,7 @@
 		this.state.queueDirty = true
 		const move: Move = { job, to, open: false }
 		this.under.set(job.spec.uid, move)
-		this.state.ports.log('info', 'moving job', { uid: job.spec.uid, from: this.state.shardId, to })
+		this.state.ports.log('info', 'job migrating', { uid: job.spec.uid, from: this.state.shardId, to })
 		this.write(move)
 	}
 
--- a/packages/controller/src/part.ts
+++ b/packages/controller/src/part.ts
@@ -105,7 +105,7 @@
 		for (const uid of ports.openJobs()) this.onJobChanged(uid, ports.job(uid)!.record, this.state.reconciled)
 		for (const [name, record] of intents) this.renter.rentRecordedGroup(name, record)
 		for (const id of this.unconfirmed) this.probe(this.machines.get(id)!)
-		ports.log('info', 'rebuilding part', {
+		ports.log('info', 'shard reconciling', {
 			part: shardId,
 			token: fencingToken,
 			jobs: this.jobs.size,
@@ -246,7 +246,7 @@
 		for (const attempt of [...job.placements.values()])
 			if (attempt.state === 'planned') this.state.removeAttempt(attempt.machine, attempt)
 		this.state.queueDirty = true
-		this.ports.log('info', 'job over', { uid: job.spec.uid, how })
+		this.ports.log('info', 'job terminal', { uid: job.spec.uid, how })
 		if (how === 'aborted') this.killNow(job)
 		if (job.placements.size === 0) this.state.jobs.delete(job.spec.uid)
 	}
@@ -308,7 +308,7 @@
 		if (!m.booted) {
 			m.booted = true
 			this.state.bootTimes.observe(m.type, now - m.discoveredAt)
-			this.ports.log('info', 'machine is up', {
+			this.ports.log('info', 'machine booted', {
 				machine: m.id,
 				type: m.type.name,
 				zone: m.zone,
@@ -362,7 +362,10 @@
 		else if (machine.preemptionDeadline === null) {
 			machine.preemptionDeadline = now + heartbeat.preemptionNoticeS * 1000
 			machine.drainReason = 'spot notice'
-			this.ports.log('info', 'spot notice', { machine: machine.id, noticeS: heartbeat.preemptionNoticeS })
+			this.ports.log('info', 'preemption notice', {
+				machine: machine.id,
+				noticeS: heartbeat.preemptionNoticeS,
+			})
 		} else
 			machine.preemptionDeadline = Math.min(
 				machine.preemptionDeadline,
@@ -375,7 +378,7 @@
 			// A direct command's answer may have overtaken the response that carries the start.
 			if (attempt.state === 'sent' && !settles) continue
 			if (attempt.state !== 'sent' && !attempt.accountedFor)
-				this.ports.log('debug', 'task is gone', {
+				this.ports.log('debug', 'task disappeared', {
 					task: attempt.taskName,
 					machine: machine.id,
 					state: attempt.state,
@@ -466,14 +469,14 @@
 		else if (t.exitReason === 'no_room' || t.exitReason === 'in_use') {
 			// Our picture of the machine is wrong: leave it alone until its next reports have corrected it.
 			machine.cordonedUntil = now + this.config.limits.heartbeatMs * 2
-			this.ports.log('info', 'start refused', {
+			this.ports.log('info', 'task start rejected', {
 				task: attempt.taskName,
 				machine: machine.id,
 				cause: t.exitReason,
 			})
 		} else if (t.exitReason === 'no_such') {
 			job.retryNotBefore = now + this.config.limits.heartbeatMs * 2
-			this.ports.log('info', 'start refused', {
+			this.ports.log('info', 'task start rejected', {
 				task: attempt.taskName,
 				machine: machine.id,
 				cause: t.exitReason,
@@ -610,7 +613,7 @@
 			for (const task of job.orphanCounts.keys()) job.readyTasks.delete(task)
 		}
 		this.state.queueDirty = true
-		this.ports.log('info', 'part is rebuilt', {
+		this.ports.log('info', 'shard reconciled', {
 			part: this.shardId,
 			afterMs: Math.round(this.ports.now() - this.takenAt),
 		})
@@ -644,7 +647,7 @@
 						const m = this.machines.get(heartbeat.machineId)
 						if (m !== undefined && heartbeat.fencingToken === 0) m.reconciled = true
 					}
-					this.ports.log('info', 'claimed machines', { machines: Object.keys(hosts), part: this.shardId })
+					this.ports.log('info', 'machines adopted', { machines: Object.keys(hosts), part: this.shardId })
 				}
 				done()
 			},
@@ -666,7 +669,7 @@
 			machine.releasing = true
 			machine.retryReleaseAt = Number.POSITIVE_INFINITY
 		}
-		this.ports.log('info', 'releasing', {
+		this.ports.log('info', 'machines releasing', {
 			machines: machines.map((machine) => `${machine.id} (${machine.drainReason})`),
 		})
 		this.ports.releaseMachines(
@@ -813,7 +816,7 @@
 	private leaseOver(machine: Machine): void {
 		for (const attempt of [...machine.attempts.values()])
 			if (!(attempt.state === 'ended' && attempt.accountedFor)) {
-				this.ports.log('info', 'lease over', { task: attempt.taskName, machine: machine.id })
+				this.ports.log('info', 'agent lease expired', { task: attempt.taskName, machine: machine.id })
 				this.state.removeAttempt(machine, attempt)
 			}
 		if (!machine.reconciled) {
--- a/packages/controller/src/planner.ts
+++ b/packages/controller/src/planner.ts
@@ -292,7 +292,7 @@
 			for (const attempt of machine.attempts.values())
 				if (attempt.state === 'running' && attempt.job !== null)
 					attempt.stopGracePeriodS = gracePeriodS(attempt.job.spec)
-			this.state.ports.log('info', 'emptying a machine', {
+			this.state.ports.log('info', 'machine consolidating', {
 				machine: machine.id,
 				freeCpus: machine.freeResources.cpus,
 			})
@@ -338,7 +338,7 @@
 		machines.splice(best.at, 1)
 		for (const { a: attempt } of best.victims) {
 			attempt.stopGracePeriodS = gracePeriodS(attempt.job!.spec)
-			this.state.ports.log('info', 'preempting', {
+			this.state.ports.log('info', 'tasks preempted', {
 				task: attempt.taskName,
 				machine: attempt.machine.id,
 				for: spec.uid,
--- a/packages/controller/src/renter.ts
+++ b/packages/controller/src/renter.ts
@@ -241,7 +241,7 @@
 		}
 		this.renting.set(name, { offer, count })
 		this.starting++
-		this.state.ports.log('info', 'renting', { rental: name, offer: offerKey(offer), count })
+		this.state.ports.log('info', 'scale-out requested', { rental: name, offer: offerKey(offer), count })
 		const key = KEY_PREFIX + machineGroupKey(name)
 		const data = encodeMachineGroup(record)
 		this.state.enqueueOwnedWrite(
@@ -291,7 +291,7 @@
 		const machines = result.kind === 'rented' ? result.machineIds : []
 		const offer = this.renting.get(name)!.offer
 		const key = offerKey(offer)
-		this.state.ports.log('info', 'rental answered', {
+		this.state.ports.log('info', 'scale-out answered', {
 			rental: name,
 			offer: key,
 			got: machines.length,
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,7 +1,8 @@
 import { type Config, readOperatorSettings } from '@heathroad/config'
 import type { GrpcFace } from '@heathroad/grpc'
+import type { Log } from '@heathroad/logging'
 import type { PluginHost } from '@heathroad/plugins'
-import { type Log, Service } from '@heathroad/server'
+import { Service } from '@heathroad/server'
 import { answerAdmin, type Daemon } from './admin.js'
 import { Drain } from './drain.js'
 import { openPlugins } from './plugins.js'
@@ -73,7 +74,7 @@
 			lines.push(...(await this.plugins.look(true)))
 		}
 		this.config.plugins = fresh.plugins
-		this.log('info', 'reloaded', { lines })
+		this.log('info', 'settings reloaded', { lines })
 		return lines
 	}
 
@@ -86,7 +87,7 @@
 
 	signalled(): void {
 		if (this.ending) {
-			this.log('info', 'ending at once', { phase: this.drain.phase })
+			this.log('info', 'immediate shutdown', { phase: this.drain.phase })
 			return this.exit(1)
 		}
 		this.end()
@@ -98,7 +99,7 @@
 		await this.grpc?.stop(500)
 		await this.service.stop()
 		await this.service.revokeLease()
-		this.log('info', 'ended')
+		this.log('info', 'controller stopped')
 		this.exit(0)
 	}
 }
--- a/packages/daemon/src/drain.ts
+++ b/packages/daemon/src/drain.ts
@@ -1,5 +1,6 @@
 import type { DaemonSettings } from '@heathroad/config'
-import type { Log, Service } from '@heathroad/server'
+import type { Log } from '@heathroad/logging'
+import type { Service } from '@heathroad/server'
 
 /** `leaving`: the balancer is told. `handing`: no new jobs, parts go to others. `over`: nobody depends on us any more. */
 export type Phase = 'serving' | 'leaving' | 'handing' | 'over'
@@ -70,7 +71,12 @@
 		const alone = this.service.config.limits.peers.length === 0
 		const next = nextPhase({ phase: this.state, sinceMs, parts, submissions, alone }, this.settings)
 		if (next !== this.state)
-			this.log('info', 'draining', { phase: next, sinceMs: Math.round(sinceMs), parts, submissions })
+			this.log('info', 'drain phase changed', {
+				phase: next,
+				sinceMs: Math.round(sinceMs),
+				parts,
+				submissions,
+			})
 		this.state = next
 		if (next === 'leaving') this.service.beginDrain()
 		else if (next === 'handing') this.service.handOffShards(sinceMs > this.settings.drainS * 1000 * AT_ONCE)
--- a/packages/daemon/src/log.ts
+++ b/packages/daemon/src/log.ts
@@ -1,4 +1,4 @@
-import type { Log, LogLevel } from '@heathroad/server'
+import type { Log, LogLevel } from '@heathroad/logging'
 import pino from 'pino'
 
 const LEVELS: readonly LogLevel[] = ['error', 'info', 'debug']
--- a/packages/grpc/src/face.ts
+++ b/packages/grpc/src/face.ts
@@ -131,7 +131,7 @@
 	async start(): Promise<number> {
 		const { port } = await this.sockets.listen(this.settings.listen)
 		this.timer = setInterval(() => this.look(), this.settings.everyS * 1000)
-		this.s.log('info', 'gRPC listens', { listen: this.settings.listen, port })
+		this.s.log('info', 'gRPC server listening', { listen: this.settings.listen, port })
 		return port
 	}
 
@@ -308,7 +308,7 @@
 			if (stream.stalled(stallS * 1000, behind)) {
 				this.lingering.set(stream, now + stallS * 1000)
 				stream.letGo('too slow')
-				this.s.log('info', 'slow reader let go', { peer: stream.peer })
+				this.s.log('info', 'slow stream closed', { peer: stream.peer })
 			}
 		// Its status waits behind what it does not take: a reader that never does is cut, or its memory would stay. What
 		// else is on its connection goes on from its cursors.
--- a/packages/plugins/src/host.ts
+++ b/packages/plugins/src/host.ts
@@ -58,7 +58,7 @@
 				if (!this.stopped) again()
 			}
 			const failed = (e: unknown) =>
-				this.ports.log('error', 'plug-ins could not be looked at', { why: String(e) })
+				this.ports.log('error', 'plug-in directory unreadable', { why: String(e) })
 			this.timer = setTimeout(() => void this.look().catch(failed).then(next), this.settings.lookS * 1000)
 		}
 		again()
@@ -118,7 +118,7 @@
 		}
 		this.missing = missing
 		for (const line of lines)
-			if (!this.told.has(line)) this.ports.log('error', 'plug-in does not fit', { what: line })
+			if (!this.told.has(line)) this.ports.log('error', 'plug-in invalid', { what: line })
 		this.told = new Set(lines)
 		return lines
 	}
@@ -186,7 +186,7 @@
 					const answer = r.value as Admission
 					return heard('refuse' in answer ? `${slot.name}: ${answer.refuse}` : null)
 				}
-				this.ports.log('info', 'admitted unasked', { uid: job.uid, plugin: slot.name, why: r.why })
+				this.ports.log('info', 'admission check skipped', { uid: job.uid, plugin: slot.name, why: r.why })
 				heard(null)
 			})
 		for (const slot of first) {
--- a/packages/plugins/src/slot.ts
+++ b/packages/plugins/src/slot.ts
@@ -1,3 +1,4 @@
+import type { LogEvent } from '@heathroad/logging'
 import { concerns, type Hook, Nonsense } from '@heathroad/plugin-api'
 import type { Loaded } from './directory.js'
 import { type Call, Generation, type Result } from './generation.js'
@@ -17,7 +18,7 @@
 	teams: readonly string[] | null
 }
 
-export type Tell = (level: 'info' | 'error', event: string, fields: Record<string, unknown>) => void
+export type Tell = (level: 'info' | 'error', event: LogEvent, fields: Record<string, unknown>) => void
 
 /**
  * One plug-in by its name, through all its versions. Calls wait here and not at a version, so that an upgrade loses none:
@@ -106,7 +107,7 @@
 
 	private remove(): void {
 		if (this.live === null && this.next === null) return
-		this.tell('error', 'plug-in is gone from its directory', { plugin: this.name, version: this.version })
+		this.tell('error', 'plug-in removed', { plugin: this.name, version: this.version })
 		const all = [this.live, this.next, this.before]
 		this.live = this.next = this.before = null
 		for (const g of all) g?.end('gone from the directory')
@@ -219,7 +220,7 @@
 		if (second !== null) this.retire(second)
 		this.probation = PROBATION
 		if (old !== null) this.counts.upgrades++
-		this.tell('info', 'plug-in is in force', {
+		this.tell('info', 'plug-in version active', {
 			plugin: this.name,
 			version: g.version,
 			after: old?.version ?? null,
@@ -234,7 +235,7 @@
 			this.reject(g, `could not be loaded: ${why}`)
 			return
 		}
-		this.tell('error', 'plug-in cannot be loaded', { plugin: this.name, version, digest, why })
+		this.tell('error', 'plug-in load failed', { plugin: this.name, version, digest, why })
 		// Nothing to fall back on: it is tried again, as one that crashed would be.
 		g.rest()
 	}
@@ -303,7 +304,7 @@
 		}
 		if (!theirs && g.breaker.failed(now)) {
 			const ms = g.breaker.leftMs(now)
-			this.tell('error', 'plug-in fails too often', { plugin: this.name, version: g.version, why, ms })
+			this.tell('error', 'plug-in circuit opened', { plugin: this.name, version: g.version, why, ms })
 			// Somebody has to ask again when the pause is over, or what waits then would wait for the next question.
 			setTimeout(() => this.pump(), ms + 1)
 		}
--- a/packages/server/src/core.ts
+++ b/packages/server/src/core.ts
@@ -2,6 +2,7 @@
 import type { Config } from '@heathroad/config'
 import type { AdmissionChecks, OfferAvailability, Shard } from '@heathroad/controller'
 import type { ArchivedJob, ArchiveLookup } from '@heathroad/history'
+import type { Log } from '@heathroad/logging'
 import type { WatchCache, WriteQueue } from '@heathroad/store'
 import type { MachineType } from '@heathroad/wire'
 import type { Effect } from 'effect'
@@ -10,9 +11,6 @@
 /** What takes longer is given up: users wait 2 s for an answer to a question (protocol). */
 export const USER_ANSWER_TIMEOUT_MS = 1700
 
-export type LogLevel = 'error' | 'info' | 'debug'
-export type Log = (level: LogLevel, event: string, fields?: Record<string, unknown>) => void
-
 /** Jobs that are over and in memory no longer. */
 export interface TerminalStateArchive {
 	/** A final state that takes no read; the id must be of the right form. */
--- a/packages/server/src/history.ts
+++ b/packages/server/src/history.ts
@@ -16,6 +16,7 @@
 } from '@heathroad/cluster'
 import { defaultHistorySettings, maxValueChars, terminalPageLimits } from '@heathroad/config'
 import { type ArchivedJob, type ArchiveLookup, ArchiveReader, Archiver, ordinalOf } from '@heathroad/history'
+import type { LogEvent } from '@heathroad/logging'
 import {
 	KEY_PREFIX,
 	type StoreClient,
@@ -88,7 +89,7 @@
 		this.stopped = true
 	}
 
-	private warn(event: string, e: unknown): void {
+	private warn(event: LogEvent, e: unknown): void {
 		this.context.log('error', event, { error: Cause.isCause(e) ? Cause.pretty(e) : String(e) })
 	}
 
@@ -185,7 +186,7 @@
 		const guarded = effect.pipe(
 			// No answer, or an outage: the next look begins anew.
 			Effect.catch(() => Effect.void),
-			Effect.catchCause((cause) => Effect.sync(() => this.warn('archiving stopped', cause))),
+			Effect.catchCause((cause) => Effect.sync(() => this.warn('archival failed', cause))),
 			Effect.map(done),
 		)
 		Effect.runFork(guarded)
@@ -202,7 +203,7 @@
 				? advanceArchivalEpoch(cache, { format: RECORD_FORMAT, archivalEpoch: 1, legacy: true })
 				: null,
 		)
-		this.context.log('info', 'records move to the second form')
+		this.context.log('info', 'record format upgraded')
 	}
 
 	private submit(
@@ -364,7 +365,7 @@
 					),
 				)
 			}
-			log('info', 'archived', { part: shardId, jobs: items.length, pages: pages.length })
+			log('info', 'jobs archived', { part: shardId, jobs: items.length, pages: pages.length })
 		})
 	}
 
@@ -428,7 +429,7 @@
 			const record = this.record()
 			if (record?.legacy !== true) return
 			yield* this.write(advanceArchivalEpoch(cache, { ...record, legacy: false }))
-			log('info', 'no final states of the first form are left')
+			log('info', 'record migration completed')
 		})
 	}
 }
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -24,6 +24,7 @@
 	Shard,
 	type ShardPorts,
 } from '@heathroad/controller'
+import type { Log } from '@heathroad/logging'
 import {
 	type CacheEntry,
 	createStoreClient,
@@ -43,7 +44,7 @@
 	parseHeartbeat,
 } from '@heathroad/wire'
 import { Effect, Fiber } from 'effect'
-import { type ControllerContext, type Log, type RecordObserver, USER_ANSWER_TIMEOUT_MS } from './core.js'
+import { type ControllerContext, type RecordObserver, USER_ANSWER_TIMEOUT_MS } from './core.js'
 import { ArchivalController } from './history.js'
 import { type HttpRequest, type Respond, startHttpServer } from './http.js'
 import { ShardRouter } from './parting.js'
@@ -164,7 +165,7 @@
 			jobsOnMachines: (shardId) => this.shards.get(shardId)?.jobsOnMachines() ?? null,
 			onUnsupportedFormat: (form) => {
 				const why = `the state is of form ${form}, which this version does not know`
-				this.log('error', 'refusing to go on', { why })
+				this.log('error', 'unsupported record format', { why })
 				this.onUnsupportedFormat(why)
 			},
 		})
@@ -211,7 +212,7 @@
 		every(limits.controllerLeaseMs * 0.2, () => this.probeWorkers())
 		this.membership.gossip()
 		const teams = this.config.settings.deployment.teams
-		this.log('info', 'started', { name: limits.self, upMs: Math.round(performance.now()), teams })
+		this.log('info', 'controller started', { name: limits.self, upMs: Math.round(performance.now()), teams })
 	}
 
 	async stop(): Promise<void> {
@@ -311,7 +312,7 @@
 			if (this.workerProbesAnswered < 3) return
 			this.workerProbesAnswered = 0
 			this.membership.cutFromWorkers = false
-			this.log('info', 'workers can be reached again')
+			this.log('info', 'workers reachable again')
 		}
 		if (known.length === 0) return heard(true)
 		const address = known[Math.floor(Math.random() * known.length)]
@@ -440,7 +441,7 @@
 	private onShardLost(shardId: number, why: string): void {
 		this.shards.get(shardId)?.stop()
 		this.shards.delete(shardId)
-		this.log('info', 'lost part', { part: shardId, why })
+		this.log('info', 'shard lost', { part: shardId, why })
 	}
 
 	/** Running tasks of the jobs in our parts. */
--- a/packages/server/src/users.ts
+++ b/packages/server/src/users.ts
@@ -213,7 +213,7 @@
 		const { maxPendingSubmissions: intakeLimit, submissionsPerS: intakePerS } = this.context.config.limits
 		if (!this.submissionQueue.hasCapacity(spec.team)) {
 			const retryAfterS = Math.min(30, intakeLimit / intakePerS)
-			this.context.log('info', 'submission refused', { uid, why: 'too many are waiting', retryAfterS })
+			this.context.log('info', 'submission rejected', { uid, why: 'too many are waiting', retryAfterS })
 			return respond(later(retryAfterS, 429))
 		}
 		this.accepting.set(uid, [respond])
@@ -223,7 +223,7 @@
 		}
 		this.context.checks.admit(spec, (why, released) => {
 			if (why === null) return this.accept(spec, released, tell)
-			this.context.log('info', 'submission refused', { uid, why })
+			this.context.log('info', 'submission rejected', { uid, why })
 			this.run(this.unlessKnown(uid, why), tell)
 		})
 	}
@@ -247,7 +247,7 @@
 		this.submissionQueue.enqueue(record, INTAKE_MS, (outcome) => {
 			if (outcome === 'accepted') {
 				const { jobClass, team, priority, tasks, cpus, expectedS, checkpointS } = spec
-				this.context.log('info', 'accepted', {
+				this.context.log('info', 'job accepted', {
 					uid,
 					part: record.shardId,
 					tasks,
--- a/scripts/hunt-days.mjs
+++ b/scripts/hunt-days.mjs
@@ -21,7 +21,7 @@
 			to: { type: 'string', default: '80' },
 			kind: { type: 'string', default: 'any' },
 			lanes: { type: 'string', default: String(availableParallelism()) },
-			count: { type: 'string', multiple: true, default: ['moving job'] },
+			count: { type: 'string', multiple: true, default: ['job migrating'] },
 		},
 	})
 	await build({ ...shared, entryPoints: { hunt: 'packages/testkit/src/hunt.ts' }, outdir: 'target' })
