--- a/packages/logging/src/events.ts
+++ b/packages/logging/src/events.ts
@@ -220,6 +220,7 @@
 		meaning: 'A version of a plug-in answers calls from now on.',
 		action: 'None.',
 	},
+	'plug-in loading': { level: 'info', meaning: 'A version of a plug-in is being loaded.', action: 'None.' },
 	'plug-in load failed': { level: 'error', meaning: 'A version could not be loaded.', action: 'See `why`.' },
 	'plug-in version rejected': {
 		level: 'error',
--- a/packages/plugins/src/slot.ts
+++ b/packages/plugins/src/slot.ts
@@ -100,7 +100,7 @@
 			JSON.stringify(g.plugin.manifest) === JSON.stringify(plugin.manifest)
 		if (same(this.next) || (this.next === null && same(this.live)) || this.rejected.has(digest)) return
 		this.next?.end('replaced by a newer version')
-		this.tell('info', 'loading plug-in', { plugin: this.name, version, digest })
+		this.tell('info', 'plug-in loading', { plugin: this.name, version, digest })
 		this.next = new Generation(plugin, this.terms.rights, this.seating, this, this.now)
 		this.next.start()
 	}
--- a/tests/daemon.test.ts
+++ b/tests/daemon.test.ts
@@ -61,8 +61,8 @@
 		let leases = 0
 		let drained = 0
 		world.tell = (line) => {
-			if (/ lease over /.test(line)) leases++
-			if (/ draining .*"over"/.test(line)) drained++
+			if (/ agent lease expired /.test(line)) leases++
+			if (/ drain phase changed .*"over"/.test(line)) drained++
 		}
 		await world.play()
 		assert.deepEqual(world.invariants.violations, [])
@@ -118,7 +118,7 @@
 		})
 		const over: number[] = []
 		world.tell = (line) => {
-			const at = /^(\d+) \S+ draining .*"phase":"over"/.exec(line)
+			const at = /^(\d+) \S+ drain phase changed .*"phase":"over"/.exec(line)
 			if (at !== null) over.push(Number(at[1]))
 		}
 		await world.play()
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -72,7 +72,7 @@
 	const moved = new Set<string>()
 	const over = new Map<string, number>()
 	world.tell = (line) => {
-		const at = /^(\d+) \S+ (moving job|job over) .*"uid":"([^"]+)"/.exec(line)
+		const at = /^(\d+) \S+ (job migrating|job terminal) .*"uid":"([^"]+)"/.exec(line)
 		if (at === null) return
 		if (at[2] === 'job migrating') moved.add(at[3])
 		else if (!over.has(at[3])) over.set(at[3], Number(at[1]) / 1000)
--- a/tests/simulation.test.ts
+++ b/tests/simulation.test.ts
@@ -203,7 +203,7 @@
 	})
 	const seen = new Map<string, number>()
 	world.tell = (line) => {
-		const at = /(lease over|releasing) (.*)/.exec(line)
+		const at = /(agent lease expired|machines releasing) (.*)/.exec(line)
 		if (at !== null) seen.set(at[0], (seen.get(at[0]) ?? 0) + 1)
 	}
 	await world.play()
@@ -227,7 +227,7 @@
 	})
 	const rebuilt: number[] = []
 	world.tell = (line) => {
-		const at = /^(\d+) .* part is rebuilt .*"afterMs":(\d+)/.exec(line)
+		const at = /^(\d+) .* shard reconciled .*"afterMs":(\d+)/.exec(line)
 		if (at !== null && Number(at[1]) > 41_000) rebuilt.push(Number(at[2]))
 	}
 	await world.play()
@@ -250,7 +250,7 @@
 	const drained = new Set<string>()
 	const failed = new Map<string, number>()
 	world.tell = (line) => {
-		const machine = /draining a faulty machine .*"machine":"([^"]+)"/.exec(line)?.[1]
+		const machine = /faulty machine draining .*"machine":"([^"]+)"/.exec(line)?.[1]
 		if (machine !== undefined) drained.add(machine)
 		const uid = /task failed .*"task":"([^/]+)/.exec(line)?.[1]
 		if (uid !== undefined) failed.set(uid, (failed.get(uid) ?? 0) + 1)
@@ -306,7 +306,7 @@
 	})
 	const seen = new Map<string, number>()
 	world.tell = (line) => {
-		const event = /lease over|machines reach|workers can be reached again|handed back to ctl-0/.exec(
+		const event = /agent lease expired|machines reach|workers reachable again|handed back to ctl-0/.exec(
 			line,
 		)?.[0]
 		if (event !== undefined) seen.set(event, (seen.get(event) ?? 0) + 1)
@@ -341,7 +341,9 @@
 	})
 	const count = new Map<string, number>()
 	world.tell = (line) => {
-		const event = /^\d+ \S+ (machine is up|releasing|accepted|renting)/.exec(line)?.[1]
+		const event = /^\d+ \S+ (machine booted|machines releasing|job accepted|scale-out requested)/.exec(
+			line,
+		)?.[1]
 		if (event !== undefined) count.set(event, (count.get(event) ?? 0) + 1)
 	}
 	await world.play()
@@ -382,7 +384,7 @@
 		})
 		let doneAt = 0
 		world.tell = (line) => {
-			const at = /^(\d+) .* job over .*job-000701/.exec(line)
+			const at = /^(\d+) .* job terminal .*job-000701/.exec(line)
 			if (at !== null) doneAt = Number(at[1]) / 1000
 		}
 		await world.play()
@@ -409,7 +411,7 @@
 	const doneAt: number[] = []
 	let stopped = 0
 	world.tell = (line) => {
-		const at = /^(\d+) .* job over .*job-00072[12]/.exec(line)
+		const at = /^(\d+) .* job terminal .*job-00072[12]/.exec(line)
 		if (at !== null) doneAt.push(Number(at[1]) / 1000)
 		if (line.includes('preempting')) stopped++
 	}
