--- a/tests/simulation.test.ts
+++ b/tests/simulation.test.ts
@@ -413,7 +413,7 @@
 	world.tell = (line) => {
 		const at = /^(\d+) .* job terminal .*job-00072[12]/.exec(line)
 		if (at !== null) doneAt.push(Number(at[1]) / 1000)
-		if (line.includes('preempting')) stopped++
+		if (line.includes('tasks preempted')) stopped++
 	}
 	await world.play()
 	assert.deepEqual(world.invariants.violations, [])
