--- a/packages/cluster/src/jobs.ts
+++ b/packages/cluster/src/jobs.ts
@@ -1,5 +1,5 @@
 import type { CacheEntry, WatchCache } from '@heathroad/store'
-import type { CancelledJob } from './cancellations.js'
+import type { CancelledJob } from './cancellation-log.js'
 import { decodeTerminalPage, type TerminalJob, terminalJobRecord, toTerminalJob } from './pages.js'
 import { countRecordedDone, decodeAcceptedBatch, decodeJobRecord, type JobRecord, jobKey } from './records.js'
 
--- /dev/null
+++ b/packages/cluster/src/peer-client.ts
@@ -0,0 +1,18 @@
+/** Requests from one controller to another. */
+import { Effect } from 'effect'
+import type { MembershipContext } from './membership-context.js'
+import { PEER_REQUEST_TIMEOUT } from './membership-ratios.js'
+
+/** Sends a message to a peer. Succeeds with the body of its answer, or with null if there is none or it is an error. */
+export const postToPeer = (
+	{ httpClient, limits }: Pick<MembershipContext, 'httpClient' | 'limits'>,
+	address: string,
+	path: string,
+	body: unknown,
+): Effect.Effect<unknown> =>
+	httpClient.request(address, 'POST', path, body, limits.controllerLeaseMs * PEER_REQUEST_TIMEOUT).pipe(
+		Effect.match({
+			onFailure: () => null,
+			onSuccess: (answer) => (answer.status === 200 ? answer.body : null),
+		}),
+	)
--- a/tests/membership.test.ts
+++ b/tests/membership.test.ts
@@ -1,3 +1,4 @@
+/** Takeover promises, acquisitions that are applied late, and leadership without the records. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { Membership, type MembershipEvents } from '@heathroad/cluster'
@@ -9,153 +10,166 @@
 
 const settings = plainSettings('c-1', ['c-0', 'c-2'])
 
-/** c-1 of three, whose takes go unanswered. */
-const member = () => {
+/** Interval at which the service calls `detectStandstill`, in ms. */
+const TICK_MS = 250
+
+const noEvents: MembershipEvents = {
+	onShardAcquired: () => {},
+	onShardLost: () => {},
+	isQuiescent: () => true,
+	unreachableMachines: () => 0,
+	localStatus: () => ({
+		runningTasks: {},
+		ready: true,
+		exhaustedOffers: {},
+		quarantinedJobs: [],
+		ownerLookups: {},
+		partitionedShards: [],
+		teamUsage: {},
+		supportsArchive: false,
+	}),
+	onPeerStatus: () => {},
+	cancellationsSince: () => [],
+	applyCancellations: () => {},
+	log: () => {},
+}
+
+/** Controller c-1 of three, whose transactions are never answered. */
+const createMember = () => {
 	let now = 0
-	const takes: (readonly Condition[])[] = []
+	const transactions: (readonly Condition[])[] = []
 	const client = {
 		grantLease: () => Effect.succeed(7),
 		renewLease: () => Effect.void,
 		revokeLease: () => Effect.void,
 		watch: (revision: number) => Effect.succeed({ revision, log: [] }),
 		transact: (conditions: readonly Condition[]) => {
-			takes.push(conditions)
+			transactions.push(conditions)
 			return Effect.never
 		},
 	} as unknown as StoreClient
-	const events: MembershipEvents = {
-		onShardAcquired: () => {},
-		onShardLost: () => {},
-		isQuiescent: () => true,
-		unreachableMachines: () => 0,
-		localStatus: () => ({
-			runningTasks: {},
-			ready: true,
-			exhaustedOffers: {},
-			quarantinedJobs: [],
-			ownerLookups: {},
-			partitionedShards: [],
-			teamUsage: {},
-			supportsArchive: false,
-		}),
-		onPeerStatus: () => {},
-		cancellationsSince: () => [],
-		applyCancellations: () => {},
-		log: () => {},
-	}
 	const cache = new WatchCache(
 		(key) => {
-			if (key.startsWith('part/')) m.onShardKeyChanged(Number(key.slice(5)))
+			if (key.startsWith('part/')) membership.onShardKeyChanged(Number(key.slice('part/'.length)))
 		},
 		1,
 		() => now,
 	)
-	const caller: HttpClient = { request: () => Effect.never }
-	const m: Membership = new Membership(deriveLimits(settings), cache, client, caller, () => now, events)
-	/** Time passes as it does for a process that is looked at every quarter of a second, or that stands still. */
-	const pass = (ms: number, still = false) => {
+	const httpClient: HttpClient = { request: () => Effect.never }
+	const limits = deriveLimits(settings)
+	const membership: Membership = new Membership(limits, cache, client, httpClient, () => now, noEvents)
+	/** Advances the clock as for a process with regular ticks, or with one tick after a standstill. */
+	const advance = (ms: number, { standstill } = { standstill: false }) => {
 		for (const until = now + ms; now < until; ) {
-			now += still ? ms : Math.min(250, until - now)
-			m.detectStandstill()
+			now += standstill ? ms : Math.min(TICK_MS, until - now)
+			membership.detectStandstill()
 		}
 	}
-	return {
-		m,
-		mirror: cache,
-		client,
-		takes,
-		pass,
-		set: (key: string, data: unknown, modRevision: number) => cache.applyOwnWrite(key, data, modRevision),
-	}
+	const set = (key: string, data: unknown, modRevision: number) => cache.applyOwnWrite(key, data, modRevision)
+	return { membership, cache, client, transactions, advance, set }
 }
 
-const owner = (name: string) => ({ owner: name, life: `${name}:x` })
+const ownerRecord = (name: string) => ({ owner: name, life: `${name}:x` })
 
-test('when a member promises to leave a part alone', () => {
+test('when a member promises not to take over a shard', () => {
 	const cases: {
 		name: string
-		play: (w: ReturnType<typeof member>) => void
-		token?: number
-		want: boolean
+		arrange: (member: ReturnType<typeof createMember>) => void
+		fencingToken?: number
+		promises: boolean
 	}[] = [
 		{
-			name: 'it has not reached the state for a while, and knows the part as the asker says',
-			play: () => {},
-			want: true,
+			name: 'it has not reached the state service for a while, and knows the shard as the requester says',
+			arrange: () => {},
+			promises: true,
+		},
+		{
+			name: 'not if it reaches the state service',
+			arrange: (member) => member.membership.onStoreContact(true),
+			promises: false,
 		},
-		{ name: 'not if it reaches the state', play: (w) => w.m.onStoreContact(true), want: false },
 		{
-			name: 'not if it has only just resumed: it heard nothing because it stood still',
-			play: (w) => {
-				w.m.onStoreContact(true)
-				w.pass(8000, true)
+			name: 'not if it has only just resumed: it received nothing because it stood still',
+			arrange: (member) => {
+				member.membership.onStoreContact(true)
+				member.advance(8000, { standstill: true })
 			},
-			want: false,
+			promises: false,
 		},
-		{ name: 'not for a token that it does not know', play: () => {}, token: 8, want: false },
 		{
-			name: 'not for a part that another member has by now',
-			play: (w) => w.set('part/0', owner('c-2'), 12),
-			want: false,
+			name: 'not for a fencing token that it does not know',
+			arrange: () => {},
+			fencingToken: 8,
+			promises: false,
+		},
+		{
+			name: 'not for a shard that another member owns by now',
+			arrange: (member) => member.set('part/0', ownerRecord('c-2'), 12),
+			promises: false,
 		},
 	]
-	for (const c of cases) {
-		const w = member()
-		w.set('part/0', owner('c-0'), 9)
-		w.pass(20_000)
-		c.play(w)
-		const answer = w.m.handlePeerRequest('/peer/promise', {
+	for (const { name, arrange, fencingToken, promises } of cases) {
+		const member = createMember()
+		member.set('part/0', ownerRecord('c-0'), 9)
+		member.advance(20_000)
+		arrange(member)
+		const answer = member.membership.handlePeerRequest('/peer/promise', {
 			name: 'c-0',
-			owned: { 0: c.token ?? 9 },
+			owned: { 0: fencingToken ?? 9 },
 			epoch: 9,
 		})
-		assert.equal((answer as { promised: boolean }).promised, c.want, c.name)
+		assert.equal((answer as { promised: boolean }).promised, promises, name)
 	}
 })
 
-test('a take that goes unanswered can no longer be applied once its part had another owner', async () => {
-	const w = member()
-	w.set('last/0', owner('c-2'), 3)
-	w.mirror.revision = 3
-	w.pass(20_000)
-	await Effect.runPromise(w.mirror.linearizableRead(w.client))
-	// With a grant it takes what has been absent for long; then it sleeps until its next extend.
-	const keeping = Effect.runFork(w.m.maintainLease())
+/** Runs the lease's first step: it is granted, and the fiber sleeps until the renewal. */
+const grantLease = async (membership: Membership) => {
+	const fiber = Effect.runFork(membership.maintainLease())
 	await new Promise((done) => setImmediate(done))
-	keeping.interruptUnsafe()
-	const take = w.takes.find((t) => t.some((c) => c.key === `${KEY_PREFIX}part/0`))
-	if (take === undefined) assert.fail('it never tried to take the part')
-	// c-0 was quicker: both keys are at 9. c-0 loses the part again: part/0 is absent, as the late take demands.
+	fiber.interruptUnsafe()
+}
+
+test('an acquisition that goes unanswered can no longer be applied once its shard had another owner', async () => {
+	const member = createMember()
+	member.set('last/0', ownerRecord('c-2'), 3)
+	member.cache.revision = 3
+	member.advance(20_000)
+	await Effect.runPromise(member.cache.linearizableRead(member.client))
+	// With a lease it acquires a shard that has long been without an owner.
+	await grantLease(member.membership)
+	const acquisition = member.transactions.find((conditions) =>
+		conditions.some(({ key }) => key === `${KEY_PREFIX}part/0`),
+	)
+	if (acquisition === undefined) assert.fail('it never tried to acquire the shard')
+	// c-0 was quicker: both keys are at 9. c-0 loses the shard again: part/0 is absent, as the late acquisition demands.
 	const modRevisions: Record<string, number> = { [`${KEY_PREFIX}part/0`]: 0, [`${KEY_PREFIX}last/0`]: 9 }
 	assert.ok(
-		take.some((c) => c.modRevision !== modRevisions[c.key]),
-		'the late take would be applied under a promise',
+		acquisition.some(({ key, modRevision }) => modRevision !== modRevisions[key]),
+		'the late acquisition would be applied under a promise',
 	)
 })
 
-test('a grant that is extended is of no use without the records', async () => {
-	const w = member()
-	w.mirror.revision = 3
-	const keeping = Effect.runFork(w.m.maintainLease())
-	await new Promise((done) => setImmediate(done))
-	keeping.interruptUnsafe()
-	const { maxStalenessMs: staleMs, controllerLeaseMs: grantMs } = deriveLimits(settings)
-	const cases: [name: string, passMs: number, read: boolean, right: string][] = [
+test('a lease that is renewed gives no leadership without the records', async () => {
+	const member = createMember()
+	member.cache.revision = 3
+	await grantLease(member.membership)
+	const { maxStalenessMs, controllerLeaseMs } = deriveLimits(settings)
+	const cases: [name: string, passedMs: number, read: boolean, leadership: string][] = [
 		['nothing was ever read', 0, false, 'none'],
 		['the records were read', 0, true, 'lease'],
-		['lately', grantMs * 0.9, false, 'lease'],
+		['lately', controllerLeaseMs * 0.9, false, 'lease'],
 	]
-	for (const [name, passMs, read, right] of cases) {
-		w.pass(passMs)
-		if (read) await Effect.runPromise(w.mirror.linearizableRead(w.client))
-		assert.equal(w.m.leadership(), right, name)
+	for (const [name, passedMs, read, leadership] of cases) {
+		member.advance(passedMs)
+		if (read) await Effect.runPromise(member.cache.linearizableRead(member.client))
+		assert.equal(member.membership.leadership(), leadership, name)
 	}
-	// As if the extend went through all the time: nothing else than the records' age ends the right.
-	Object.assign(w.m, { leaseValidUntil: Number.POSITIVE_INFINITY })
-	w.pass(staleMs - grantMs * 0.9 - 1)
-	assert.equal(w.m.leadership(), 'lease', 'just before')
-	w.pass(2)
-	assert.equal(w.m.leadership(), 'none', 'too long ago')
-	await Effect.runPromise(w.mirror.linearizableRead(w.client))
-	assert.equal(w.m.leadership(), 'lease', 'read again')
+	// As if every renewal succeeded: nothing but the records' age ends the leadership.
+	Object.assign(member.membership.lease, { validUntil: Number.POSITIVE_INFINITY })
+	member.advance(maxStalenessMs - controllerLeaseMs * 0.9 - 1)
+	assert.equal(member.membership.leadership(), 'lease', 'just before')
+	member.advance(2)
+	assert.equal(member.membership.leadership(), 'none', 'too long ago')
+	await Effect.runPromise(member.cache.linearizableRead(member.client))
+	assert.equal(member.membership.leadership(), 'lease', 'read again')
 })
