--- a/packages/cluster/src/field-names.ts
+++ b/packages/cluster/src/field-names.ts
@@ -4,11 +4,11 @@
  */
 
 /** Pairs of a field's name in the code and its name in stored or sent data. */
-export type FieldNames = Readonly<Record<string, string>>
+type FieldNames = Readonly<Record<string, string>>
 
 type Fields = Record<string, unknown>
 
-const renamed = (fields: Fields, names: ReadonlyMap<string, string>): Fields => {
+const renameFields = (fields: Fields, names: ReadonlyMap<string, string>): Fields => {
 	const result: Fields = {}
 	for (const [name, value] of Object.entries(fields)) result[names.get(name) ?? name] = value
 	return result
@@ -28,11 +28,11 @@
 	// Records are read far more often than they change: each stored object is decoded once.
 	const decoded = new WeakMap<object, T>()
 	return {
-		encode: (record) => renamed(record as Fields, toStored),
+		encode: (record) => renameFields(record as Fields, toStored),
 		decode: (stored) => {
-			const known = decoded.get(stored)
-			if (known !== undefined) return known
-			const record = renamed(stored, toCode) as T
+			const cached = decoded.get(stored)
+			if (cached !== undefined) return cached
+			const record = renameFields(stored, toCode) as T
 			decoded.set(stored, record)
 			return record
 		},
--- a/packages/cluster/src/handoff.ts
+++ b/packages/cluster/src/handoff.ts
@@ -11,7 +11,8 @@
 	MIN_OWNER_LOOKUPS,
 	UNREACHABLE_PER_LOOKUP,
 } from './membership-ratios.js'
-import { encodeShardOwner, shardKey } from './records.js'
+import { shardKey } from './record-keys.js'
+import { encodeShardOwner } from './records.js'
 import { type OwnedShard, ownerMutations, type ShardOwnership } from './shard-ownership.js'
 
 /** The parts of the membership that handoffs depend on. */
--- a/packages/cluster/src/peer-status.ts
+++ b/packages/cluster/src/peer-status.ts
@@ -1,4 +1,4 @@
-/** What a controller tells its peers of itself, several times within the time of a lease, and the message that carries it. */
+/** The status that controllers send each other several times within the duration of a lease, and its message. */
 import { isMap } from '@heathroad/wire'
 import { fieldNameCodec } from './field-names.js'
 
@@ -6,24 +6,27 @@
 export interface PeerStatus {
 	name: string
 	incarnation: string
+	/** null: it holds no lease */
 	leaseId: number | null
+	/** For how long it has run without standing still. */
 	uptimeMs: number
+	/** May it own more shards? */
 	ready: boolean
-	/** tasks running, by job, of the parts it owns */
+	/** Job -> how many of its tasks run. */
 	runningTasks: Record<string, number>
-	/** offers of the cloud found empty: ms for which nobody need ask */
+	/** Instance offer without capacity -> ms for which no controller need try it. */
 	exhaustedOffers: Record<string, number>
-	/** jobs of the parts it owns that fail wherever they are tried */
+	/** Jobs that fail wherever they are tried. */
 	quarantinedJobs: string[]
-	/** what teams with a guarantee use in the parts it owns */
+	/** Team with a guarantee -> what it uses. */
 	teamUsage: Record<string, { cpus: number; gpus: number }>
-	/** parts it owns most of whose machines it does not hear */
+	/** Shards most of whose machines it receives no heartbeats from. */
 	unreachableShards: number[]
-	/** parts it owns most of whose machines are out of its reach, those being rebuilt included */
+	/** Shards most of whose machines are unreachable, including shards that are being rebuilt after a takeover. */
 	partitionedShards: number[]
-	/** machines of parts it does not own that reported to it lately, by part */
+	/** Shard that it does not own -> machines of the shard that lately asked it for their owner. */
 	ownerLookups: Record<string, number>
-	/** may the records move to a form that archives jobs which are over? */
+	/** Can it read the format of the records that has an archive? */
 	supportsArchive: boolean
 }
 
@@ -57,6 +60,6 @@
 		!Array.isArray(message.unheard)
 	)
 		return null
-	// Peers of an older version, during a rolling restart, say nothing of partitioned shards and know no archive.
+	// Peers of an older version, during a rolling restart, send no partitioned shards and have no archive.
 	return { ...{ partitionedShards: [], supportsArchive: false }, ...statusCodec.decode(message) }
 }
--- a/packages/cluster/src/records.ts
+++ b/packages/cluster/src/records.ts
@@ -1,52 +1,39 @@
+/** Records that controllers keep at the state service, and the codecs of their stored forms. */
 import { isMap, type JobSpec } from '@heathroad/wire'
 import { fieldNameCodec } from './field-names.js'
+import { progressChunkKey } from './record-keys.js'
 
-/** Keys below the root, and what they hold. */
-export const shardKey = (shardId: number): string => `part/${shardId}`
-export const lastOwnerKey = (shardId: number): string => `last/${shardId}`
-export const machineGroupKey = (name: string): string => `fleet/${name}`
-export const jobKey = (uid: string): string => `job/${uid}`
-export const progressChunkKey = (uid: string, c: number): string => `done/${uid}/${c}`
-/** final states of a part's jobs that became durable lately: each of them changes this key */
-export const terminalPageKey = (shardId: number): string => `over/${shardId}`
-/** those that were there before, as of an revision */
-export const closedPageKey = (shardId: number, revision: number): string => `over/${shardId}/${revision}`
-/** the form of the records, and the latest turn; without it they are of the first form */
-export const HISTORY_KEY = 'history'
-export const CATALOG_KEY = 'catalog'
-/** a name of the whole installation that nobody else has, once something needs it */
-export const INSTALLATION_KEY = 'installation'
-
+/** The owner of a shard. */
 export interface ShardOwnerRecord {
 	owner: string
-	/** tells two lives of one controller apart */
+	/** Tells two runs of one controller apart. */
 	incarnation: string
 }
 
 /**
- * Machines of one part that came together: a rental's, or those claimed at one time. One key for many machines,
- * since the state service counts changes and a machine would need three of its own.
+ * Machines of one shard that were rented or registered together. One key holds many machines, since the state service
+ * limits changes per second and a machine with a key of its own would need three of them.
  */
 export interface MachineGroupRecord {
 	shardId: number
 	machineType: string
 	zone: string
 	spot: boolean
-	/** machines asked for under the record's name while the answer is not recorded yet; else 0 */
+	/** Machines requested under the group's name whose rental is not recorded yet; else 0. */
 	requestedCount: number
-	/** machine -> its address from when it may have had start commands; null before */
+	/** Machine -> its address, once it may have received start commands; null before. */
 	addresses: Record<string, string | null>
 }
 
-/** An unfinished job, or the compact form of its final state that is kept for ever. */
+/** A job that is not over, or the compact form of one that is, which is kept for ever. */
 export interface JobRecord {
 	shardId: number
 	spec?: JobSpec
-	/** time of day of its acceptance, in ms */
+	/** Wall-clock time of its acceptance, in ms. */
 	acceptedAtMs?: number
-	/** done tasks among the first CHUNK, as flat ranges; further chunks have keys of their own */
+	/** Done tasks among the first `TASKS_PER_CHUNK`, as flat ranges: from, to, from, to; further chunks have keys of their own. */
 	doneRanges?: number[]
-	/** checks that have to release it before its first start, settled when it was accepted */
+	/** Admission checks that have to release it before its first start, fixed at its acceptance. */
 	requiredChecks?: readonly string[]
 	finalState?: 'done' | 'aborted'
 	taskCount?: number
@@ -54,17 +41,18 @@
 	resources?: { team: string; cpus: number; gpus: number; ramGb: number }
 }
 
-/** The newest form of the records that this program knows. */
+/** The newest format of the records that this program knows. */
 export const RECORD_FORMAT = 2
 
+/** The format of the records. */
 export interface HistoryRecord {
 	format: number
 	archivalEpoch: number
-	/** may there be final states in keys of their own, as the first form has them? */
+	/** May there be terminal states in keys of their own, as in the first format? */
 	legacy: boolean
 }
 
-/** Decodes the record of the form; null: it is absent or malformed. */
+/** Decodes the record of the format; null: it is absent or malformed. */
 export const decodeHistoryRecord = (data: unknown): HistoryRecord | null =>
 	isMap(data) && typeof data.form === 'number' && typeof data.turn === 'number'
 		? { format: data.form, archivalEpoch: data.turn, legacy: data.legacy !== false }
@@ -98,18 +86,21 @@
 /** A job's record as it was accepted: it names the whole specification. */
 export type AcceptedJobRecord = JobRecord & { spec: JobSpec }
 
+const hasSpec = (record: JobRecord | null): record is AcceptedJobRecord => record?.spec !== undefined
+
+/** Batches by their stored form: they are read far more often than they change. */
 const acceptedBatches = new WeakMap<object, AcceptedJobRecord[]>()
 
 /** Decodes a batch of jobs accepted together, in one key of their own until each has one; null: absent or malformed. */
 export const decodeAcceptedBatch = (data: unknown): AcceptedJobRecord[] | null => {
 	if (!isMap(data) || !Array.isArray(data.jobs)) return null
-	const known = acceptedBatches.get(data)
-	if (known !== undefined) return known
+	const cached = acceptedBatches.get(data)
+	if (cached !== undefined) return cached
 	const records: AcceptedJobRecord[] = []
 	for (const item of data.jobs) {
 		const record = decodeJobRecord(item)
-		if (record?.spec === undefined) return null
-		records.push(record as AcceptedJobRecord)
+		if (!hasSpec(record)) return null
+		records.push(record)
 	}
 	acceptedBatches.set(data, records)
 	return records
@@ -148,28 +139,26 @@
 export const decodeMachineGroup = (data: unknown): MachineGroupRecord | null =>
 	isMap(data) && typeof data.part === 'number' && isMap(data.hosts) ? machineGroupCodec.decode(data) : null
 
-/** Tasks that an unfinished job's records call done; those of a wide array have keys of their own. */
-export const countRecordedDone = (uid: string, record: JobRecord, read: (key: string) => unknown): number => {
+/** How many tasks flat ranges hold; anything but an array holds none. */
+const countInRanges = (flatRanges: unknown): number => {
+	if (!Array.isArray(flatRanges)) return 0
 	let count = 0
-	const add = (flat: unknown) => {
-		if (!Array.isArray(flat)) return
-		for (let i = 0; i + 1 < flat.length; i += 2) count += Number(flat[i + 1]) - Number(flat[i])
-	}
-	add(record.doneRanges)
-	for (let c = 1; c * TASKS_PER_CHUNK < (record.spec?.tasks ?? 0); c++) add(read(progressChunkKey(uid, c)))
+	for (let index = 0; index + 1 < flatRanges.length; index += 2)
+		count += Number(flatRanges[index + 1]) - Number(flatRanges[index])
 	return count
 }
 
-/** Done tasks of a job that is over, for display. */
-export const terminalDoneCount = ({
-	finalState: final,
-	taskCount: tasks,
-	doneCount: count,
-}: JobRecord): number => (final === 'done' ? tasks : count) ?? 0
-
-/** A stable number for a name, to spread unclaimed machines and limited teams over parts. */
-export const hashName = (name: string): number => {
-	let h = 2166136261
-	for (let i = 0; i < name.length; i++) h = Math.imul(h ^ name.charCodeAt(i), 16777619)
-	return h >>> 0
+/**
+ * Tasks that the records of a job that is not over call done. Those of a wide job have keys of their own, which `read`
+ * gets the content of.
+ */
+export const countRecordedDone = (uid: string, record: JobRecord, read: (key: string) => unknown): number => {
+	let count = countInRanges(record.doneRanges)
+	for (let chunk = 1; chunk * TASKS_PER_CHUNK < (record.spec?.tasks ?? 0); chunk++)
+		count += countInRanges(read(progressChunkKey(uid, chunk)))
+	return count
 }
+
+/** Done tasks of a job that is over, for display. */
+export const terminalDoneCount = ({ finalState, taskCount, doneCount }: JobRecord): number =>
+	(finalState === 'done' ? taskCount : doneCount) ?? 0
--- a/packages/cluster/src/shard-ownership.ts
+++ b/packages/cluster/src/shard-ownership.ts
@@ -14,7 +14,8 @@
 	PROMISE_MARGIN_MS,
 	PROMISE_OF_FORMER_INCARNATION,
 } from './membership-ratios.js'
-import { decodeShardOwner, encodeShardOwner, lastOwnerKey, shardKey } from './records.js'
+import { lastOwnerKey, shardKey } from './record-keys.js'
+import { decodeShardOwner, encodeShardOwner } from './records.js'
 
 /** A shard that this controller owns. */
 export interface OwnedShard {
--- a/packages/cluster/src/takeover-promises.ts
+++ b/packages/cluster/src/takeover-promises.ts
@@ -16,7 +16,8 @@
 	PROMISE_REFUSED,
 	type TakeoverPromiseRequest,
 } from './promise-messages.js'
-import { decodeShardOwner, shardKey } from './records.js'
+import { shardKey } from './record-keys.js'
+import { decodeShardOwner } from './records.js'
 import type { ShardOwnership } from './shard-ownership.js'
 import type { StandstillDetector } from './standstill-detector.js'
 
