--- a/tests/moves-model.test.ts
+++ b/tests/moves-model.test.ts
@@ -1,40 +1,45 @@
+/**
+ * Model of a job that moves to another shard. Controller 0 owns shard 0 with a job that it moves to shard 1, which
+ * controller 1 owns; controller 2 may take over shard 0. Transactions are applied at any later moment or never, answers
+ * arrive or are lost, and each controller sees changes at any later moment. The transaction is the service's own. A task must
+ * never run in two shards, and what was cancelled stays cancelled.
+ */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import {
 	type AcceptedJobRecord,
-	decodeJobRecord,
-	decodeShardOwner,
 	encodeAcceptedBatch,
 	HISTORY_KEY,
-	JobRegistry,
+	jobKey,
 	moveJobToShard,
 	shardKey,
 } from '@heathroad/cluster'
 import { worthMigrating } from '@heathroad/policy'
-import { KEY_PREFIX, type TransactionContent, WatchCache } from '@heathroad/store'
+import { KEY_PREFIX, type TransactionContent } from '@heathroad/store'
 import { arrayJob, explore } from '@heathroad/testkit'
-
-// Controller 0 owns part 0 with a job that it moves to part 1, which controller 1 owns; controller 2 may take part 0
-// from it. Writes are applied at any later moment or never, answers come or are lost, and each controller sees changes
-// when it does. The write is the service's own. A task must never run in two parts, and what was cancelled stays so.
+import {
+	applyTransaction,
+	knownRecords,
+	ownerNumber,
+	type Records,
+	refreshView,
+	type View,
+	withoutCondition,
+} from './models/records.js'
 
 const JOB = 'job-000001'
-type Keys = Record<string, { data: unknown; modRevision: number }>
-type Result = 'ok' | 'conflict'
-interface State {
-	revision: number
-	keys: Keys
-	views: { revision: number; keys: Keys }[]
-	/** the mover's writes under way, each with the number of its try */
-	pending: { n: number; content: TransactionContent }[]
-	/** the answer on its way back to it; those to earlier tries nobody waits for any more */
-	answer: Result | null
-	moving: boolean
-	tries: number
-	running: [boolean, boolean]
-	takes: number
-	cancelled: boolean
-}
+/** Moves that controller 0 begins, and transactions that it submits for them. */
+const MAX_MOVES = 2
+const MAX_TRIES = 3
+const CONTROLLERS = [0, 1, 2] as const
+const SHARDS = [0, 1] as const
+/** Who may start the task in which shard. */
+const POSSIBLE_STARTS = [
+	{ shardId: 0, controller: 0 },
+	{ shardId: 0, controller: 2 },
+	{ shardId: 1, controller: 1 },
+] as const
+
 type Fault =
 	| 'ownership'
 	| "job's own key"
@@ -42,183 +47,217 @@
 	| 'proof after a lost answer'
 	| 'none'
 
-const record: AcceptedJobRecord = { shardId: 0, spec: arrayJob(JOB, { tasks: 1 }), acceptedAtMs: 0 }
-const keyOf = (s: State) => JSON.stringify(s)
-
-const books = new WeakMap<Keys, { mirror: WatchCache; book: JobRegistry }>()
-const read = ({ revision, keys }: { revision: number; keys: Keys }) => {
-	const known = books.get(keys)
-	if (known !== undefined) return known
-	const cache: WatchCache = new WatchCache(
-		(key, entry) => {
-			if (key.startsWith('intake/')) book.onBatchAccepted(entry?.data)
-			const own = key.startsWith('job/') ? decodeJobRecord(entry?.data) : null
-			if (own !== null) book.onJobRecordChanged(JOB, own)
-		},
-		0,
-		() => 0,
-	)
-	const book = new JobRegistry(cache)
-	// What a controller wrote itself it knows before all that came earlier.
-	const all = Object.entries(keys).map(([key, e]) => ({ key: KEY_PREFIX + key, ...e }))
-	cache.replaceAll(Math.max(revision, ...all.map((e) => e.modRevision)), all)
-	const made = { mirror: cache, book }
-	books.set(keys, made)
-	return made
+interface State {
+	revision: number
+	records: Records
+	views: View[]
+	/** Transactions of controller 0 in flight, each with the number of its try. */
+	pending: { tryNumber: number; content: TransactionContent }[]
+	/** Answer on its way to controller 0; it no longer waits for those to earlier tries. */
+	answer: 'ok' | 'conflict' | null
+	moving: boolean
+	tries: number
+	/** Does the task run, by shard? */
+	running: [boolean, boolean]
+	takeovers: number
+	cancelled: boolean
 }
 
-const model = (fault: Fault) => {
-	const keys: Keys = {
+type Action =
+	| { kind: 'move' | 'receive answer' | 'lose answer' | 'cancel' | 'take over' }
+	| { kind: 'apply'; index: number }
+	| { kind: 'see changes'; controller: number }
+	| { kind: 'start'; shardId: number; controller: number }
+	| { kind: 'end'; shardId: number }
+
+const acceptedJob: AcceptedJobRecord = { shardId: 0, spec: arrayJob(JOB, { tasks: 1 }), acceptedAtMs: 0 }
+
+const createStart = (): State => {
+	const records: Records = {
 		[shardKey(0)]: { data: { owner: '0', life: 'a' }, modRevision: 1 },
 		[shardKey(1)]: { data: { owner: '1', life: 'b' }, modRevision: 2 },
 		[HISTORY_KEY]: { data: { form: 2, turn: 1, legacy: false }, modRevision: 3 },
-		'intake/a-1': { data: encodeAcceptedBatch([record]), modRevision: 4 },
+		'intake/a-1': { data: encodeAcceptedBatch([acceptedJob]), modRevision: 4 },
 	}
-	const start: State = {
+	return {
 		revision: 4,
-		keys,
-		views: [0, 1, 2].map(() => ({ revision: 4, keys })),
+		records,
+		views: CONTROLLERS.map(() => ({ revision: 4, records })),
 		pending: [],
 		answer: null,
 		moving: false,
 		tries: 0,
 		running: [false, false],
-		takes: 0,
+		takeovers: 0,
 		cancelled: false,
 	}
-	const owner = (all: Keys, part: number) => Number(decodeShardOwner(all[shardKey(part)]?.data)?.owner ?? -1)
-	const content = (s: State): TransactionContent | null => {
-		const { mirror: cache, book } = read(s.views[0])
-		const known = book.get(JOB)
-		if (known?.record.shardId !== 0 || known.record.finalState !== undefined) return null
-		const owning = { key: KEY_PREFIX + shardKey(0), modRevision: 1 }
-		const made = moveJobToShard(cache, owning, JOB, known, 1)
-		const without = fault === 'ownership' ? shardKey(0) : fault === "job's own key" ? `job/${JOB}` : null
-		return { ...made, conditions: made.conditions.filter((c) => c.key !== KEY_PREFIX + without) }
-	}
-	const mayStart = (s: State, part: number, c: number): boolean => {
-		const v = s.views[c]
-		const token = v.keys[shardKey(part)]?.modRevision ?? 0
-		// The right to act ends before anybody else can have taken the part.
-		if (owner(s.keys, part) !== c || owner(v.keys, part) !== c || s.running[part]) return false
-		if (fault !== 'wait for changes before the take' && v.revision < token) return false
-		return !(c === 0 && s.moving) && read(v).book.get(JOB)?.record.shardId === part
-	}
-	const starts = [
-		[0, 0],
-		[0, 2],
-		[1, 1],
-	] as const
-	const seen = (s: State, c: number): State['views'] =>
-		s.views.map((v, i) => (i === c ? { revision: s.revision, keys: s.keys } : v))
-	const sent = (s: State): State => {
-		const n = s.tries + 1
-		return {
-			...s,
-			tries: n,
-			moving: true,
-			answer: null,
-			pending: [...s.pending, { n, content: content(s)! }],
-		}
-	}
-	/** What the mover does after a read that proves what the records say. */
-	const settled = (s: State, conflict: boolean): State => {
-		const now = { ...s, views: seen(s, 0), answer: null }
-		return conflict || content(now) === null ? { ...now, moving: false } : sent(now)
-	}
-	return {
-		start,
-		*actions(s: State): Iterable<string> {
-			if (!s.moving && s.tries < 2 && !s.running[0] && owner(s.keys, 0) === 0 && content(s) !== null)
-				yield 'move'
-			for (const i of s.pending.keys()) yield `applied ${i}`
-			if (s.answer !== null) yield 'answer'
-			if (s.moving && s.tries < 3) yield 'lost'
-			if (!s.cancelled) yield 'cancel'
-			if (s.takes < 1 && owner(s.keys, 0) === 0) yield 'take'
-			for (const c of [0, 1, 2]) if (s.views[c].revision < s.revision) yield `sees ${c}`
-			for (const [part, c] of starts) if (mayStart(s, part, c)) yield `start ${part} ${c}`
-			for (const part of [0, 1]) if (s.running[part]) yield `ends ${part}`
-		},
-		step(s: State, action: string): State {
-			const [verb, a, b] = action.split(' ')
-			if (verb === 'move') return sent(s)
-			if (verb === 'applied') {
-				const { n, content: one } = s.pending[Number(a)]
-				const answer = (r: Result) => (s.moving && n === s.tries ? r : s.answer)
-				const pending = s.pending.filter((_, i) => i !== Number(a))
-				const modRevision = (key: string) => s.keys[key.slice(KEY_PREFIX.length)]?.modRevision ?? 0
-				if (one.conditions.some((c) => modRevision(c.key) !== c.modRevision))
-					return { ...s, pending, answer: answer('conflict') }
-				const revision = s.revision + 1
-				const after = { ...s.keys }
-				for (const c of one.mutations)
-					if ('set' in c) after[c.set.slice(KEY_PREFIX.length)] = { data: c.data, modRevision: revision }
-				return { ...s, pending, revision, keys: after, answer: answer('ok') }
-			}
-			// Carried out, it is known; refused, a read shows by what.
-			if (verb === 'answer') return settled(s, true)
-			if (verb === 'lost')
-				return fault === 'proof after a lost answer'
-					? { ...s, answer: null, moving: false }
-					: settled(s, false)
-			if (verb === 'sees') return { ...s, views: seen(s, Number(a)) }
-			if (verb === 'cancel') {
-				// Made by whoever knows the latest; told to its user, it stays.
-				const revision = s.revision + 1
-				const part = read(s).book.get(JOB)!.record.shardId
-				const key = `job/${JOB}`
-				const final = { data: { part, final: 'aborted', tasks: 1, count: 0 }, modRevision: revision }
-				return { ...s, revision, cancelled: true, keys: { ...s.keys, [key]: final } }
-			}
-			if (verb === 'take') {
-				const revision = s.revision + 1
-				const mine = { data: { owner: '2', life: 'c' }, modRevision: revision }
-				const views = s.views.map((v, i) =>
-					i === 2 ? { ...v, keys: { ...v.keys, [shardKey(0)]: mine } } : v,
-				)
-				return { ...s, revision, takes: 1, keys: { ...s.keys, [shardKey(0)]: mine }, views }
-			}
-			const running: [boolean, boolean] = [...s.running]
-			running[Number(a)] = verb === 'start' && b !== undefined
-			return { ...s, running }
-		},
-		wrong: (s: State): string | null => {
-			if (s.running[0] && s.running[1]) return 'the task runs in both parts'
-			const open = read(s).book.get(JOB)?.record.finalState === undefined
-			return s.cancelled && open ? 'a cancelled job is open again' : null
-		},
-		key: keyOf,
+}
+
+/** The transaction by which controller 0 moves the job; null: it has none to move. */
+const moveTransaction = (state: State, fault: Fault): TransactionContent | null => {
+	const { cache, registry } = knownRecords(state.views[0])
+	const job = registry.get(JOB)
+	if (job?.record.shardId !== 0 || job.record.finalState !== undefined) return null
+	const ownership = { key: KEY_PREFIX + shardKey(0), modRevision: 1 }
+	const content = moveJobToShard(cache, ownership, JOB, job, 1)
+	if (fault === 'ownership') return withoutCondition(content, shardKey(0))
+	if (fault === "job's own key") return withoutCondition(content, jobKey(JOB))
+	return content
+}
+
+const mayStart = (state: State, shardId: number, controller: number, fault: Fault): boolean => {
+	const view = state.views[controller]
+	const fencingToken = view.records[shardKey(shardId)]?.modRevision ?? 0
+	// The leadership ends before anybody else can have taken over the shard.
+	const leads =
+		ownerNumber(state.records, shardId) === controller && ownerNumber(view.records, shardId) === controller
+	if (!leads || state.running[shardId]) return false
+	if (fault !== 'wait for changes before the take' && view.revision < fencingToken) return false
+	if (controller === 0 && state.moving) return false
+	return knownRecords(view).registry.get(JOB)?.record.shardId === shardId
+}
+
+const mayMove = (state: State, fault: Fault): boolean =>
+	!state.moving &&
+	state.tries < MAX_MOVES &&
+	!state.running[0] &&
+	ownerNumber(state.records, 0) === 0 &&
+	moveTransaction(state, fault) !== null
+
+function* possibleActions(state: State, fault: Fault): Iterable<Action> {
+	if (mayMove(state, fault)) yield { kind: 'move' }
+	for (const index of state.pending.keys()) yield { kind: 'apply', index }
+	if (state.answer !== null) yield { kind: 'receive answer' }
+	if (state.moving && state.tries < MAX_TRIES) yield { kind: 'lose answer' }
+	if (!state.cancelled) yield { kind: 'cancel' }
+	if (state.takeovers < 1 && ownerNumber(state.records, 0) === 0) yield { kind: 'take over' }
+	for (const controller of CONTROLLERS)
+		if (state.views[controller].revision < state.revision) yield { kind: 'see changes', controller }
+	for (const { shardId, controller } of POSSIBLE_STARTS)
+		if (mayStart(state, shardId, controller, fault)) yield { kind: 'start', shardId, controller }
+	for (const shardId of SHARDS) if (state.running[shardId]) yield { kind: 'end', shardId }
+}
+
+const submitMove = (state: State, content: TransactionContent): State => {
+	const tryNumber = state.tries + 1
+	const pending = [...state.pending, { tryNumber, content }]
+	return { ...state, tries: tryNumber, moving: true, answer: null, pending }
+}
+
+/** What controller 0 does after a read that proves what the records say. */
+const afterRead = (state: State, fault: Fault, { retry }: { retry: boolean }): State => {
+	const proven = { ...state, views: refreshView(state.views, 0, state), answer: null }
+	const content = retry ? moveTransaction(proven, fault) : null
+	return content === null ? { ...proven, moving: false } : submitMove(proven, content)
+}
+
+const applyPending = (state: State, index: number): State => {
+	const { tryNumber, content } = state.pending[index]
+	const isAwaited = state.moving && tryNumber === state.tries
+	const pending = state.pending.filter((_, other) => other !== index)
+	const revision = state.revision + 1
+	const records = applyTransaction(state.records, content, revision)
+	if (records === null) return { ...state, pending, answer: isAwaited ? 'conflict' : state.answer }
+	return { ...state, pending, revision, records, answer: isAwaited ? 'ok' : state.answer }
+}
+
+/** Made by whoever knows the latest records; once its user is informed, it stays. */
+const cancelJob = (state: State): State => {
+	const revision = state.revision + 1
+	const part = knownRecords(state).registry.get(JOB)?.record.shardId
+	const cancelled = { data: { part, final: 'aborted', tasks: 1, count: 0 }, modRevision: revision }
+	return { ...state, revision, cancelled: true, records: { ...state.records, [jobKey(JOB)]: cancelled } }
+}
+
+const takeOver = (state: State): State => {
+	const revision = state.revision + 1
+	const owner = { [shardKey(0)]: { data: { owner: '2', life: 'c' }, modRevision: revision } }
+	const views = state.views.map((view, index) =>
+		index === 2 ? { ...view, records: { ...view.records, ...owner } } : view,
+	)
+	return { ...state, revision, takeovers: 1, records: { ...state.records, ...owner }, views }
+}
+
+const withRunning = (state: State, shardId: number, runs: boolean): State => {
+	const running: [boolean, boolean] = [...state.running]
+	running[shardId] = runs
+	return { ...state, running }
+}
+
+const nextState = (state: State, action: Action, fault: Fault): State => {
+	switch (action.kind) {
+		case 'move':
+			return afterMoveDecision(state, fault)
+		case 'apply':
+			return applyPending(state, action.index)
+		case 'receive answer':
+			// If it was applied, that is known; if it was refused, a read shows why.
+			return afterRead(state, fault, { retry: false })
+		case 'lose answer':
+			if (fault === 'proof after a lost answer') return { ...state, answer: null, moving: false }
+			return afterRead(state, fault, { retry: true })
+		case 'see changes':
+			return { ...state, views: refreshView(state.views, action.controller, state) }
+		case 'cancel':
+			return cancelJob(state)
+		case 'take over':
+			return takeOver(state)
+		case 'start':
+			return withRunning(state, action.shardId, true)
+		case 'end':
+			return withRunning(state, action.shardId, false)
 	}
 }
 
+const afterMoveDecision = (state: State, fault: Fault): State => {
+	const content = moveTransaction(state, fault)
+	if (content === null) throw new Error('the model moved a job that controller 0 does not have')
+	return submitMove(state, content)
+}
+
+const violation = (state: State): string | null => {
+	if (state.running[0] && state.running[1]) return 'the task runs in both shards'
+	const isOpen = knownRecords(state).registry.get(JOB)?.record.finalState === undefined
+	return state.cancelled && isOpen ? 'a cancelled job is open again' : null
+}
+
+const createModel = (fault: Fault) => ({
+	start: createStart(),
+	actions: (state: State) => possibleActions(state, fault),
+	step: (state: State, action: Action) => nextState(state, action, fault),
+	wrong: violation,
+	key: (state: State) => JSON.stringify(state),
+})
+
 for (const fault of [
 	'none',
 	'ownership',
 	"job's own key",
 	'wait for changes before the take',
 	'proof after a lost answer',
-] as const)
-	test(`a job moves to another part, every history: ${fault === 'none' ? 'none is forbidden' : `without the ${fault} one is`}`, () => {
-		const { states, fault: found } = explore(model(fault), 400_000)
+] as const) {
+	const expected = fault === 'none' ? 'none is forbidden' : `without the ${fault} one is`
+	test(`a job moves to another shard, every history: ${expected}`, () => {
+		const { states, fault: found } = explore(createModel(fault), 400_000)
 		if (fault === 'none') assert.deepEqual(found, null)
 		else assert.ok(found !== null, `${states} states, and no fault`)
 		assert.ok(fault !== 'none' || states > 1000, `${states} states`)
 	})
+}
 
 test('when moving a waiting job is worth it', () => {
-	const room = (cpus: number, work: number, partitioned = false) => ({ cpus, work, partitioned })
-	const rows: [
-		string,
-		Parameters<typeof worthMigrating>[0],
-		Parameters<typeof worthMigrating>[1],
-		boolean,
+	const load = (cpus: number, work: number, partitioned = false) => ({ cpus, work, partitioned })
+	const cases: [
+		name: string,
+		from: Parameters<typeof worthMigrating>[0],
+		to: Parameters<typeof worthMigrating>[1],
+		moves: boolean,
 	][] = [
-		['from machines out of reach to any that are not', room(800, 100, true), room(800, 9000), true],
-		['never to machines out of reach', room(8, 9000), room(800, 0, true), false],
-		['not between parts nearly alike', room(800, 9000), room(800, 5000), false],
-		['where it waits a small part of the time', room(80, 9000), room(800, 9000), true],
-		['not to a part that has as much to do and nothing to do it with', room(0, 9000), room(0, 9000), false],
+		['from unreachable machines to any that are not', load(800, 100, true), load(800, 9000), true],
+		['never to unreachable machines', load(8, 9000), load(800, 0, true), false],
+		['not between shards nearly alike', load(800, 9000), load(800, 5000), false],
+		['where it waits a small part of the time', load(80, 9000), load(800, 9000), true],
+		['not to a shard that has as much to do and nothing to do it with', load(0, 9000), load(0, 9000), false],
 	]
-	for (const [name, from, to, moves] of rows) assert.equal(worthMigrating(from, to, 8), moves, name)
+	for (const [name, from, to, moves] of cases) assert.equal(worthMigrating(from, to, 8), moves, name)
 })
--- a/tests/release-model.test.ts
+++ b/tests/release-model.test.ts
@@ -1,143 +1,197 @@
+/**
+ * Model of releases over a takeover. Controller 0 owns shard 0 with two jobs that wait for an admission check, and marks
+ * those as released that its check lets pass; controller 1 may take over the shard, and its check may decide otherwise.
+ * Transactions are applied at any later moment or never, answers are lost, and each controller sees changes at any later
+ * moment. The transaction is the service's own.
+ */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import {
-	decodeReleasePage,
-	decodeShardOwner,
-	markReleased,
-	releasePageKey,
-	shardKey,
-} from '@heathroad/cluster'
+import { decodeReleasePage, markReleased, releasePageKey, shardKey } from '@heathroad/cluster'
 import { KEY_PREFIX, type TransactionContent } from '@heathroad/store'
 import { explore } from '@heathroad/testkit'
-
-// Controller 0 owns part 0 with two jobs that wait for a check, and marks those released that the check lets go;
-// controller 1 may take the part from it, and its check may say otherwise. Writes are applied at any later moment or never,
-// answers are lost, each sees changes when it does. The write is the service's own.
+import {
+	applyTransaction,
+	ownerNumber,
+	type Records,
+	refreshView,
+	type View,
+	withoutCondition,
+} from './models/records.js'
 
 const JOBS = ['job-000001', 'job-000002'] as const
-type Keys = Record<string, { data: unknown; modRevision: number }>
+const CONTROLLERS = [0, 1] as const
+const MAX_TRANSACTIONS = 3
+
+type Pair<A> = [A, A]
+type Fault = 'none' | 'ownership' | "page's modRevision"
+
 interface State {
 	revision: number
-	keys: Keys
-	views: { revision: number; keys: Keys }[]
-	pending: { by: number; content: TransactionContent }[]
-	/** jobs that each controller was told to release, and those that controller 1 was told to hold */
-	passed: [string[], string[]]
+	records: Records
+	views: View[]
+	pending: TransactionContent[]
+	/** Jobs that each controller's check has let pass. */
+	passed: Pair<string[]>
+	/** Jobs that controller 1's check has held. */
 	held: string[]
-	/** has each a write whose answer it waits for? */
-	waits: [boolean, boolean]
-	sent: number
-	taken: boolean
+	/** Does the controller wait for an answer? */
+	waiting: Pair<boolean>
+	transactionCount: number
+	takenOver: boolean
 	started: string[]
 }
-type Fault = 'none' | 'ownership' | "page's modRevision"
 
-const marks = (keys: Keys): string[] => decodeReleasePage(keys[releasePageKey(0, 0)]?.data) ?? []
-const owner = (keys: Keys): number => Number(decodeShardOwner(keys[shardKey(0)]?.data)?.owner)
+type Action =
+	| { kind: 'pass' | 'hold' | 'start'; controller: number; job: string }
+	| { kind: 'submit' | 'lose answer' | 'see changes'; controller: number }
+	| { kind: 'apply'; index: number }
+	| { kind: 'take over' }
+
+const releasedJobs = (records: Records): string[] =>
+	decodeReleasePage(records[releasePageKey(0, 0)]?.data) ?? []
+const fencingToken = (view: View) => view.records[shardKey(0)].modRevision
+const owns = (state: State, controller: number) =>
+	ownerNumber(state.views[controller].records, 0) === controller
+/** Does the controller own the shard and know all changes from before its acquisition? */
+const ownsWithRecords = (state: State, controller: number) =>
+	owns(state, controller) && state.views[controller].revision >= fencingToken(state.views[controller])
+const unmarked = (state: State, controller: number) =>
+	state.passed[controller].filter((job) => !releasedJobs(state.views[controller].records).includes(job))
 
-const model = (fault: Fault) => {
-	const keys: Keys = { [shardKey(0)]: { data: { owner: '0', life: 'a' }, modRevision: 1 } }
-	const start: State = {
+const replaced = <A>(pair: Pair<A>, controller: number, value: A): Pair<A> =>
+	controller === 0 ? [value, pair[1]] : [pair[0], value]
+
+const createStart = (): State => {
+	const records: Records = { [shardKey(0)]: { data: { owner: '0', life: 'a' }, modRevision: 1 } }
+	return {
 		revision: 1,
-		keys,
-		views: [0, 1].map(() => ({ revision: 1, keys })),
+		records,
+		views: CONTROLLERS.map(() => ({ revision: 1, records })),
 		pending: [],
 		passed: [[], []],
 		held: [],
-		waits: [false, false],
-		sent: 0,
-		taken: false,
+		waiting: [false, false],
+		transactionCount: 0,
+		takenOver: false,
 		started: [],
 	}
-	const token = (s: State, c: number) => s.views[c].keys[shardKey(0)].modRevision
-	const owns = (s: State, c: number) => owner(s.views[c].keys) === c
-	/** knows all that came before its take */
-	const knows = (s: State, c: number) => owns(s, c) && s.views[c].revision >= token(s, c)
-	const open = (s: State, c: number) => s.passed[c].filter((j) => !marks(s.views[c].keys).includes(j))
-	const content = (s: State, c: number): TransactionContent => {
-		const view = s.views[c].keys
-		const known = { get: (k: string) => view[k], modRevision: (k: string) => view[k]?.modRevision ?? 0 }
-		const made = markReleased(known, 0, open(s, c), () => true, { room: 1000, ops: 1 }).content
-		const owning = { key: KEY_PREFIX + shardKey(0), modRevision: token(s, c) }
-		const without =
-			fault === 'ownership' ? shardKey(0) : fault === "page's modRevision" ? releasePageKey(0, 0) : ''
-		return { ...made, conditions: [owning, ...made.conditions].filter((x) => x.key !== KEY_PREFIX + without) }
+}
+
+const releaseTransaction = (state: State, controller: number, fault: Fault): TransactionContent => {
+	const view = state.views[controller]
+	const reader = {
+		get: (key: string) => view.records[key],
+		modRevision: (key: string) => view.records[key]?.modRevision ?? 0,
 	}
-	const seen = (s: State, c: number) =>
-		s.views.map((v, i) => (i === c ? { revision: s.revision, keys: s.keys } : v))
-	const two = <A>(pair: [A, A], c: number, value: A): [A, A] =>
-		c === 0 ? [value, pair[1]] : [pair[0], value]
-	return {
-		start,
-		*actions(s: State): Iterable<string> {
-			for (const c of [0, 1]) {
-				if (!owns(s, c)) continue
-				for (const j of JOBS) {
-					const said = s.passed[c].includes(j) || (c === 1 && s.held.includes(j))
-					const asked = knows(s, c) && !marks(s.views[c].keys).includes(j)
-					if (asked && !said) yield `released ${c} ${j}`
-					if (asked && !said && c === 1) yield `hold ${c} ${j}`
-					const marked = marks(s.views[c].keys).includes(j)
-					// The right to act ends before anybody else can have taken the part.
-					if (knows(s, c) && owner(s.keys) === c && marked && !s.started.includes(j)) yield `start ${c} ${j}`
-				}
-				if (!s.waits[c] && open(s, c).length > 0 && s.sent < 3) yield `send ${c}`
-			}
-			for (const i of s.pending.keys()) yield `applied ${i}`
-			for (const c of [0, 1]) {
-				if (s.waits[c]) yield `lost ${c}`
-				if (s.views[c].revision < s.revision) yield `sees ${c}`
-			}
-			if (!s.taken) yield 'take'
-		},
-		step(s: State, action: string): State {
-			const [verb, a, job] = action.split(' ')
-			const c = Number(a)
-			if (verb === 'released') return { ...s, passed: two(s.passed, c, [...s.passed[c], job].sort()) }
-			if (verb === 'hold') return { ...s, held: [...s.held, job].sort() }
-			if (verb === 'start') return { ...s, started: [...s.started, job].sort() }
-			if (verb === 'sees') return { ...s, views: seen(s, c) }
-			// No answer: a read shows what the records say, and what is still open goes again.
-			if (verb === 'lost') return { ...s, waits: two(s.waits, c, false), views: seen(s, c) }
-			if (verb === 'send')
-				return {
-					...s,
-					sent: s.sent + 1,
-					waits: two(s.waits, c, true),
-					pending: [...s.pending, { by: c, content: content(s, c) }],
-				}
-			const revision = s.revision + 1
-			if (verb === 'take') {
-				const data = { owner: '1', life: 'b' }
-				const own = { [shardKey(0)]: { data, modRevision: revision } }
-				// Its own take it knows before all that came earlier.
-				const views = s.views.map((v, i) => (i === 1 ? { ...v, keys: { ...v.keys, ...own } } : v))
-				return { ...s, revision, taken: true, views, keys: { ...s.keys, ...own } }
-			}
-			const { content: one } = s.pending[c]
-			const pending = s.pending.filter((_, i) => i !== c)
-			const modRevision = (key: string) => s.keys[key.slice(KEY_PREFIX.length)]?.modRevision ?? 0
-			if (one.conditions.some((x) => modRevision(x.key) !== x.modRevision)) return { ...s, pending }
-			const after = { ...s.keys }
-			for (const x of one.mutations)
-				if ('set' in x) after[x.set.slice(KEY_PREFIX.length)] = { data: x.data, modRevision: revision }
-			return { ...s, revision, pending, keys: after }
-		},
-		wrong: (s: State): string | null => {
-			if (s.started.some((j) => !marks(s.keys).includes(j)))
-				return 'a job that has started would be held again'
-			const undone = s.held.find((j) => marks(s.keys).includes(j))
-			return undone === undefined ? null : 'released, though its owner was told to hold it'
-		},
-		key: (s: State) => JSON.stringify(s),
+	const limits = { room: 1000, ops: 1 }
+	const { content } = markReleased(reader, 0, unmarked(state, controller), () => true, limits)
+	const ownership = { key: KEY_PREFIX + shardKey(0), modRevision: fencingToken(view) }
+	const complete = { ...content, conditions: [ownership, ...content.conditions] }
+	if (fault === 'ownership') return withoutCondition(complete, shardKey(0))
+	if (fault === "page's modRevision") return withoutCondition(complete, releasePageKey(0, 0))
+	return complete
+}
+
+function* jobActions(state: State, controller: number, job: string): Iterable<Action> {
+	const isMarked = releasedJobs(state.views[controller].records).includes(job)
+	const isDecided = state.passed[controller].includes(job) || (controller === 1 && state.held.includes(job))
+	if (ownsWithRecords(state, controller) && !isMarked && !isDecided) {
+		yield { kind: 'pass', controller, job }
+		if (controller === 1) yield { kind: 'hold', controller, job }
 	}
+	// The leadership ends before anybody else can have taken over the shard.
+	const leads = ownsWithRecords(state, controller) && ownerNumber(state.records, 0) === controller
+	if (leads && isMarked && !state.started.includes(job)) yield { kind: 'start', controller, job }
 }
 
-for (const fault of ['none', 'ownership', "page's modRevision"] as const)
-	test(`releases over a takeover, every history: ${fault === 'none' ? 'none is forbidden' : `without the ${fault} one is`}`, () => {
-		const { states, fault: found } = explore(model(fault), 400_000)
+function* possibleActions(state: State): Iterable<Action> {
+	for (const controller of CONTROLLERS) {
+		if (!owns(state, controller)) continue
+		for (const job of JOBS) yield* jobActions(state, controller, job)
+		const maySubmit = !state.waiting[controller] && state.transactionCount < MAX_TRANSACTIONS
+		if (maySubmit && unmarked(state, controller).length > 0) yield { kind: 'submit', controller }
+	}
+	for (const index of state.pending.keys()) yield { kind: 'apply', index }
+	for (const controller of CONTROLLERS) {
+		if (state.waiting[controller]) yield { kind: 'lose answer', controller }
+		if (state.views[controller].revision < state.revision) yield { kind: 'see changes', controller }
+	}
+	if (!state.takenOver) yield { kind: 'take over' }
+}
+
+const submitTransaction = (state: State, controller: number, fault: Fault): State => ({
+	...state,
+	transactionCount: state.transactionCount + 1,
+	waiting: replaced(state.waiting, controller, true),
+	pending: [...state.pending, releaseTransaction(state, controller, fault)],
+})
+
+const applyPending = (state: State, index: number): State => {
+	const pending = state.pending.filter((_, other) => other !== index)
+	const revision = state.revision + 1
+	const records = applyTransaction(state.records, state.pending[index], revision)
+	return records === null ? { ...state, pending } : { ...state, revision, pending, records }
+}
+
+const takeOver = (state: State): State => {
+	const revision = state.revision + 1
+	const owner = { [shardKey(0)]: { data: { owner: '1', life: 'b' }, modRevision: revision } }
+	// Controller 1 knows its own acquisition before all that came earlier.
+	const views = state.views.map((view, index) =>
+		index === 1 ? { ...view, records: { ...view.records, ...owner } } : view,
+	)
+	return { ...state, revision, takenOver: true, views, records: { ...state.records, ...owner } }
+}
+
+const nextState = (state: State, action: Action, fault: Fault): State => {
+	switch (action.kind) {
+		case 'pass': {
+			const passed = [...state.passed[action.controller], action.job].sort()
+			return { ...state, passed: replaced(state.passed, action.controller, passed) }
+		}
+		case 'hold':
+			return { ...state, held: [...state.held, action.job].sort() }
+		case 'start':
+			return { ...state, started: [...state.started, action.job].sort() }
+		case 'see changes':
+			return { ...state, views: refreshView(state.views, action.controller, state) }
+		case 'lose answer': {
+			// A read shows what the records say, and jobs that are not marked are submitted again.
+			const views = refreshView(state.views, action.controller, state)
+			return { ...state, waiting: replaced(state.waiting, action.controller, false), views }
+		}
+		case 'submit':
+			return submitTransaction(state, action.controller, fault)
+		case 'take over':
+			return takeOver(state)
+		case 'apply':
+			return applyPending(state, action.index)
+	}
+}
+
+const violation = (state: State): string | null => {
+	const released = releasedJobs(state.records)
+	if (state.started.some((job) => !released.includes(job)))
+		return 'a job that has started would be held again'
+	const isUndone = state.held.some((job) => released.includes(job))
+	return isUndone ? 'released, though its owner was told to hold it' : null
+}
+
+const createModel = (fault: Fault) => ({
+	start: createStart(),
+	actions: possibleActions,
+	step: (state: State, action: Action) => nextState(state, action, fault),
+	wrong: violation,
+	key: (state: State) => JSON.stringify(state),
+})
+
+for (const fault of ['none', 'ownership', "page's modRevision"] as const) {
+	const expected = fault === 'none' ? 'none is forbidden' : `without the ${fault} one is`
+	test(`releases over a takeover, every history: ${expected}`, () => {
+		const { states, fault: found } = explore(createModel(fault), 400_000)
 		if (fault === 'none') {
 			assert.deepEqual(found, null)
 			assert.ok(states > 1000, `${states} states`)
 		} else assert.ok(found !== null, `${states} states, and no fault`)
 	})
+}
