--- /dev/null
+++ b/packages/controller/src/attempt-tracker.ts
@@ -0,0 +1,115 @@
+/** Follows the reported states of attempts and accounts for each attempt's end exactly once. */
+import type { ReportedTask } from '@heathroad/wire'
+import type { CrashLoopDetector } from './faults.js'
+import type { Attempt, JobRun } from './model.js'
+import type { ProgressWriter } from './progress.js'
+import type { ShardState } from './state.js'
+
+/** Heartbeat intervals for which a machine or a job that rejected a start gets no new one. */
+const REJECTED_START_PAUSE_HEARTBEATS = 2
+
+/** Applies what heartbeats report of single attempts to the attempts, their jobs and their machines. */
+export class AttemptTracker {
+	constructor(
+		private readonly state: ShardState,
+		private readonly crashLoops: CrashLoopDetector,
+		private readonly progress: ProgressWriter,
+	) {}
+
+	/** Takes over the reported state of an attempt that is on its machine. */
+	update(attempt: Attempt, reported: ReportedTask, now: number): void {
+		const { job, machine } = attempt
+		const isRunning = reported.state === 'running'
+		if (attempt.startedAt === null && (isRunning || reported.state === 'pulling')) attempt.startedAt = now
+		if (isRunning && attempt.state !== 'running' && job !== null)
+			this.state.recordCachedImage(machine, job.spec)
+		attempt.state = reported.state
+		if (isRunning && job?.spec.kind === 'daemon' && this.hasOutlivedLease(attempt, now))
+			job.outlivedLease = true
+		if (reported.state !== 'ended' || attempt.accountedFor) return
+		this.onEnded(attempt, reported, now)
+	}
+
+	private hasOutlivedLease({ startedAt }: Attempt, now: number): boolean {
+		return startedAt !== null && now - startedAt > this.state.config.limits.agentLeaseMs
+	}
+
+	private onEnded(attempt: Attempt, reported: ReportedTask, now: number): void {
+		const { job, machine } = attempt
+		attempt.exitReason = reported.exitReason
+		const spent = this.state.attemptCost(attempt)
+		this.state.freeResourcesOf(machine, attempt)
+		if (reported.exitReason === 'done') {
+			this.crashLoops.onTaskSucceeded(machine)
+			if (job !== null && reported.taskIndex < job.spec.tasks) this.onTaskSucceeded(job, attempt, spent, now)
+			return
+		}
+		if (job === null || job.isTerminal) return
+		this.onUnsuccessfulEnd(job, attempt, now)
+		if (!attempt.orphaned) job.budget.restart(attempt.uid, attempt.budgetShare, spent)
+		this.state.requeueTask(attempt)
+	}
+
+	private onTaskSucceeded(job: JobRun, attempt: Attempt, spent: number, now: number): void {
+		if (job.isTerminal || job.spec.kind === 'daemon') {
+			this.state.requeueTask(attempt)
+			return
+		}
+		const isFirstSuccess = !job.hasSucceeded
+		if (!job.doneTasks.add(attempt.taskIndex)) return
+		job.readyTasks.delete(attempt.taskIndex)
+		if (isFirstSuccess) this.crashLoops.onJobSucceeded(job)
+		job.budget.finish(attempt.budgetShare, spent)
+		if (attempt.startedAt !== null)
+			this.state.observeRunTime(
+				job.spec,
+				(now - attempt.startedAt) / 1000 + (job.checkpointedS.get(attempt.taskIndex) ?? 0),
+			)
+		job.checkpointedS.delete(attempt.taskIndex)
+		this.withdrawOtherPlacement(job, attempt.taskIndex)
+		if (job.doneTasks.size >= job.spec.tasks) this.progress.write(job)
+	}
+
+	/** The task is done: another attempt of it can only be planned, or is of no use any more. */
+	private withdrawOtherPlacement(job: JobRun, taskIndex: number): void {
+		const other = job.placements.get(taskIndex)
+		if (other === undefined) return
+		if (other.state === 'planned') this.state.removeAttempt(other.machine, other)
+		else other.orphaned = true
+	}
+
+	private onUnsuccessfulEnd(job: JobRun, attempt: Attempt, now: number): void {
+		const { machine } = attempt
+		const pauseUntil = now + this.state.config.limits.heartbeatMs * REJECTED_START_PAUSE_HEARTBEATS
+		switch (attempt.exitReason) {
+			case 'halted':
+				if (job.spec.checkpointS > 0 && attempt.startedAt !== null)
+					job.checkpointedS.set(
+						attempt.taskIndex,
+						(job.checkpointedS.get(attempt.taskIndex) ?? 0) + (now - attempt.startedAt) / 1000,
+					)
+				return
+			case 'error':
+				this.crashLoops.onTaskFailed(machine, job, attempt, now)
+				return
+			case 'no_room':
+			case 'in_use':
+				// The machine's recorded load is wrong: nothing starts there until its next heartbeats have corrected it.
+				machine.cordonedUntil = pauseUntil
+				this.logRejectedStart(attempt)
+				return
+			case 'no_such':
+				job.retryNotBefore = pauseUntil
+				this.logRejectedStart(attempt)
+				return
+		}
+	}
+
+	private logRejectedStart(attempt: Attempt): void {
+		this.state.ports.log('info', 'task start rejected', {
+			task: attempt.taskName,
+			machine: attempt.machine.id,
+			cause: attempt.exitReason,
+		})
+	}
+}
--- /dev/null
+++ b/packages/controller/src/heartbeat-reconciler.ts
@@ -0,0 +1,128 @@
+/** Reconciles a machine's heartbeat with the attempts that the shard has on record for that machine. */
+import type { Heartbeat, ReportedTask } from '@heathroad/wire'
+import type { AttemptTracker } from './attempt-tracker.js'
+import type { AdmissionGate } from './gate.js'
+import { isNewerHeartbeat } from './heartbeat-order.js'
+import type { Attempt, JobRun, Machine } from './model.js'
+import type { ShardState } from './state.js'
+import type { TakeoverReconciler } from './takeover-reconciler.js'
+
+/** How a heartbeat reached the controller. */
+export interface HeartbeatOrigin {
+	/**
+	 * The machine sent the heartbeat after it had the response to its previous one, so start commands in that response
+	 * are reflected. False for the heartbeat in the answer to a directly sent command.
+	 */
+	followsResponse: boolean
+}
+
+/** Brings the shard's state in line with heartbeats. Heartbeats that are not newer than the latest are ignored. */
+export class HeartbeatReconciler {
+	constructor(
+		private readonly state: ShardState,
+		private readonly gate: AdmissionGate,
+		private readonly attempts: AttemptTracker,
+		private readonly takeover: TakeoverReconciler,
+	) {}
+
+	/** Takes over what a heartbeat reports of its machine and the tasks there. */
+	reconcile(machine: Machine, heartbeat: Heartbeat, origin: HeartbeatOrigin): void {
+		if (!isNewerHeartbeat(heartbeat, machine)) return
+		machine.agentEpoch = heartbeat.agentEpoch
+		machine.heartbeatSequence = heartbeat.sequence
+		const now = this.state.ports.now()
+		this.updatePreemptionDeadline(machine, heartbeat.preemptionNoticeS, now)
+		const reportedByKey = new Map(heartbeat.tasks.map((task) => [`${task.taskName}#${task.attempt}`, task]))
+		// Before the listed ones: an attempt that followed a missing one here would seem to be one too many (incident 26).
+		this.removeMissingAttempts(machine, reportedByKey, origin)
+		for (const [key, task] of reportedByKey) {
+			const attempt = machine.attempts.get(key) ?? this.addUnknownAttempt(machine, task, key)
+			this.attempts.update(attempt, task, now)
+		}
+		if (!machine.reconciled && heartbeat.fencingToken >= machine.fencingToken) {
+			machine.reconciled = true
+			this.takeover.confirm(machine)
+		}
+		this.state.recomputeFreeResources(machine)
+	}
+
+	private updatePreemptionDeadline(machine: Machine, noticeS: number | null, now: number): void {
+		if (noticeS === null) {
+			machine.preemptionDeadline = null
+			return
+		}
+		const deadline = now + noticeS * 1000
+		if (machine.preemptionDeadline !== null) {
+			machine.preemptionDeadline = Math.min(machine.preemptionDeadline, deadline)
+			return
+		}
+		machine.preemptionDeadline = deadline
+		machine.drainReason = 'spot notice'
+		this.state.ports.log('info', 'preemption notice', { machine: machine.id, noticeS })
+	}
+
+	private removeMissingAttempts(
+		machine: Machine,
+		reportedByKey: ReadonlyMap<string, ReportedTask>,
+		{ followsResponse }: HeartbeatOrigin,
+	): void {
+		for (const attempt of [...machine.attempts.values()]) {
+			if (reportedByKey.has(attempt.key) || attempt.state === 'planned') continue
+			// A direct command's answer may have overtaken the response that carries the start.
+			if (attempt.state === 'sent' && !followsResponse) continue
+			if (attempt.state !== 'sent' && !attempt.accountedFor)
+				this.state.ports.log('debug', 'task disappeared', {
+					task: attempt.taskName,
+					machine: machine.id,
+					state: attempt.state,
+				})
+			this.state.removeAttempt(machine, attempt)
+		}
+	}
+
+	/** Records an attempt that this owner did not start: a former owner's, or one that must not be there. */
+	private addUnknownAttempt(machine: Machine, task: ReportedTask, key: string): Attempt {
+		this.gate.onTaskSeen(task.uid)
+		const job = this.state.jobs.get(task.uid) ?? null
+		const record = job === null ? this.state.ports.job(task.uid)?.record : undefined
+		// The task is planned elsewhere although it is here: the plan is withdrawn.
+		const other = job?.placements.get(task.taskIndex)
+		if (other?.state === 'planned' && task.state !== 'ended') this.state.removeAttempt(other.machine, other)
+		const isUseful = job !== null && this.needsAttempt(job, task.taskIndex)
+		const need = job?.spec ?? record?.resources ?? { cpus: 0, gpus: 0, ramGb: 0, team: '' }
+		const attempt: Attempt = {
+			key,
+			taskName: task.taskName,
+			uid: task.uid,
+			machine,
+			taskIndex: task.taskIndex,
+			attempt: task.attempt,
+			job,
+			state: task.state,
+			exitReason: null,
+			accountedFor: false,
+			orphaned: !isUseful,
+			stopGracePeriodS: null,
+			startedAt: null,
+			budgetShare: 0,
+			resources: { cpus: need.cpus, gpus: need.gpus, ramGb: need.ramGb, team: need.team },
+		}
+		if (isUseful) {
+			job.readyTasks.delete(task.taskIndex)
+			attempt.budgetShare = job.budget.start(task.uid)
+		}
+		this.state.addAttempt(machine, attempt)
+		return attempt
+	}
+
+	/** May an attempt that was found on a machine become the one attempt of its task? */
+	private needsAttempt(job: JobRun, taskIndex: number): boolean {
+		return (
+			!job.isTerminal &&
+			taskIndex < job.spec.tasks &&
+			!job.doneTasks.has(taskIndex) &&
+			!job.placements.has(taskIndex) &&
+			(!job.isReconciled || job.readyTasks.has(taskIndex))
+		)
+	}
+}
--- /dev/null
+++ b/packages/controller/src/job-lifecycle.ts
@@ -0,0 +1,147 @@
+/** Life cycle of a shard's jobs: intake, terminal states, cancellation and moves to other shards. */
+import { type JobRecord, progressChunkKey, TASKS_PER_CHUNK } from '@heathroad/cluster'
+import { RangeSet } from '@heathroad/policy'
+import { type Command, type Heartbeat, type JobSpec, MAX_COMMANDS_PER_RESPONSE } from '@heathroad/wire'
+import type { AdmissionGate } from './gate.js'
+import { createBudgetLedger } from './job-budget.js'
+import { JobRun, type Machine } from './model.js'
+import type { Scheduler } from './planner.js'
+import type { ScaleOut } from './renter.js'
+import type { ShardState } from './state.js'
+
+type FinalState = NonNullable<JobRecord['finalState']>
+
+/** The other parts of a shard that a job's life cycle involves. */
+export interface JobLifecycleParts {
+	gate: AdmissionGate
+	scaleOut: ScaleOut
+	scheduler: Scheduler
+	/** takes over a heartbeat that came in the answer to a kill command */
+	reconcile(machine: Machine, heartbeat: Heartbeat): void
+}
+
+/** Keeps `ShardState.jobs` in line with the jobs' records. */
+export class JobLifecycle {
+	constructor(
+		private readonly state: ShardState,
+		private readonly parts: JobLifecycleParts,
+	) {}
+
+	/** See `Shard.onJobChanged`. */
+	onJobChanged(uid: string, record: JobRecord, isReconciled: boolean): void {
+		const { gate } = this.parts
+		const job = this.state.jobs.get(uid)
+		if (record.shardId !== this.state.shardId) {
+			gate.drop(uid)
+			if (job !== undefined) this.onMovedAway(job)
+			return
+		}
+		if (record.finalState !== undefined) {
+			gate.drop(uid)
+			if (job !== undefined && !job.isTerminal) this.close(job, record.finalState)
+			return
+		}
+		if (job !== undefined || record.spec === undefined) return
+		if (!this.state.ports.isPendingRelease(uid, record)) {
+			gate.drop(uid)
+			this.take(record.spec, record, isReconciled)
+		} else if (!gate.has(uid)) gate.hold(record.spec, record)
+	}
+
+	/** A job that waited for admission checks may start, or is shown to have started. */
+	onReleased(uid: string): void {
+		const record = this.state.ports.job(uid)?.record
+		if (
+			record?.spec === undefined ||
+			record.shardId !== this.state.shardId ||
+			record.finalState !== undefined
+		)
+			return
+		if (!this.state.jobs.has(uid)) this.take(record.spec, record, this.state.reconciled)
+	}
+
+	/** See `Shard.applyCancellation`. */
+	onCancelled(uid: string): void {
+		this.parts.gate.drop(uid)
+		const job = this.state.jobs.get(uid)
+		if (job !== undefined && !job.isTerminal) this.close(job, 'aborted')
+	}
+
+	private take(spec: JobSpec, record: JobRecord, isReconciled: boolean): void {
+		const { uid } = spec
+		const { ports, config } = this.state
+		const offers = this.parts.scaleOut.offers(spec, false)
+		const budget = createBudgetLedger(spec, offers, config.tuning.budgetMix)
+		const job = new JobRun(spec, record.acceptedAtMs ?? 0, budget, isReconciled)
+		job.doneTasks = this.readDoneTasks(spec, record)
+		job.durableDoneTasks = job.doneTasks.copy()
+		job.lastWrittenAt = ports.now()
+		job.arrivedAt = job.lastWrittenAt
+		job.wasQuarantined = ports.wasQuarantined(uid)
+		if (isReconciled) {
+			job.readyTasks = RangeSet.full(spec.tasks)
+			job.readyTasks.deleteAll(job.doneTasks)
+		}
+		this.state.jobs.set(uid, job)
+		this.state.queueDirty = true
+		if (isReconciled) this.parts.scheduler.placeTasks(this.state.machines.values())
+	}
+
+	/** Done tasks: those of the first chunk are in the job's record, the others in keys of their own. */
+	private readDoneTasks(spec: JobSpec, record: JobRecord): RangeSet {
+		const doneTasks = new RangeSet(record.doneRanges ?? [])
+		for (let chunk = 1; chunk * TASKS_PER_CHUNK < spec.tasks; chunk++) {
+			const bounds = this.state.ports.entry(progressChunkKey(spec.uid, chunk))?.data
+			if (!Array.isArray(bounds)) continue
+			const firstTask = chunk * TASKS_PER_CHUNK
+			for (let i = 0; i + 1 < bounds.length; i += 2)
+				doneTasks.addRange(firstTask + Number(bounds[i]), firstTask + Number(bounds[i + 1]))
+		}
+		return doneTasks
+	}
+
+	private close(job: JobRun, finalState: FinalState): void {
+		job.isTerminal = true
+		job.readyTasks = new RangeSet()
+		this.withdrawPlans(job)
+		this.state.queueDirty = true
+		this.state.ports.log('info', 'job terminal', { uid: job.spec.uid, how: finalState })
+		if (finalState === 'aborted') this.killRunningTasks(job)
+		if (job.placements.size === 0) this.state.jobs.delete(job.spec.uid)
+	}
+
+	/** The job is another shard's from now on, and nothing of it was on any machine here when that was decided. */
+	private onMovedAway(job: JobRun): void {
+		this.withdrawPlans(job)
+		for (const attempt of job.placements.values()) attempt.orphaned = true
+		this.state.jobs.delete(job.spec.uid)
+		this.state.queueDirty = true
+	}
+
+	private withdrawPlans(job: JobRun): void {
+		for (const attempt of [...job.placements.values()])
+			if (attempt.state === 'planned') this.state.removeAttempt(attempt.machine, attempt)
+	}
+
+	/** Sends kill commands to the machines directly: their next heartbeats may be a while off. */
+	private killRunningTasks(job: JobRun): void {
+		const commandsByMachine = new Map<Machine, Command[]>()
+		for (const { machine, taskName, attempt } of job.placements.values()) {
+			const commands = commandsByMachine.get(machine) ?? []
+			commands.push({ verb: 'kill', taskName, attempt, gracePeriodS: 0 })
+			commandsByMachine.set(machine, commands)
+		}
+		for (const [machine, commands] of commandsByMachine) {
+			if (machine.address === null || !machine.reconciled) continue
+			this.state.ports.sendCommands(
+				machine.address,
+				machine.fencingToken,
+				machine.agentEpoch,
+				commands.slice(0, MAX_COMMANDS_PER_RESPONSE),
+				(status, heartbeat) => {
+					if (status === 200 && heartbeat !== null) this.parts.reconcile(machine, heartbeat)
+				},
+			)
+		}
+	}
+}
--- /dev/null
+++ b/packages/controller/src/job-queue.ts
@@ -0,0 +1,78 @@
+/** The order in which a shard's jobs are served. */
+import type { Config } from '@heathroad/config'
+import { orderRank, startBounds } from '@heathroad/policy'
+import type { JobRun } from './model.js'
+import type { RunTimeEstimator } from './run-time-estimator.js'
+import type { TeamUsage } from './team-usage.js'
+
+/** Quarantined jobs come after all others: ranks of those are not negative. */
+const QUARANTINED_RANK = -1
+
+/** What the order of jobs depends on. */
+export interface JobQueueInputs {
+	jobs: ReadonlyMap<string, JobRun>
+	config: Config
+	teams: TeamUsage
+	runTimes: RunTimeEstimator
+	/** time of day in ms */
+	wallClockMs(): number
+}
+
+/** Open jobs by team guarantee, rank and age. The order is computed anew only when it is needed and marked as dirty. */
+export class JobQueue {
+	/** the order has to be computed anew */
+	isDirty = true
+	private ordered: readonly JobRun[] = []
+
+	constructor(private readonly inputs: JobQueueInputs) {}
+
+	/** Seconds since the job was accepted, by any owner. */
+	ageS(job: JobRun): number {
+		return (this.inputs.wallClockMs() - job.acceptedAtMs) / 1000
+	}
+
+	/** Open jobs in the order in which they are served: those within their team's guarantee first. */
+	inOrder(): readonly JobRun[] {
+		if (!this.isDirty) return this.ordered
+		this.isDirty = false
+		const queue: { job: JobRun; isGuaranteed: boolean }[] = []
+		for (const job of this.inputs.jobs.values()) {
+			if (job.isTerminal || !job.isReconciled) continue
+			this.updateRank(job)
+			queue.push({ job, isGuaranteed: this.inputs.teams.isWithinGuarantee(job.spec) })
+		}
+		queue.sort(
+			(a, b) =>
+				Number(b.isGuaranteed) - Number(a.isGuaranteed) ||
+				b.job.rank - a.job.rank ||
+				a.job.acceptedAtMs - b.job.acceptedAtMs,
+		)
+		this.ordered = queue.map(({ job }) => job)
+		return this.ordered
+	}
+
+	private updateRank(job: JobRun): void {
+		const objectives = this.inputs.config.settings.deployment.objectives ?? []
+		job.startBounds = startBounds(job.spec, this.inputs.runTimes.estimateS(job.spec), objectives)
+		job.rank = job.isQuarantined
+			? QUARANTINED_RANK
+			: orderRank(job.spec.priority, this.ageS(job), job.startBounds)
+	}
+
+	/** Jobs with tasks that may start now, in order. */
+	*waiting(now: number): Iterable<JobRun> {
+		for (const job of this.inOrder())
+			if (job.readyTasks.size > 0 && !job.isTerminal && !job.migrating && job.retryNotBefore <= now) yield job
+	}
+
+	/** Waiting jobs that are not quarantined: for these, room is made and machines are rented. */
+	*waitingHealthy(now: number): Iterable<JobRun> {
+		for (const job of this.waiting(now)) if (!job.isQuarantined) yield job
+	}
+
+	/** Does any healthy job wait? */
+	hasWaiting(now: number): boolean {
+		for (const _job of this.waitingHealthy(now)) return true
+		return false
+	}
+}
--- /dev/null
+++ b/packages/controller/src/machine-adopter.ts
@@ -0,0 +1,52 @@
+/** Takes unregistered machines, which report but stand in no record, into a shard. */
+import { encodeMachineGroup, machineGroupKey } from '@heathroad/cluster'
+import { KEY_PREFIX, WritePriority } from '@heathroad/store'
+import type { Heartbeat } from '@heathroad/wire'
+import type { ShardState } from './state.js'
+
+/** Writes records for unregistered machines that fall to this shard. */
+export class MachineAdopter {
+	private groupCounter = 0
+
+	constructor(private readonly state: ShardState) {}
+
+	/**
+	 * Records the machines of these heartbeats as one machine group. A machine that has seen no fencing token has had
+	 * no commands, so it holds nothing. The caller has made sure that no rental can yet bring the machines under
+	 * another record. `done` is called in every case.
+	 */
+	adopt(heartbeats: readonly Heartbeat[], done: () => void): void {
+		const unrecorded = heartbeats.filter((heartbeat) => !this.state.machines.has(heartbeat.machineId))
+		if (unrecorded.length === 0 || this.state.stopped) return done()
+		const { shardId, fencingToken } = this.state
+		const { machineType, zone, spot } = unrecorded[0]
+		const addresses: Record<string, string | null> = {}
+		for (const heartbeat of unrecorded) addresses[heartbeat.machineId] = heartbeat.address
+		const data = encodeMachineGroup({ shardId, machineType, zone, spot, requestedCount: 0, addresses })
+		const name = `c${shardId}-${fencingToken}-${++this.groupCounter}`
+		const key = KEY_PREFIX + machineGroupKey(name)
+		this.state.enqueueOwnedWrite(
+			WritePriority.outcome,
+			[{ key, modRevision: 0 }],
+			[{ set: key, data }],
+			(result) => {
+				if (result.kind === 'ok' && !this.state.stopped) {
+					this.state.ports.applyOwnWrite(machineGroupKey(name), data, result.revision)
+					this.confirmEmpty(unrecorded)
+					this.state.ports.log('info', 'machines adopted', {
+						machines: Object.keys(addresses),
+						part: shardId,
+					})
+				}
+				done()
+			},
+		)
+	}
+
+	private confirmEmpty(heartbeats: readonly Heartbeat[]): void {
+		for (const heartbeat of heartbeats) {
+			const machine = this.state.machines.get(heartbeat.machineId)
+			if (machine !== undefined && heartbeat.fencingToken === 0) machine.reconciled = true
+		}
+	}
+}
--- /dev/null
+++ b/packages/controller/src/shard.ts
@@ -0,0 +1,307 @@
+/** Coordinates the parts of one shard: what a change of records, a heartbeat or a tick does, and in which order. */
+import {
+	decodeMachineGroup,
+	type JobRecord,
+	type LeadershipStatus,
+	type MachineGroupRecord,
+} from '@heathroad/cluster'
+import type { Config } from '@heathroad/config'
+import type { Heartbeat } from '@heathroad/wire'
+import { AttemptTracker } from './attempt-tracker.js'
+import { CrashLoopDetector } from './faults.js'
+import { MachineGroupWriter } from './fleet.js'
+import { AdmissionGate } from './gate.js'
+import { HeartbeatHandler, type RespondToHeartbeat } from './heartbeat-handler.js'
+import { HeartbeatReconciler } from './heartbeat-reconciler.js'
+import { JobLifecycle } from './job-lifecycle.js'
+import { MachineAdopter } from './machine-adopter.js'
+import { MachineCommands } from './machine-commands.js'
+import { MachineMonitor } from './machine-monitor.js'
+import { MachineRemover } from './machine-remover.js'
+import type { JobRun, Machine, ShardPorts } from './model.js'
+import { JobMigrator } from './moves.js'
+import { Scheduler } from './planner.js'
+import { ProgressWriter } from './progress.js'
+import { ScaleOut } from './renter.js'
+import { FailureDetector } from './silence.js'
+import { ShardState } from './state.js'
+import { TakeoverReconciler } from './takeover-reconciler.js'
+
+/** Planning rounds over all machines per heartbeat interval: work is placed soon after heartbeats changed the picture. */
+const PLANNING_ROUNDS_PER_HEARTBEAT = 6
+
+/** The shortest time between planning rounds, in ms: a round costs CPU time in proportion to the shard. */
+const MIN_PLANNING_INTERVAL_MS = 200
+
+const MACHINE_GROUP_PREFIX = 'fleet/'
+
+/**
+ * One shard under one owner: its jobs, its machines and what may run where. It lives from the transaction that took
+ * the shard until the shard is lost. Nothing in it survives that; a successor rebuilds its state from the records and
+ * the machines' heartbeats. All methods run to completion without waiting, so they need no locks.
+ */
+export class Shard {
+	private readonly state: ShardState
+	private readonly scaleOut: ScaleOut
+	private readonly scheduler: Scheduler
+	private readonly progress: ProgressWriter
+	private readonly jobMigrator: JobMigrator
+	private readonly gate: AdmissionGate
+	private readonly failureDetector: FailureDetector
+	private readonly takeover: TakeoverReconciler
+	private readonly heartbeatHandler: HeartbeatHandler
+	private readonly jobLifecycle: JobLifecycle
+	private readonly machineAdopter: MachineAdopter
+	private readonly machineRemover: MachineRemover
+	private readonly machineMonitor: MachineMonitor
+	private lastPlanningAt = 0
+
+	/**
+	 * Rebuilds the shard from the records and starts to probe the machines that may hold tasks of a former owner.
+	 * `fencingToken` is the mod revision of the transaction that took the shard.
+	 */
+	constructor(
+		readonly shardId: number,
+		readonly fencingToken: number,
+		config: Config,
+		private readonly ports: ShardPorts,
+	) {
+		const state = new ShardState(shardId, fencingToken, config, ports)
+		this.state = state
+		const machineGroups = new MachineGroupWriter(state)
+		this.scaleOut = new ScaleOut(state, machineGroups)
+		const scheduler = new Scheduler(state, this.scaleOut)
+		this.scheduler = scheduler
+		this.progress = new ProgressWriter(state)
+		this.jobMigrator = new JobMigrator(state)
+		this.gate = new AdmissionGate(state, (uid) => this.jobLifecycle.onReleased(uid))
+		this.failureDetector = new FailureDetector(state)
+		const reconcile = (machine: Machine, heartbeat: Heartbeat) =>
+			reconciler.reconcile(machine, heartbeat, { followsResponse: false })
+		this.takeover = new TakeoverReconciler(state, scheduler, {
+			reconcile,
+			release: (machines) => this.machineRemover.release(machines),
+		})
+		const attempts = new AttemptTracker(state, new CrashLoopDetector(state), this.progress)
+		const reconciler = new HeartbeatReconciler(state, this.gate, attempts, this.takeover)
+		const commands = new MachineCommands(state)
+		this.heartbeatHandler = new HeartbeatHandler(state, { reconciler, commands, scheduler, machineGroups })
+		this.jobLifecycle = new JobLifecycle(state, {
+			gate: this.gate,
+			scaleOut: this.scaleOut,
+			scheduler,
+			reconcile,
+		})
+		this.machineAdopter = new MachineAdopter(state)
+		this.machineRemover = new MachineRemover(state, {
+			heartbeats: this.heartbeatHandler,
+			takeover: this.takeover,
+			machineGroups,
+			scheduler,
+		})
+		this.machineMonitor = new MachineMonitor(state, this.failureDetector, commands, this.takeover)
+		this.rebuildFromRecords()
+	}
+
+	private rebuildFromRecords(): void {
+		const openRentals = this.readMachineGroups()
+		this.takeover.begin()
+		for (const uid of this.ports.openJobs()) {
+			const job = this.ports.job(uid)
+			if (job !== undefined) this.onJobChanged(uid, job.record, this.state.reconciled)
+		}
+		for (const [name, record] of openRentals) this.scaleOut.rentRecordedGroup(name, record)
+		this.takeover.probeUnconfirmed()
+		this.ports.log('info', 'shard reconciling', {
+			part: this.shardId,
+			token: this.fencingToken,
+			jobs: this.jobs.size,
+			machines: this.machines.size,
+			unconfirmed: this.takeover.unconfirmedMachines.size,
+		})
+	}
+
+	/** Adds the recorded machines; returns the rentals whose answer the former owner may never have seen. */
+	private readMachineGroups(): [name: string, record: MachineGroupRecord][] {
+		const openRentals: [string, MachineGroupRecord][] = []
+		for (const [key, entry] of this.ports.withPrefix(MACHINE_GROUP_PREFIX)) {
+			const record = decodeMachineGroup(entry.data)
+			if (record?.shardId !== this.shardId) continue
+			const name = key.slice(MACHINE_GROUP_PREFIX.length)
+			if (record.requestedCount > 0) openRentals.push([name, record])
+			for (const id of Object.keys(record.addresses)) this.state.addMachine(id, name, record)
+		}
+		return openRentals
+	}
+
+	/** Jobs of this shard that may start or are running, by uid. */
+	get jobs(): ReadonlyMap<string, JobRun> {
+		return this.state.jobs
+	}
+
+	/** Machines of this shard, by identifier. */
+	get machines(): ReadonlyMap<string, Machine> {
+		return this.state.machines
+	}
+
+	/** Is every machine that may hold tasks of a former owner accounted for? */
+	get isReconciled(): boolean {
+		return this.state.reconciled
+	}
+
+	/** The machine types came or changed: machines known only by their type's name get its resources. */
+	onMachineTypesChanged(): void {
+		for (const machine of this.machines.values()) {
+			machine.type = this.state.machineTypeNamed(machine.type.name)
+			this.state.recomputeFreeResources(machine)
+		}
+	}
+
+	/** A machine group's record changed: machines came, went, moved between shards or may be used from now on. */
+	onMachineGroupChanged(name: string, data: unknown, before: unknown): void {
+		if (this.state.stopped) return
+		const record = decodeMachineGroup(data)
+		const isOurs = record !== null && record.shardId === this.shardId
+		const previous = decodeMachineGroup(before)
+		if (isOurs) {
+			this.scaleOut.onGroupRecorded(name, record)
+			this.takeRecordedMachines(name, record)
+		}
+		if (previous === null || previous.shardId !== this.shardId) return
+		for (const id of Object.keys(previous.addresses)) {
+			const machine = this.machines.get(id)
+			if (machine === undefined || machine.groupName !== name) continue
+			if (!isOurs || record.addresses[id] === undefined) this.machineRemover.remove(machine)
+		}
+	}
+
+	private takeRecordedMachines(groupName: string, record: MachineGroupRecord): void {
+		for (const [id, address] of Object.entries(record.addresses)) {
+			const machine = this.machines.get(id)
+			if (machine === undefined) this.state.addMachine(id, groupName, record)
+			else if (!machine.addressRecorded && address !== null) {
+				machine.addressRecorded = true
+				this.scheduler.placeTasks([machine])
+				this.heartbeatHandler.sendDelayedResponse(machine)
+			}
+		}
+	}
+
+	/**
+	 * A job's record changed: accepted, cancelled, moved to another shard, or an own write seen again. `settled` is
+	 * false for a job of a former owner: its tasks may be on machines that have not reported yet.
+	 */
+	onJobChanged(uid: string, record: JobRecord, settled = true): void {
+		this.jobLifecycle.onJobChanged(uid, record, settled)
+	}
+
+	/** Jobs were released by their admission checks, which is durable. */
+	onJobsReleased(uids: readonly string[]): void {
+		if (!this.state.stopped) this.gate.onJobsReleased(uids)
+	}
+
+	/** Count of jobs that wait for their admission checks. */
+	get pendingReleaseCount(): number {
+		return this.gate.size
+	}
+
+	/**
+	 * A machine's heartbeat. Responds with the fencing token and commands, at once or within half a heartbeat interval;
+	 * with null if this controller is not the one to answer. From the response on the machine's agent lease may run.
+	 */
+	handleHeartbeat(heartbeat: Heartbeat, respond: RespondToHeartbeat): void {
+		this.heartbeatHandler.handle(heartbeat, respond)
+	}
+
+	/**
+	 * Takes unregistered machines that fall to this shard; see `MachineAdopter.adopt`. The caller has made sure that no
+	 * rental can yet bring them under another record.
+	 */
+	adoptMachines(heartbeats: readonly Heartbeat[], done: () => void): void {
+		this.machineAdopter.adopt(heartbeats, done)
+	}
+
+	/** Regular check of everything that changes with time alone. */
+	tick(): void {
+		if (this.state.stopped) return
+		const now = this.ports.now()
+		const leadership = this.ports.leadership()
+		this.failureDetector.tick(now, leadership)
+		if (leadership === 'none') return
+		const { toRelease, jobsToWrite } = this.machineMonitor.checkAll(now)
+		this.planIfDue(now, toRelease.length > 0)
+		this.scaleIn(toRelease, leadership)
+		this.progress.tick(now, jobsToWrite)
+		this.gate.tick(now)
+		if (!this.state.reconciled) this.takeover.tick(now)
+	}
+
+	private planIfDue(now: number, hasReleases: boolean): void {
+		const intervalMs = Math.max(
+			MIN_PLANNING_INTERVAL_MS,
+			this.state.config.limits.heartbeatMs / PLANNING_ROUNDS_PER_HEARTBEAT,
+		)
+		if (now - this.lastPlanningAt < intervalMs) return
+		this.lastPlanningAt = now
+		this.state.queueDirty = true
+		this.scheduler.placeTasks(this.machines.values())
+		this.scheduler.reserveMachines(now)
+		this.scheduler.preemptTasks(now)
+		this.scheduler.consolidate(now)
+		this.scaleOut.scaleOut(now, hasReleases)
+		this.jobMigrator.tick(now, intervalMs)
+	}
+
+	/** Releases machines; where that is not possible now, idle ones take work again. */
+	private scaleIn(machines: readonly Machine[], leadership: LeadershipStatus): void {
+		if (machines.length > 0 && leadership === 'lease' && this.scaleOut.mayScaleIn()) {
+			this.machineRemover.release(machines)
+			return
+		}
+		for (const machine of machines)
+			if (machine.drainReason === 'idle' && !machine.releasing) machine.drainReason = null
+	}
+
+	/**
+	 * May the shard be handed off? Not while it is being rebuilt or a machine misses heartbeats: the next owner would
+	 * have to wait for that machine before any old job continues, while this one knows what it holds (incident 6).
+	 */
+	isQuiescent(): boolean {
+		return this.state.reconciled && this.failureDetector.missedHeartbeats(this.ports.now()) === 0
+	}
+
+	/** Resources that a team's tasks use in this shard. */
+	teamUsage(team: string): { cpus: number; gpus: number } {
+		return this.state.teamUsage(team)
+	}
+
+	/** Jobs with attempts that may still be on a machine of this shard; null while that is not known. */
+	jobsOnMachines(): Set<string> | null {
+		if (!this.state.reconciled || this.state.stopped) return null
+		const uids = new Set<string>()
+		for (const machine of this.machines.values())
+			for (const attempt of machine.attempts.values()) uids.add(attempt.uid)
+		return uids
+	}
+
+	/** See `FailureDetector.unreachableMachines`. */
+	unreachableMachines(): number {
+		return this.failureDetector.unreachableMachines()
+	}
+
+	/** See `FailureDetector.isPartitioned`. */
+	isPartitioned(): boolean {
+		return this.failureDetector.isPartitioned(this.takeover.unconfirmedMachines)
+	}
+
+	/** A job was cancelled while this controller had no state service; a peer that had one reports it. */
+	applyCancellation(uid: string): void {
+		this.jobLifecycle.onCancelled(uid)
+	}
+
+	/** The shard is lost or the controller stops: nothing is sent, written or answered from now on. */
+	stop(): void {
+		this.state.stopped = true
+		this.heartbeatHandler.stop()
+	}
+}
--- a/packages/controller/src/state.ts
+++ b/packages/controller/src/state.ts
@@ -1,3 +1,4 @@
+/** State that the parts of one shard share: its jobs, its machines, and which attempts are or may be where. */
 import {
 	HISTORY_KEY,
 	type MachineGroupRecord,
@@ -6,32 +7,41 @@
 	shardKey,
 } from '@heathroad/cluster'
 import { type Config, terminalPageLimits } from '@heathroad/config'
-import { hourlyPrice, machineFraction, orderRank, startBounds, type TeamLimit } from '@heathroad/policy'
+import { hourlyPrice, machineFraction, type TeamLimit } from '@heathroad/policy'
 import { KEY_PREFIX, type WriteResult } from '@heathroad/store'
 import type { Condition, JobSpec, MachineType, Mutation } from '@heathroad/wire'
 import { BootTimeEstimator } from './boots.js'
+import { JobQueue } from './job-queue.js'
 import type { Attempt, JobRun, Machine, ShardPorts } from './model.js'
+import { newMachine, unknownMachineType } from './new-machine.js'
+import { RunTimeEstimator } from './run-time-estimator.js'
+import { TeamUsage } from './team-usage.js'
 
-/** What the concerns of one part share: its jobs, its machines and the books of what is, or may be, where. */
+/** Heartbeat intervals without a heartbeat after which a machine takes nothing new. */
+export const MAX_MISSED_HEARTBEATS = 3
+
+const SECONDS_PER_HOUR = 3600
+
+/** Jobs, machines and attempts of one shard under one owner. Times are steady time in ms. */
 export class ShardState {
+	/** jobs of this shard that may start or are running, by uid */
 	readonly jobs = new Map<string, JobRun>()
+	/** machines of this shard, by identifier */
 	readonly machines = new Map<string, Machine>()
-	/** every machine that may hold tasks of a former owner's is accounted for */
+	/** every machine that may hold tasks of a former owner is accounted for */
 	reconciled = false
-	/** since when we have listened to the machines without a break, steady time in ms */
+	/** since when this controller has received heartbeats without a break */
 	listeningSince = Number.NEGATIVE_INFINITY
+	/** the shard is lost, or the controller stops: nothing is sent or written any more */
 	stopped = false
-	queueDirty = true
-	private queue: JobRun[] = []
-	private readonly usage = new Map<string, { cpus: number; gpus: number }>()
-	/** actual against estimated run time, by class */
-	private readonly runTimeRatios = new Map<string, { ratio: number; n: number }>()
 	readonly bootTimes = new BootTimeEstimator()
-	private readonly teams: ReadonlyMap<string, TeamLimit>
 	/** the records, for writes that are conditional on them */
 	readonly records: RecordReader
-	/** what a page of final states holds */
+	/** what a page of terminal states holds */
 	readonly pageLimits: PageLimits
+	private readonly runTimes = new RunTimeEstimator()
+	private readonly teams: TeamUsage
+	private readonly queue: JobQueue
 
 	constructor(
 		readonly shardId: number,
@@ -39,7 +49,14 @@
 		readonly config: Config,
 		readonly ports: ShardPorts,
 	) {
-		this.teams = new Map(config.settings.deployment.teams.map((t) => [t.name, t]))
+		this.teams = new TeamUsage(shardId, config.settings.deployment.teams, ports)
+		this.queue = new JobQueue({
+			jobs: this.jobs,
+			config,
+			teams: this.teams,
+			runTimes: this.runTimes,
+			wallClockMs: () => ports.wallClockMs(),
+		})
 		this.records = {
 			get: (key) => ports.entry(key),
 			modRevision: (key) => ports.entry(key)?.modRevision ?? 0,
@@ -47,7 +64,9 @@
 		this.pageLimits = terminalPageLimits(config)
 	}
 
-	/** Do final states share pages, or has each a key of its own, as in the first form of the records? */
+	// ---- writes ----
+
+	/** Do terminal states share pages? In the first form of the records each has a key of its own. */
 	get usesTerminalPages(): boolean {
 		return this.ports.entry(HISTORY_KEY) !== undefined
 	}
@@ -57,7 +76,7 @@
 		return { key: KEY_PREFIX + shardKey(this.shardId), modRevision: this.fencingToken }
 	}
 
-	/** A write whose content is known now; it goes out while the part is ours. */
+	/** Enqueues a write whose content is known now; it is sent only while this controller owns the shard. */
 	enqueueOwnedWrite(
 		priority: number,
 		conditions: readonly Condition[],
@@ -66,7 +85,7 @@
 	): void {
 		const content = { conditions: [this.ownershipCondition(), ...conditions], mutations }
 		this.ports.enqueueWrite({
-			priority: priority,
+			priority,
 			build: () => (this.stopped ? null : content),
 			onResult: done,
 		})
@@ -74,62 +93,27 @@
 
 	// ---- machines ----
 
+	/** The machine type of this name, or a stand-in without resources if the catalog does not have it. */
 	machineTypeNamed(name: string): MachineType {
-		const known = this.ports.machineTypes().find((t) => t.name === name)
-		// Without a catalog nothing is placed there; the machine's tasks are still looked after.
-		return (
-			known ?? {
-				name,
-				cpus: 0,
-				gpus: 0,
-				ramGb: 0,
-				cacheGb: 0,
-				fetchGbPerS: 0.1,
-				price: 0,
-				spotPrice: 0,
-				bootS: this.config.limits.agentLeaseMs / 1000,
-				zones: [],
-			}
-		)
+		const type = this.ports.machineTypes().find((candidate) => candidate.name === name)
+		return type ?? unknownMachineType(name, this.config.limits.agentLeaseMs / 1000)
 	}
 
-	addMachine(id: string, fleet: string, r: MachineGroupRecord): Machine {
-		const now = this.ports.now()
-		const address = r.addresses[id] ?? null
-		const machine: Machine = {
-			id,
-			type: this.machineTypeNamed(r.machineType),
-			zone: r.zone,
-			spot: r.spot,
-			address: address,
+	/** Adds a machine of a machine group's record. */
+	addMachine(id: string, groupName: string, record: MachineGroupRecord): Machine {
+		const machine = newMachine(id, {
+			groupName,
+			record,
+			type: this.machineTypeNamed(record.machineType),
 			fencingToken: this.fencingToken,
-			groupName: fleet,
-			addressRecorded: address !== null,
-			reconciled: address === null,
-			booted: address !== null,
-			agentEpoch: 0,
-			heartbeatSequence: 0,
-			lastHeartbeatAt: now,
-			discoveredAt: now,
-			attempts: new Map(),
-			cachedImages: new Map(),
-			preemptionDeadline: null,
-			drainReason: null,
-			releasing: false,
-			retryReleaseAt: 0,
-			idleSince: null,
-			cordonedUntil: 0,
-			reservedFor: null,
-			failuresByJob: new Map(),
-			probing: false,
-			freeResources: { cpus: 0, gpus: 0, ramGb: 0 },
-		}
+			now: this.ports.now(),
+		})
 		this.machines.set(id, machine)
 		this.recomputeFreeResources(machine)
 		return machine
 	}
 
-	/** What is free, counted anew from what is there. */
+	/** Computes what is free from the attempts that are there. */
 	recomputeFreeResources(machine: Machine): void {
 		const free = { cpus: machine.type.cpus, gpus: machine.type.gpus, ramGb: machine.type.ramGb }
 		for (const attempt of machine.attempts.values()) {
@@ -142,201 +126,175 @@
 	}
 
 	/**
-	 * A machine that is kept although it is silent takes nothing new (incident 22): what is planned for it is given up at
-	 * every look, and meanwhile neither another machine has it nor is one rented for it.
+	 * May new attempts be planned for the machine? A machine that is kept although it misses heartbeats takes nothing new
+	 * (incident 22): what is planned for it would be withdrawn at every tick, and meanwhile no other machine would be
+	 * chosen or rented for the task.
 	 */
 	isSchedulable(machine: Machine, now: number): boolean {
-		if (
-			!machine.booted ||
-			!machine.reconciled ||
-			!machine.addressRecorded ||
-			machine.drainReason !== null ||
-			machine.releasing ||
-			machine.cordonedUntil > now
-		)
-			return false
-		return now - Math.max(machine.lastHeartbeatAt, this.listeningSince) <= this.config.limits.heartbeatMs * 3
+		if (!machine.booted || !machine.reconciled || !machine.addressRecorded) return false
+		if (machine.drainReason !== null || machine.releasing || machine.cordonedUntil > now) return false
+		const silentMs = now - Math.max(machine.lastHeartbeatAt, this.listeningSince)
+		return silentMs <= this.config.limits.heartbeatMs * MAX_MISSED_HEARTBEATS
 	}
 
+	/** The machine has the job's image from now on; the least recently used images beyond its cache are dropped. */
 	recordCachedImage(machine: Machine, spec: JobSpec): void {
 		// Re-inserted at the end: the map keeps the order of last use.
 		machine.cachedImages.delete(spec.image)
 		machine.cachedImages.set(spec.image, spec.imageGb)
-		let total = 0
-		for (const gb of machine.cachedImages.values()) total += gb
-		for (const [image, gb] of machine.cachedImages) {
-			if (total <= machine.type.cacheGb || image === spec.image) break
+		let totalGb = 0
+		for (const sizeGb of machine.cachedImages.values()) totalGb += sizeGb
+		for (const [image, sizeGb] of machine.cachedImages) {
+			if (totalGb <= machine.type.cacheGb || image === spec.image) break
 			machine.cachedImages.delete(image)
-			total -= gb
+			totalGb -= sizeGb
 		}
 	}
 
 	// ---- attempts ----
 
+	/** An attempt is planned for a machine, or was found on it. */
 	addAttempt(machine: Machine, attempt: Attempt): void {
 		machine.attempts.set(attempt.key, attempt)
-		if (attempt.job !== null && !attempt.orphaned) {
-			attempt.job.placements.set(attempt.taskIndex, attempt)
-			attempt.job.taskCountByZone.set(machine.zone, (attempt.job.taskCountByZone.get(machine.zone) ?? 0) + 1)
-		} else if (attempt.job !== null) {
-			// Nobody may have started it by our leave, but it is there until that is proven wrong (incident 26).
-			attempt.job.orphanCounts.set(
-				attempt.taskIndex,
-				(attempt.job.orphanCounts.get(attempt.taskIndex) ?? 0) + 1,
-			)
-			attempt.job.readyTasks.delete(attempt.taskIndex)
+		const { job, taskIndex, resources } = attempt
+		if (job !== null && !attempt.orphaned) {
+			job.placements.set(taskIndex, attempt)
+			job.taskCountByZone.set(machine.zone, (job.taskCountByZone.get(machine.zone) ?? 0) + 1)
+		} else if (job !== null) {
+			// This owner did not start it, but it is there until the opposite is proven (incident 26).
+			job.orphanCounts.set(taskIndex, (job.orphanCounts.get(taskIndex) ?? 0) + 1)
+			job.readyTasks.delete(taskIndex)
 		}
-		const used = this.usage.get(attempt.resources.team) ?? { cpus: 0, gpus: 0 }
-		used.cpus += attempt.resources.cpus
-		used.gpus += attempt.resources.gpus
-		this.usage.set(attempt.resources.team, used)
-		machine.freeResources.cpus -= attempt.resources.cpus
-		machine.freeResources.gpus -= attempt.resources.gpus
-		machine.freeResources.ramGb -= attempt.resources.ramGb
+		this.teams.add(resources.team, resources)
+		machine.freeResources.cpus -= resources.cpus
+		machine.freeResources.gpus -= resources.gpus
+		machine.freeResources.ramGb -= resources.ramGb
 		machine.idleSince = null
 	}
 
-	/** It no longer takes room: ended, or not there any more. */
+	/** The attempt takes no resources any more: it has ended, or is not there. Has an effect once per attempt. */
 	freeResourcesOf(machine: Machine, attempt: Attempt): void {
 		if (attempt.accountedFor) return
 		attempt.accountedFor = true
-		const used = this.usage.get(attempt.resources.team)
-		if (used) {
-			used.cpus -= attempt.resources.cpus
-			used.gpus -= attempt.resources.gpus
-		}
-		const strays = attempt.orphaned ? (attempt.job?.orphanCounts.get(attempt.taskIndex) ?? 0) : 0
-		if (strays > 1) attempt.job?.orphanCounts.set(attempt.taskIndex, strays - 1)
-		else if (strays > 0) attempt.job?.orphanCounts.delete(attempt.taskIndex)
-		if (attempt.job !== null && attempt.job.placements.get(attempt.taskIndex) === attempt) {
-			attempt.job.placements.delete(attempt.taskIndex)
-			attempt.job.taskCountByZone.set(machine.zone, (attempt.job.taskCountByZone.get(machine.zone) ?? 1) - 1)
-			if (attempt.job.isTerminal && attempt.job.placements.size === 0) this.jobs.delete(attempt.uid)
-		}
+		this.teams.subtract(attempt.resources.team, attempt.resources)
+		const { job, taskIndex } = attempt
+		if (job === null) return
+		if (attempt.orphaned) this.decrementOrphans(job, taskIndex)
+		if (job.placements.get(taskIndex) !== attempt) return
+		job.placements.delete(taskIndex)
+		job.taskCountByZone.set(machine.zone, (job.taskCountByZone.get(machine.zone) ?? 1) - 1)
+		if (job.isTerminal && job.placements.size === 0) this.jobs.delete(attempt.uid)
 	}
 
+	private decrementOrphans(job: JobRun, taskIndex: number): void {
+		const count = job.orphanCounts.get(taskIndex) ?? 0
+		if (count > 1) job.orphanCounts.set(taskIndex, count - 1)
+		else job.orphanCounts.delete(taskIndex)
+	}
+
+	/** The attempt is not on its machine; its task is requeued unless its end was accounted for before. */
 	removeAttempt(machine: Machine, attempt: Attempt): void {
-		const wasHandled = attempt.accountedFor
+		const wasAccountedFor = attempt.accountedFor
 		machine.attempts.delete(attempt.key)
 		this.freeResourcesOf(machine, attempt)
 		this.recomputeFreeResources(machine)
-		if (!wasHandled) this.requeueTask(attempt)
+		if (!wasAccountedFor) this.requeueTask(attempt)
 	}
 
-	/** Proven absent and not done: the task may be started elsewhere. */
+	/** The task may be started elsewhere if it is not done and proven absent from all machines. */
 	requeueTask(attempt: Attempt): void {
-		const job = attempt.job
-		if (job === null || job.isTerminal || job.doneTasks.has(attempt.taskIndex)) return
-		if (job.placements.has(attempt.taskIndex) || job.orphanCounts.has(attempt.taskIndex)) return
+		const { job, taskIndex } = attempt
+		if (job === null || job.isTerminal || job.doneTasks.has(taskIndex)) return
+		if (job.placements.has(taskIndex) || job.orphanCounts.has(taskIndex)) return
 		if (attempt.state !== 'ended' && !attempt.orphaned)
-			job.budget.restart(
-				attempt.uid,
-				attempt.budgetShare,
-				attempt.startedAt === null ? 0 : this.attemptCost(attempt),
-			)
+			job.budget.restart(attempt.uid, attempt.budgetShare, this.attemptCost(attempt))
 		if (!job.isReconciled) return
-		if (job.readyTasks.add(attempt.taskIndex) && job.readyTasks.size === 1) this.queueDirty = true
+		if (job.readyTasks.add(taskIndex) && job.readyTasks.size === 1) this.queueDirty = true
 	}
 
+	/** What the attempt has cost so far: its share of the machine's price, 0 before its start. */
 	attemptCost(attempt: Attempt): number {
 		const machine = attempt.machine
 		if (attempt.startedAt === null) return 0
 		const seconds = (this.ports.now() - attempt.startedAt) / 1000
-		return (seconds * hourlyPrice(machine) * machineFraction(attempt.resources, machine.type)) / 3600
+		return (
+			(seconds * hourlyPrice(machine) * machineFraction(attempt.resources, machine.type)) / SECONDS_PER_HOUR
+		)
 	}
 
 	// ---- run times ----
 
+	/** Estimated run time of a task of the job, in seconds. */
 	estimatedRunS(spec: JobSpec): number {
-		const p = this.runTimeRatios.get(spec.jobClass)
-		return Math.max(0.1, spec.expectedS * (p !== undefined && p.n >= 3 ? p.ratio : 1))
+		return this.runTimes.estimateS(spec)
 	}
 
-	/** How long an attempt will still run, by the estimate. */
+	/** How long an attempt will still run, by the estimate, in seconds. */
 	remainingRunS(attempt: Attempt, job: JobRun, now: number): number {
 		const ranS = attempt.startedAt === null ? 0 : (now - attempt.startedAt) / 1000
 		return Math.max(0, this.estimatedRunS(job.spec) - (job.checkpointedS.get(attempt.taskIndex) ?? 0) - ranS)
 	}
 
+	/** A task of the job ran for so many seconds in all. */
 	observeRunTime(spec: JobSpec, seconds: number): void {
-		if (spec.expectedS <= 0) return
-		const ratio = Math.min(5, Math.max(0.1, seconds / spec.expectedS))
-		const p = this.runTimeRatios.get(spec.jobClass) ?? { ratio: 1, n: 0 }
-		p.n = Math.min(p.n + 1, 50)
-		p.ratio += (ratio - p.ratio) / (p.n + 1)
-		this.runTimeRatios.set(spec.jobClass, p)
+		this.runTimes.observe(spec, seconds)
 	}
 
-	// ---- teams and order ----
+	// ---- teams ----
 
+	/** The team's guarantee and limit; undefined for a team that is not configured. */
 	teamLimit(name: string): TeamLimit | undefined {
-		return this.teams.get(name)
+		return this.teams.limitOf(name)
 	}
 
+	/** Resources that the team's attempts hold in this shard. */
 	teamUsage(team: string): { cpus: number; gpus: number } {
-		return this.usage.get(team) ?? { cpus: 0, gpus: 0 }
+		return this.teams.inShard(team)
 	}
 
-	/** What a team's tasks use in all parts, the others' as they last told: a guarantee is the whole service's. */
-	private usedInAll(team: string): { cpus: number; gpus: number } {
-		const here = this.teamUsage(team)
-		const elsewhere = this.ports.usageInOtherShards(this.shardId, team)
-		return { cpus: here.cpus + elsewhere.cpus, gpus: here.gpus + elsewhere.gpus }
-	}
-
-	/** Would one more task of this size still lie within what the team is guaranteed? */
+	/** Would one more task of this size still lie within what the team is guaranteed in the whole service? */
 	isWithinGuarantee(spec: { team: string; cpus: number; gpus: number }): boolean {
-		const t = this.teamLimit(spec.team)
-		if (t === undefined || (t.cpus <= 0 && t.gpus <= 0)) return false
-		const u = this.usedInAll(spec.team)
-		return u.cpus + spec.cpus <= t.cpus && u.gpus + spec.gpus <= t.gpus
+		return this.teams.isWithinGuarantee(spec)
 	}
 
+	/** Does the team use more than its guarantee? True for teams without one. */
 	exceedsGuarantee(team: string): boolean {
-		const t = this.teamLimit(team)
-		if (t === undefined || (t.cpus <= 0 && t.gpus <= 0)) return true
-		const u = this.usedInAll(team)
-		return u.cpus > t.cpus || u.gpus > t.gpus
+		return this.teams.exceedsGuarantee(team)
 	}
 
+	// ---- order of jobs ----
+
+	/** The order of jobs has to be computed anew before it is next used. */
+	get queueDirty(): boolean {
+		return this.queue.isDirty
+	}
+
+	set queueDirty(isDirty: boolean) {
+		this.queue.isDirty = isDirty
+	}
+
+	/** Seconds since the job was accepted, by any owner. */
 	jobAgeS(job: JobRun): number {
-		return (this.ports.wallClockMs() - job.acceptedAtMs) / 1000
+		return this.queue.ageS(job)
 	}
 
 	/** Open jobs in the order in which they are served. */
 	jobsInOrder(): readonly JobRun[] {
-		if (this.queueDirty) {
-			this.queueDirty = false
-			const objectives = this.config.settings.deployment.objectives ?? []
-			const queue: { job: JobRun; entitled: number }[] = []
-			for (const job of this.jobs.values()) {
-				if (job.isTerminal || !job.isReconciled) continue
-				job.startBounds = startBounds(job.spec, this.estimatedRunS(job.spec), objectives)
-				job.rank = job.isQuarantined ? -1 : orderRank(job.spec.priority, this.jobAgeS(job), job.startBounds)
-				queue.push({ job, entitled: Number(this.isWithinGuarantee(job.spec)) })
-			}
-			queue.sort(
-				(a, b) =>
-					b.entitled - a.entitled || b.job.rank - a.job.rank || a.job.acceptedAtMs - b.job.acceptedAtMs,
-			)
-			this.queue = queue.map((q) => q.job)
-		}
-		return this.queue
+		return this.queue.inOrder()
 	}
 
-	/** Ordered jobs with tasks that may start now. */
-	*waitingJobs(now: number): Iterable<JobRun> {
-		for (const job of this.jobsInOrder())
-			if (job.readyTasks.size > 0 && !job.isTerminal && !job.migrating && job.retryNotBefore <= now) yield job
+	/** Jobs with tasks that may start now, in order. */
+	waitingJobs(now: number): Iterable<JobRun> {
+		return this.queue.waiting(now)
 	}
 
-	/** Does anything wait that room is made for? */
+	/** Does any job wait that is not quarantined? */
 	hasWaitingJobs(now: number): boolean {
-		return this.waitingHealthyJobs(now)[Symbol.iterator]().next().done !== true
+		return this.queue.hasWaiting(now)
 	}
 
-	/** Those of them that room is made for: a job that fails everywhere takes only what is left over. */
-	*waitingHealthyJobs(now: number): Iterable<JobRun> {
-		for (const job of this.waitingJobs(now)) if (!job.isQuarantined) yield job
+	/** Waiting jobs that are not quarantined: a job that fails everywhere takes only what is left over. */
+	waitingHealthyJobs(now: number): Iterable<JobRun> {
+		return this.queue.waitingHealthy(now)
 	}
 }
