--- a/packages/controller/src/attempt-tracker.ts
+++ b/packages/controller/src/attempt-tracker.ts
@@ -1,8 +1,8 @@
 /** Follows the reported states of attempts and accounts for each attempt's end exactly once. */
 import type { ReportedTask } from '@heathroad/wire'
-import type { CrashLoopDetector } from './faults.js'
+import type { CrashLoopDetector } from './crash-loop-detector.js'
 import type { Attempt, JobRun } from './model.js'
-import type { ProgressWriter } from './progress.js'
+import type { ProgressWriter } from './progress-writer.js'
 import type { ShardState } from './state.js'
 
 /** Heartbeat intervals for which a machine or a job that rejected a start gets no new one. */
--- a/packages/controller/src/machine-monitor.ts
+++ b/packages/controller/src/machine-monitor.ts
@@ -1,7 +1,8 @@
 /** Regular check of every machine: lease expiry, missed heartbeats, boots that never end, draining and idleness. */
+
+import type { FailureDetector } from './failure-detector.js'
 import type { MachineCommands } from './machine-commands.js'
 import { gracePeriodS, type JobRun, type Machine } from './model.js'
-import type { FailureDetector } from './silence.js'
 import { MAX_MISSED_HEARTBEATS, type ShardState } from './state.js'
 import type { TakeoverReconciler } from './takeover-reconciler.js'
 
--- /dev/null
+++ b/packages/controller/src/progress-writer.ts
@@ -0,0 +1,148 @@
+/** Writes the progress of jobs, and hands completed ones over to be written as terminal. */
+import { type JobRecord, progressChunkKey, putJobRecord, TASKS_PER_CHUNK } from '@heathroad/cluster'
+import type { RangeSet } from '@heathroad/policy'
+import { KEY_PREFIX, type TransactionContent, WritePriority } from '@heathroad/store'
+import type { Mutation } from '@heathroad/wire'
+import type { JobRun } from './model.js'
+import type { ShardState } from './state.js'
+import { TerminalStateWriter } from './terminal-state-writer.js'
+
+/** Share of this controller's rate of writes that progress may take: the rest is for outcomes and rentals. */
+const PROGRESS_WRITE_SHARE = 0.4
+
+/** A transaction as it was sent, and the done tasks that are durable once it is applied. */
+interface SentWrite {
+	durableTasks: RangeSet
+	content: TransactionContent
+}
+
+/** What a job's record and its progress chunks are to say. */
+interface NewRecord {
+	record: JobRecord
+	chunkMutations: Mutation[]
+	durableTasks: RangeSet
+}
+
+/** Makes the done tasks of jobs durable, in the job's record and, beyond its first chunk of tasks, in chunk keys. */
+export class ProgressWriter {
+	private readonly terminalStates: TerminalStateWriter
+
+	constructor(private readonly state: ShardState) {
+		this.terminalStates = new TerminalStateWriter(state)
+	}
+
+	private isComplete(job: JobRun): boolean {
+		return job.spec.kind !== 'daemon' && job.doneTasks.size >= job.spec.tasks
+	}
+
+	/** The transaction that brings the job's record up to date; null if nothing is to be written here any more. */
+	private buildWrite(job: JobRun): SentWrite | null {
+		const { uid } = job.spec
+		const current = this.state.ports.job(uid)
+		if (job.isTerminal || this.state.stopped || current === undefined) return null
+		if (current.record.finalState !== undefined) return null
+		const isComplete = this.isComplete(job)
+		if (isComplete && this.state.usesTerminalPages) return null
+		const { record, chunkMutations, durableTasks } = isComplete
+			? this.terminalRecord(job)
+			: this.progressRecord(job, current.record)
+		const { conditions, mutations } = putJobRecord(
+			this.state.records,
+			uid,
+			current.modRevision,
+			record,
+			chunkMutations,
+		)
+		return {
+			durableTasks,
+			content: { conditions: [this.state.ownershipCondition(), ...conditions], mutations },
+		}
+	}
+
+	private terminalRecord(job: JobRun): NewRecord {
+		const { team, cpus, gpus, ramGb, tasks } = job.spec
+		const record: JobRecord = {
+			shardId: this.state.shardId,
+			finalState: 'done',
+			taskCount: tasks,
+			resources: { team, cpus, gpus, ramGb },
+		}
+		return { record, chunkMutations: [], durableTasks: job.doneTasks.copy() }
+	}
+
+	private progressRecord(job: JobRun, current: JobRecord): NewRecord {
+		const durableTasks = job.doneTasks.copy()
+		const record = { ...current, doneRanges: durableTasks.slice(0, TASKS_PER_CHUNK) }
+		const chunkMutations: Mutation[] = []
+		const maxMutations = this.state.config.settings.deployment.state.txn_ops
+		for (let chunk = 1; chunk * TASKS_PER_CHUNK < job.spec.tasks; chunk++) {
+			const from = chunk * TASKS_PER_CHUNK
+			const to = Math.min(job.spec.tasks, from + TASKS_PER_CHUNK)
+			const ranges = durableTasks.slice(from, to)
+			if (String(ranges) === String(job.durableDoneTasks.slice(from, to))) continue
+			if (chunkMutations.length + 1 < maxMutations)
+				chunkMutations.push({ set: KEY_PREFIX + progressChunkKey(job.spec.uid, chunk), data: ranges })
+			else this.deferChunk(job, durableTasks, from, to)
+		}
+		return { record, chunkMutations, durableTasks }
+	}
+
+	/** A chunk that does not fit into this transaction is not durable by it and waits for the next one. */
+	private deferChunk(job: JobRun, durableTasks: RangeSet, from: number, to: number): void {
+		for (let task = from; task < to; task++) if (!job.durableDoneTasks.has(task)) durableTasks.delete(task)
+	}
+
+	/**
+	 * Writes a job's progress, or its terminal state once all its tasks are done; a write that waits then moves ahead as
+	 * an outcome. Both contend with a cancellation: in the first form of the records on the mod revision of the job's key,
+	 * in the second on that of the page that all terminal states of the shard share.
+	 */
+	write(job: JobRun): void {
+		if (job.isTerminal || this.state.stopped) return
+		const isComplete = this.isComplete(job)
+		if (isComplete && this.state.usesTerminalPages) return this.terminalStates.add(job)
+		const priority = isComplete ? WritePriority.outcome : WritePriority.progress
+		if (job.pendingWrite !== null) return this.state.ports.raisePriority(job.pendingWrite, priority)
+		let sent: SentWrite | null = null
+		job.pendingWrite = this.state.ports.enqueueWrite({
+			priority,
+			build: () => {
+				sent = this.buildWrite(job)
+				return sent === null ? null : sent.content
+			},
+			onResult: (result) => {
+				job.pendingWrite = null
+				if (this.state.stopped) return
+				job.lastWrittenAt = this.state.ports.now()
+				if (result.kind === 'ok' && sent !== null) {
+					job.durableDoneTasks.addAll(sent.durableTasks)
+					this.state.applyOwnMutations(sent.content.mutations, result.revision)
+					this.writeIfCompleted(job)
+				} else if (result.kind !== 'refused') this.state.ports.refreshCache(() => this.writeIfCompleted(job))
+			},
+		})
+	}
+
+	/** The job may have been completed while an earlier write was in progress. */
+	private writeIfCompleted(job: JobRun): void {
+		if (job.pendingWrite === null && this.isComplete(job)) this.write(job)
+	}
+
+	/**
+	 * Writes what is due: terminal states at once, progress as often as a share of the write rate allows for every open
+	 * job in turn, and sooner for `wantedJobs`, whose outcomes keep an empty machine from being released.
+	 */
+	tick(now: number, wantedJobs: ReadonlySet<JobRun | null>): void {
+		const { limits, tuning } = this.state.config
+		const behind: JobRun[] = []
+		for (const job of this.state.jobs.values())
+			if (!job.isTerminal && job.doneTasks.size > job.durableDoneTasks.size) behind.push(job)
+		/** time in which every job that is behind can be written once */
+		const roundMs = (behind.length / (limits.writesPerS * PROGRESS_WRITE_SHARE)) * 1000
+		const intervalMs = Math.max(limits.heartbeatMs * tuning.progressHeartbeats, roundMs)
+		for (const job of behind) {
+			const isDue = now - job.lastWrittenAt > (wantedJobs.has(job) ? roundMs : intervalMs)
+			if (this.isComplete(job) || isDue) this.write(job)
+		}
+	}
+}
--- a/packages/controller/src/state.ts
+++ b/packages/controller/src/state.ts
@@ -91,6 +91,13 @@
 		})
 	}
 
+	/** Puts the values of an own transaction that was applied at this revision into the watch cache. */
+	applyOwnMutations(mutations: readonly Mutation[], revision: number): void {
+		for (const mutation of mutations)
+			if ('set' in mutation)
+				this.ports.applyOwnWrite(mutation.set.slice(KEY_PREFIX.length), mutation.data, revision)
+	}
+
 	// ---- machines ----
 
 	/** The machine type of this name, or a stand-in without resources if the catalog does not have it. */
