--- /dev/null
+++ b/packages/controller/src/attempt-registry.ts
@@ -0,0 +1,92 @@
+/** Which attempts are, or may be, on which machines, and the resources that they hold. */
+import { hourlyPrice, machineFraction } from '@heathroad/policy'
+import type { JobQueue } from './job-queue.js'
+import { recomputeFreeResources } from './machine-resources.js'
+import type { Attempt, JobRun, Machine } from './model.js'
+import type { TeamUsage } from './team-usage.js'
+
+const SECONDS_PER_HOUR = 3600
+
+/** What the bookkeeping of attempts changes besides the attempts and their machines. */
+export interface AttemptRegistryDependencies {
+	jobs: Map<string, JobRun>
+	teams: TeamUsage
+	queue: JobQueue
+	/** steady time in ms */
+	now(): number
+}
+
+/**
+ * Keeps machines, jobs and team usage consistent with each other. A task has one placement at most; all other attempts
+ * of it are orphaned, and it is ready only while it has neither.
+ */
+export class AttemptRegistry {
+	constructor(private readonly dependencies: AttemptRegistryDependencies) {}
+
+	/** An attempt is planned for a machine, or was found on it. */
+	add(machine: Machine, attempt: Attempt): void {
+		machine.attempts.set(attempt.key, attempt)
+		const { job, taskIndex, resources } = attempt
+		if (job !== null && !attempt.orphaned) {
+			job.placements.set(taskIndex, attempt)
+			job.taskCountByZone.set(machine.zone, (job.taskCountByZone.get(machine.zone) ?? 0) + 1)
+		} else if (job !== null) {
+			// This owner did not start it, but it is there until the opposite is proven (incident 26).
+			job.orphanCounts.set(taskIndex, (job.orphanCounts.get(taskIndex) ?? 0) + 1)
+			job.readyTasks.delete(taskIndex)
+		}
+		this.dependencies.teams.add(resources.team, resources)
+		machine.freeResources.cpus -= resources.cpus
+		machine.freeResources.gpus -= resources.gpus
+		machine.freeResources.ramGb -= resources.ramGb
+		machine.idleSince = null
+	}
+
+	/** The attempt holds no resources any more: it has ended, or is not there. Has an effect once per attempt. */
+	free(machine: Machine, attempt: Attempt): void {
+		if (attempt.accountedFor) return
+		attempt.accountedFor = true
+		this.dependencies.teams.subtract(attempt.resources.team, attempt.resources)
+		const { job, taskIndex } = attempt
+		if (job === null) return
+		if (attempt.orphaned) this.decrementOrphans(job, taskIndex)
+		if (job.placements.get(taskIndex) !== attempt) return
+		job.placements.delete(taskIndex)
+		job.taskCountByZone.set(machine.zone, (job.taskCountByZone.get(machine.zone) ?? 1) - 1)
+		if (job.isTerminal && job.placements.size === 0) this.dependencies.jobs.delete(attempt.uid)
+	}
+
+	private decrementOrphans(job: JobRun, taskIndex: number): void {
+		const count = job.orphanCounts.get(taskIndex) ?? 0
+		if (count > 1) job.orphanCounts.set(taskIndex, count - 1)
+		else job.orphanCounts.delete(taskIndex)
+	}
+
+	/** The attempt is not on its machine; its task is requeued unless its end was accounted for before. */
+	remove(machine: Machine, attempt: Attempt): void {
+		const wasAccountedFor = attempt.accountedFor
+		machine.attempts.delete(attempt.key)
+		this.free(machine, attempt)
+		recomputeFreeResources(machine)
+		if (!wasAccountedFor) this.requeueTask(attempt)
+	}
+
+	/** The task may be started elsewhere if it is not done and proven absent from all machines. */
+	requeueTask(attempt: Attempt): void {
+		const { job, taskIndex } = attempt
+		if (job === null || job.isTerminal || job.doneTasks.has(taskIndex)) return
+		if (job.placements.has(taskIndex) || job.orphanCounts.has(taskIndex)) return
+		if (attempt.state !== 'ended' && !attempt.orphaned)
+			job.budget.restart(attempt.uid, attempt.budgetShare, this.cost(attempt))
+		if (!job.isReconciled) return
+		if (job.readyTasks.add(taskIndex) && job.readyTasks.size === 1) this.dependencies.queue.isDirty = true
+	}
+
+	/** What the attempt has cost so far: its share of the machine's price; 0 before its start. */
+	cost(attempt: Attempt): number {
+		const { machine, startedAt, resources } = attempt
+		if (startedAt === null) return 0
+		const seconds = (this.dependencies.now() - startedAt) / 1000
+		return (seconds * hourlyPrice(machine) * machineFraction(resources, machine.type)) / SECONDS_PER_HOUR
+	}
+}
--- a/packages/controller/src/heartbeat-handler.ts
+++ b/packages/controller/src/heartbeat-handler.ts
@@ -23,8 +23,8 @@
 /** Receives the response to a heartbeat; null if this controller is not the one to answer it. */
 export type RespondToHeartbeat = (response: HeartbeatResponse | null) => void
 
-/** The other parts of a shard that handling a heartbeat involves. */
-export interface HeartbeatHandlerParts {
+/** The other components of a shard that handling a heartbeat involves. */
+export interface HeartbeatHandlerDependencies {
 	reconciler: HeartbeatReconciler
 	commands: MachineCommands
 	scheduler: Scheduler
@@ -38,7 +38,7 @@
 
 	constructor(
 		private readonly state: ShardState,
-		private readonly parts: HeartbeatHandlerParts,
+		private readonly dependencies: HeartbeatHandlerDependencies,
 	) {}
 
 	/** See `Shard.handleHeartbeat`. */
@@ -52,15 +52,15 @@
 			machine.lastHeartbeatAt = now
 			return respond({ token: machine.fencingToken, orders: [] })
 		}
-		this.parts.reconciler.reconcile(machine, heartbeat, { followsResponse: true })
+		this.dependencies.reconciler.reconcile(machine, heartbeat, { followsResponse: true })
 		// Counts from its arrival, whenever it is answered: a machine that waits for its first response is not silent.
 		machine.lastHeartbeatAt = now
 		machine.address = heartbeat.address
 		if (machine.drainReason === 'silent' && !machine.releasing) machine.drainReason = null
 		if (!machine.booted) this.onBooted(machine, now)
-		this.parts.scheduler.placeTasks([machine])
+		this.dependencies.scheduler.placeTasks([machine])
 		if (machine.addressRecorded || machine.drainReason !== null) return this.respond(machine, respond)
-		this.parts.machineGroups.recordAddress(machine.groupName, machine.id, heartbeat.address)
+		this.dependencies.machineGroups.recordAddress(machine.groupName, machine.id, heartbeat.address)
 		this.delayResponse(machine, respond)
 	}
 
@@ -78,7 +78,7 @@
 
 	private respond(machine: Machine, respond: RespondToHeartbeat): void {
 		machine.lastHeartbeatAt = this.state.ports.now()
-		respond({ token: machine.fencingToken, orders: this.parts.commands.forHeartbeat(machine) })
+		respond({ token: machine.fencingToken, orders: this.dependencies.commands.forHeartbeat(machine) })
 	}
 
 	/**
--- a/packages/controller/src/job-lifecycle.ts
+++ b/packages/controller/src/job-lifecycle.ts
@@ -11,8 +11,14 @@
 
 type FinalState = NonNullable<JobRecord['finalState']>
 
-/** The other parts of a shard that a job's life cycle involves. */
-export interface JobLifecycleParts {
+/** How a job comes to this owner. */
+export interface JobIntake {
+	/** a former owner may have started tasks of it on machines that have not reported yet: none is ready before they have */
+	mayBeOnMachines: boolean
+}
+
+/** The other components of a shard that a job's life cycle involves. */
+export interface JobLifecycleDependencies {
 	gate: AdmissionGate
 	scaleOut: ScaleOut
 	scheduler: Scheduler
@@ -24,12 +30,12 @@
 export class JobLifecycle {
 	constructor(
 		private readonly state: ShardState,
-		private readonly parts: JobLifecycleParts,
+		private readonly dependencies: JobLifecycleDependencies,
 	) {}
 
-	/** See `Shard.onJobChanged`. */
-	onJobChanged(uid: string, record: JobRecord, isReconciled: boolean): void {
-		const { gate } = this.parts
+	/** A job's record changed, or was read after a takeover. */
+	onJobChanged(uid: string, record: JobRecord, intake: JobIntake): void {
+		const { gate } = this.dependencies
 		const job = this.state.jobs.get(uid)
 		if (record.shardId !== this.state.shardId) {
 			gate.drop(uid)
@@ -44,7 +50,7 @@
 		if (job !== undefined || record.spec === undefined) return
 		if (!this.state.ports.isPendingRelease(uid, record)) {
 			gate.drop(uid)
-			this.take(record.spec, record, isReconciled)
+			this.take(record.spec, record, intake)
 		} else if (!gate.has(uid)) gate.hold(record.spec, record)
 	}
 
@@ -57,34 +63,34 @@
 			record.finalState !== undefined
 		)
 			return
-		if (!this.state.jobs.has(uid)) this.take(record.spec, record, this.state.reconciled)
+		if (!this.state.jobs.has(uid)) this.take(record.spec, record, { mayBeOnMachines: !this.state.reconciled })
 	}
 
 	/** See `Shard.applyCancellation`. */
 	onCancelled(uid: string): void {
-		this.parts.gate.drop(uid)
+		this.dependencies.gate.drop(uid)
 		const job = this.state.jobs.get(uid)
 		if (job !== undefined && !job.isTerminal) this.close(job, 'aborted')
 	}
 
-	private take(spec: JobSpec, record: JobRecord, isReconciled: boolean): void {
+	private take(spec: JobSpec, record: JobRecord, { mayBeOnMachines }: JobIntake): void {
 		const { uid } = spec
 		const { ports, config } = this.state
-		const offers = this.parts.scaleOut.offers(spec, false)
+		const offers = this.dependencies.scaleOut.offers(spec, false)
 		const budget = createBudgetLedger(spec, offers, config.tuning.budgetMix)
-		const job = new JobRun(spec, record.acceptedAtMs ?? 0, budget, isReconciled)
+		const job = new JobRun(spec, record.acceptedAtMs ?? 0, budget, !mayBeOnMachines)
 		job.doneTasks = this.readDoneTasks(spec, record)
 		job.durableDoneTasks = job.doneTasks.copy()
 		job.lastWrittenAt = ports.now()
 		job.arrivedAt = job.lastWrittenAt
 		job.wasQuarantined = ports.wasQuarantined(uid)
-		if (isReconciled) {
+		if (!mayBeOnMachines) {
 			job.readyTasks = RangeSet.full(spec.tasks)
 			job.readyTasks.deleteAll(job.doneTasks)
 		}
 		this.state.jobs.set(uid, job)
 		this.state.queueDirty = true
-		if (isReconciled) this.parts.scheduler.placeTasks(this.state.machines.values())
+		if (!mayBeOnMachines) this.dependencies.scheduler.placeTasks(this.state.machines.values())
 	}
 
 	/** Done tasks: those of the first chunk are in the job's record, the others in keys of their own. */
@@ -139,7 +145,7 @@
 				machine.agentEpoch,
 				commands.slice(0, MAX_COMMANDS_PER_RESPONSE),
 				(status, heartbeat) => {
-					if (status === 200 && heartbeat !== null) this.parts.reconcile(machine, heartbeat)
+					if (status === 200 && heartbeat !== null) this.dependencies.reconcile(machine, heartbeat)
 				},
 			)
 		}
--- a/packages/controller/src/machine-monitor.ts
+++ b/packages/controller/src/machine-monitor.ts
@@ -23,6 +23,13 @@
 	jobsToWrite: Set<JobRun | null>
 }
 
+/** What is the same for all machines of one check. */
+interface CheckContext {
+	now: number
+	/** some job waits for room on machines */
+	jobsWait: boolean
+}
+
 /** Finds the machines that are to be returned, and expires the attempts of machines whose agent lease has ended. */
 export class MachineMonitor {
 	constructor(
@@ -34,15 +41,17 @@
 
 	/** Checks all machines once, in the order in which they became known. */
 	checkAll(now: number): MachineCheckResult {
-		const result: MachineCheckResult = { toRelease: [], jobsToWrite: new Set() }
-		const jobsWait = this.state.hasWaitingJobs(now)
-		for (const machine of this.state.machines.values())
-			if (this.check(machine, now, jobsWait, result.jobsToWrite)) result.toRelease.push(machine)
-		return result
+		const toRelease: Machine[] = []
+		const jobsToWrite = new Set<JobRun | null>()
+		const context = { now, jobsWait: this.state.hasWaitingJobs(now) }
+		for (const machine of this.state.machines.values()) {
+			if (this.check(machine, context, jobsToWrite)) toRelease.push(machine)
+		}
+		return { toRelease, jobsToWrite }
 	}
 
-	/** Checks one machine; true if it is to be released now. */
-	private check(machine: Machine, now: number, jobsWait: boolean, jobsToWrite: Set<JobRun | null>): boolean {
+	/** Checks one machine and adds the jobs whose outcomes keep it; true if it is to be released now. */
+	private check(machine: Machine, { now, jobsWait }: CheckContext, jobsToWrite: Set<JobRun | null>): boolean {
 		if (machine.releasing) {
 			// While the cloud is down its release may take long: the lease frees its tasks all the same.
 			if (machine.booted) this.checkLease(machine, now)
--- a/packages/controller/src/machine-remover.ts
+++ b/packages/controller/src/machine-remover.ts
@@ -12,8 +12,8 @@
 /** Pause before an unconfirmed release is repeated, in controller leases: the call rate stays free after an outage. */
 const RELEASE_RETRY_CONTROLLER_LEASES = 0.5
 
-/** The other parts of a shard that removing a machine involves. */
-export interface MachineRemoverParts {
+/** The other components of a shard that removing a machine involves. */
+export interface MachineRemoverDependencies {
 	heartbeats: HeartbeatHandler
 	takeover: TakeoverReconciler
 	machineGroups: MachineGroupWriter
@@ -24,15 +24,15 @@
 export class MachineRemover {
 	constructor(
 		private readonly state: ShardState,
-		private readonly parts: MachineRemoverParts,
+		private readonly dependencies: MachineRemoverDependencies,
 	) {}
 
 	/** Removes a machine that is gone, or is another shard's: its tasks may be started elsewhere. */
 	remove(machine: Machine): void {
-		this.parts.heartbeats.onMachineRemoved(machine)
+		this.dependencies.heartbeats.onMachineRemoved(machine)
 		for (const attempt of [...machine.attempts.values()]) this.state.removeAttempt(machine, attempt)
 		this.state.machines.delete(machine.id)
-		this.parts.takeover.onMachineRemoved(machine)
+		this.dependencies.takeover.onMachineRemoved(machine)
 	}
 
 	/** Returns machines to the cloud, as many of them as one call takes. A machine in release is never used again. */
@@ -62,8 +62,8 @@
 		}
 		for (const machine of remaining) {
 			this.remove(machine)
-			this.parts.machineGroups.removeMachine(machine.groupName, machine.id)
+			this.dependencies.machineGroups.removeMachine(machine.groupName, machine.id)
 		}
-		this.parts.scheduler.placeTasks(this.state.machines.values())
+		this.dependencies.scheduler.placeTasks(this.state.machines.values())
 	}
 }
--- /dev/null
+++ b/packages/controller/src/machine-resources.ts
@@ -0,0 +1,29 @@
+/** Resources of one machine: what its attempts leave free, and the images in its cache. */
+import type { JobSpec } from '@heathroad/wire'
+import type { Machine } from './model.js'
+
+/** Computes what is free from the attempts that are there. */
+export const recomputeFreeResources = (machine: Machine): void => {
+	const free = { cpus: machine.type.cpus, gpus: machine.type.gpus, ramGb: machine.type.ramGb }
+	for (const attempt of machine.attempts.values()) {
+		if (attempt.state === 'ended') continue
+		free.cpus -= attempt.resources.cpus
+		free.gpus -= attempt.resources.gpus
+		free.ramGb -= attempt.resources.ramGb
+	}
+	machine.freeResources = free
+}
+
+/** The machine has the job's image from now on; the least recently used images beyond its cache's size are dropped. */
+export const recordCachedImage = (machine: Machine, spec: JobSpec): void => {
+	// Re-inserted at the end: the map keeps the order of last use.
+	machine.cachedImages.delete(spec.image)
+	machine.cachedImages.set(spec.image, spec.imageGb)
+	let totalGb = 0
+	for (const sizeGb of machine.cachedImages.values()) totalGb += sizeGb
+	for (const [image, sizeGb] of machine.cachedImages) {
+		if (totalGb <= machine.type.cacheGb || image === spec.image) break
+		machine.cachedImages.delete(image)
+		totalGb -= sizeGb
+	}
+}
--- a/packages/controller/src/model.ts
+++ b/packages/controller/src/model.ts
@@ -3,16 +3,6 @@
 import type { JobRun } from './job-run.js'
 
 export { JobRun } from './job-run.js'
-export type {
-	AdmissionAccess,
-	Clocks,
-	CloudAccess,
-	MachineAccess,
-	PeerKnowledge,
-	ShardPorts,
-	StoreAccess,
-} from './ports.js'
-
 /** `planned`: chosen for a machine, nothing sent yet. `sent`: in a heartbeat's response, not reported back yet. */
 export type AttemptState = 'planned' | 'sent' | TaskState
 
--- a/packages/controller/src/shard.ts
+++ b/packages/controller/src/shard.ts
@@ -1,4 +1,4 @@
-/** Coordinates the parts of one shard: what a change of records, a heartbeat or a tick does, and in which order. */
+/** Coordinates the components of one shard: what a change of records, a heartbeat or a tick does, and in which order. */
 import {
 	decodeMachineGroup,
 	type JobRecord,
@@ -15,13 +15,15 @@
 import { HeartbeatHandler, type RespondToHeartbeat } from './heartbeat-handler.js'
 import { HeartbeatReconciler } from './heartbeat-reconciler.js'
 import { JobLifecycle } from './job-lifecycle.js'
+import type { JobRun } from './job-run.js'
 import { MachineAdopter } from './machine-adopter.js'
 import { MachineCommands } from './machine-commands.js'
 import { MachineMonitor } from './machine-monitor.js'
 import { MachineRemover } from './machine-remover.js'
-import type { JobRun, Machine, ShardPorts } from './model.js'
+import type { Machine } from './model.js'
 import { JobMigrator } from './moves.js'
 import { Scheduler } from './planner.js'
+import type { ShardPorts } from './ports.js'
 import { ProgressWriter } from './progress-writer.js'
 import { ScaleOut } from './renter.js'
 import { ShardState } from './state.js'
@@ -76,6 +78,7 @@
 		this.jobMigrator = new JobMigrator(state)
 		this.gate = new AdmissionGate(state, (uid) => this.jobLifecycle.onReleased(uid))
 		this.failureDetector = new FailureDetector(state)
+		// Components that depend on each other are connected through callbacks; none is called before all of them exist.
 		const reconcile = (machine: Machine, heartbeat: Heartbeat) =>
 			reconciler.reconcile(machine, heartbeat, { followsResponse: false })
 		this.takeover = new TakeoverReconciler(state, scheduler, {
@@ -108,7 +111,8 @@
 		this.takeover.begin()
 		for (const uid of this.ports.openJobs()) {
 			const job = this.ports.job(uid)
-			if (job !== undefined) this.onJobChanged(uid, job.record, this.state.reconciled)
+			const mayBeOnMachines = !this.state.reconciled
+			if (job !== undefined) this.jobLifecycle.onJobChanged(uid, job.record, { mayBeOnMachines })
 		}
 		for (const [name, record] of openRentals) this.scaleOut.rentRecordedGroup(name, record)
 		this.takeover.probeUnconfirmed()
@@ -187,12 +191,9 @@
 		}
 	}
 
-	/**
-	 * A job's record changed: accepted, cancelled, moved to another shard, or an own write seen again. `settled` is
-	 * false for a job of a former owner: its tasks may be on machines that have not reported yet.
-	 */
-	onJobChanged(uid: string, record: JobRecord, settled = true): void {
-		this.jobLifecycle.onJobChanged(uid, record, settled)
+	/** A job's record changed: accepted, cancelled, moved to or from another shard, or an own write seen again. */
+	onJobChanged(uid: string, record: JobRecord): void {
+		this.jobLifecycle.onJobChanged(uid, record, { mayBeOnMachines: false })
 	}
 
 	/** Jobs were released by their admission checks, which is durable. */
--- a/packages/controller/src/state.ts
+++ b/packages/controller/src/state.ts
@@ -7,21 +7,23 @@
 	shardKey,
 } from '@heathroad/cluster'
 import { type Config, terminalPageLimits } from '@heathroad/config'
-import { hourlyPrice, machineFraction, type TeamLimit } from '@heathroad/policy'
+import type { TeamLimit } from '@heathroad/policy'
 import { KEY_PREFIX, type WriteResult } from '@heathroad/store'
 import type { Condition, JobSpec, MachineType, Mutation } from '@heathroad/wire'
+import { AttemptRegistry } from './attempt-registry.js'
 import { BootTimeEstimator } from './boots.js'
 import { JobQueue } from './job-queue.js'
-import type { Attempt, JobRun, Machine, ShardPorts } from './model.js'
+import type { JobRun } from './job-run.js'
+import { recomputeFreeResources, recordCachedImage } from './machine-resources.js'
+import type { Attempt, Machine } from './model.js'
 import { newMachine, unknownMachineType } from './new-machine.js'
+import type { ShardPorts } from './ports.js'
 import { RunTimeEstimator } from './run-time-estimator.js'
 import { TeamUsage } from './team-usage.js'
 
 /** Heartbeat intervals without a heartbeat after which a machine takes nothing new. */
 export const MAX_MISSED_HEARTBEATS = 3
 
-const SECONDS_PER_HOUR = 3600
-
 /** Jobs, machines and attempts of one shard under one owner. Times are steady time in ms. */
 export class ShardState {
 	/** jobs of this shard that may start or are running, by uid */
@@ -42,6 +44,7 @@
 	private readonly runTimes = new RunTimeEstimator()
 	private readonly teams: TeamUsage
 	private readonly queue: JobQueue
+	private readonly attempts: AttemptRegistry
 
 	constructor(
 		readonly shardId: number,
@@ -57,6 +60,12 @@
 			runTimes: this.runTimes,
 			wallClockMs: () => ports.wallClockMs(),
 		})
+		this.attempts = new AttemptRegistry({
+			jobs: this.jobs,
+			teams: this.teams,
+			queue: this.queue,
+			now: () => ports.now(),
+		})
 		this.records = {
 			get: (key) => ports.entry(key),
 			modRevision: (key) => ports.entry(key)?.modRevision ?? 0,
@@ -122,14 +131,7 @@
 
 	/** Computes what is free from the attempts that are there. */
 	recomputeFreeResources(machine: Machine): void {
-		const free = { cpus: machine.type.cpus, gpus: machine.type.gpus, ramGb: machine.type.ramGb }
-		for (const attempt of machine.attempts.values()) {
-			if (attempt.state === 'ended') continue
-			free.cpus -= attempt.resources.cpus
-			free.gpus -= attempt.resources.gpus
-			free.ramGb -= attempt.resources.ramGb
-		}
-		machine.freeResources = free
+		recomputeFreeResources(machine)
 	}
 
 	/**
@@ -144,89 +146,36 @@
 		return silentMs <= this.config.limits.heartbeatMs * MAX_MISSED_HEARTBEATS
 	}
 
-	/** The machine has the job's image from now on; the least recently used images beyond its cache are dropped. */
+	/** The machine has the job's image from now on. */
 	recordCachedImage(machine: Machine, spec: JobSpec): void {
-		// Re-inserted at the end: the map keeps the order of last use.
-		machine.cachedImages.delete(spec.image)
-		machine.cachedImages.set(spec.image, spec.imageGb)
-		let totalGb = 0
-		for (const sizeGb of machine.cachedImages.values()) totalGb += sizeGb
-		for (const [image, sizeGb] of machine.cachedImages) {
-			if (totalGb <= machine.type.cacheGb || image === spec.image) break
-			machine.cachedImages.delete(image)
-			totalGb -= sizeGb
-		}
+		recordCachedImage(machine, spec)
 	}
 
-	// ---- attempts ----
+	// ---- attempts: see `AttemptRegistry` ----
 
 	/** An attempt is planned for a machine, or was found on it. */
 	addAttempt(machine: Machine, attempt: Attempt): void {
-		machine.attempts.set(attempt.key, attempt)
-		const { job, taskIndex, resources } = attempt
-		if (job !== null && !attempt.orphaned) {
-			job.placements.set(taskIndex, attempt)
-			job.taskCountByZone.set(machine.zone, (job.taskCountByZone.get(machine.zone) ?? 0) + 1)
-		} else if (job !== null) {
-			// This owner did not start it, but it is there until the opposite is proven (incident 26).
-			job.orphanCounts.set(taskIndex, (job.orphanCounts.get(taskIndex) ?? 0) + 1)
-			job.readyTasks.delete(taskIndex)
-		}
-		this.teams.add(resources.team, resources)
-		machine.freeResources.cpus -= resources.cpus
-		machine.freeResources.gpus -= resources.gpus
-		machine.freeResources.ramGb -= resources.ramGb
-		machine.idleSince = null
+		this.attempts.add(machine, attempt)
 	}
 
-	/** The attempt takes no resources any more: it has ended, or is not there. Has an effect once per attempt. */
+	/** The attempt holds no resources any more: it has ended, or is not there. Has an effect once per attempt. */
 	freeResourcesOf(machine: Machine, attempt: Attempt): void {
-		if (attempt.accountedFor) return
-		attempt.accountedFor = true
-		this.teams.subtract(attempt.resources.team, attempt.resources)
-		const { job, taskIndex } = attempt
-		if (job === null) return
-		if (attempt.orphaned) this.decrementOrphans(job, taskIndex)
-		if (job.placements.get(taskIndex) !== attempt) return
-		job.placements.delete(taskIndex)
-		job.taskCountByZone.set(machine.zone, (job.taskCountByZone.get(machine.zone) ?? 1) - 1)
-		if (job.isTerminal && job.placements.size === 0) this.jobs.delete(attempt.uid)
-	}
-
-	private decrementOrphans(job: JobRun, taskIndex: number): void {
-		const count = job.orphanCounts.get(taskIndex) ?? 0
-		if (count > 1) job.orphanCounts.set(taskIndex, count - 1)
-		else job.orphanCounts.delete(taskIndex)
+		this.attempts.free(machine, attempt)
 	}
 
 	/** The attempt is not on its machine; its task is requeued unless its end was accounted for before. */
 	removeAttempt(machine: Machine, attempt: Attempt): void {
-		const wasAccountedFor = attempt.accountedFor
-		machine.attempts.delete(attempt.key)
-		this.freeResourcesOf(machine, attempt)
-		this.recomputeFreeResources(machine)
-		if (!wasAccountedFor) this.requeueTask(attempt)
+		this.attempts.remove(machine, attempt)
 	}
 
 	/** The task may be started elsewhere if it is not done and proven absent from all machines. */
 	requeueTask(attempt: Attempt): void {
-		const { job, taskIndex } = attempt
-		if (job === null || job.isTerminal || job.doneTasks.has(taskIndex)) return
-		if (job.placements.has(taskIndex) || job.orphanCounts.has(taskIndex)) return
-		if (attempt.state !== 'ended' && !attempt.orphaned)
-			job.budget.restart(attempt.uid, attempt.budgetShare, this.attemptCost(attempt))
-		if (!job.isReconciled) return
-		if (job.readyTasks.add(taskIndex) && job.readyTasks.size === 1) this.queueDirty = true
+		this.attempts.requeueTask(attempt)
 	}
 
-	/** What the attempt has cost so far: its share of the machine's price, 0 before its start. */
+	/** What the attempt has cost so far: its share of the machine's price; 0 before its start. */
 	attemptCost(attempt: Attempt): number {
-		const machine = attempt.machine
-		if (attempt.startedAt === null) return 0
-		const seconds = (this.ports.now() - attempt.startedAt) / 1000
-		return (
-			(seconds * hourlyPrice(machine) * machineFraction(attempt.resources, machine.type)) / SECONDS_PER_HOUR
-		)
+		return this.attempts.cost(attempt)
 	}
 
 	// ---- run times ----
@@ -285,11 +234,6 @@
 		return this.queue.ageS(job)
 	}
 
-	/** Open jobs in the order in which they are served. */
-	jobsInOrder(): readonly JobRun[] {
-		return this.queue.inOrder()
-	}
-
 	/** Jobs with tasks that may start now, in order. */
 	waitingJobs(now: number): Iterable<JobRun> {
 		return this.queue.waiting(now)
--- a/packages/controller/src/takeover-reconciler.ts
+++ b/packages/controller/src/takeover-reconciler.ts
@@ -11,7 +11,7 @@
 /** Heartbeat intervals after which, at the latest, a few missing machines are released. */
 const MAX_PATIENCE_HEARTBEATS = 3
 
-/** What the reconciliation after a takeover asks of other parts of the shard. */
+/** What the reconciliation after a takeover asks of other components of the shard. */
 export interface TakeoverActions {
 	/** takes over a heartbeat that came in the answer to a probe */
 	reconcile(machine: Machine, heartbeat: Heartbeat): void
