--- a/packages/controller/src/run-time-estimator.ts
+++ b/packages/controller/src/run-time-estimator.ts
@@ -1,7 +1,7 @@
 /** Estimates of run times, from what users expect and how jobs of the same class actually ran. */
 import type { JobSpec } from '@heathroad/wire'
 
-/** The shortest estimate, in seconds: estimates are divided by. */
+/** The shortest estimate, in seconds: jobs may state that they expect to take no time. */
 const MIN_ESTIMATE_S = 0.1
 
 /** Observations of a class below which the user's own figure is taken. */
@@ -26,8 +26,8 @@
 
 	/** Estimated run time of a task of this job, in seconds. */
 	estimateS(spec: JobSpec): number {
-		const known = this.ratios.get(spec.jobClass)
-		const ratio = known !== undefined && known.observations >= MIN_OBSERVATIONS ? known.ratio : 1
+		const average = this.ratios.get(spec.jobClass)
+		const ratio = average !== undefined && average.observations >= MIN_OBSERVATIONS ? average.ratio : 1
 		return Math.max(MIN_ESTIMATE_S, spec.expectedS * ratio)
 	}
 
--- a/packages/controller/src/shard.ts
+++ b/packages/controller/src/shard.ts
@@ -29,7 +29,7 @@
 import { ShardState } from './state.js'
 import { TakeoverReconciler } from './takeover-reconciler.js'
 
-/** Planning rounds over all machines per heartbeat interval: work is placed soon after heartbeats changed the picture. */
+/** Planning rounds over all machines per heartbeat interval: work that waits is placed well before the next heartbeat. */
 const PLANNING_ROUNDS_PER_HEARTBEAT = 6
 
 /** The shortest time between planning rounds, in ms: a round costs CPU time in proportion to the shard. */
@@ -165,9 +165,9 @@
 	onMachineGroupChanged(name: string, data: unknown, before: unknown): void {
 		if (this.state.stopped) return
 		const record = decodeMachineGroup(data)
-		const isOurs = record !== null && record.shardId === this.shardId
+		const belongsHere = record !== null && record.shardId === this.shardId
 		const previous = decodeMachineGroup(before)
-		if (isOurs) {
+		if (belongsHere) {
 			this.scaleOut.onGroupRecorded(name, record)
 			this.takeRecordedMachines(name, record)
 		}
@@ -175,7 +175,7 @@
 		for (const id of Object.keys(previous.addresses)) {
 			const machine = this.machines.get(id)
 			if (machine === undefined || machine.groupName !== name) continue
-			if (!isOurs || record.addresses[id] === undefined) this.machineRemover.remove(machine)
+			if (!belongsHere || record.addresses[id] === undefined) this.machineRemover.remove(machine)
 		}
 	}
 
--- a/tests/shard.test.ts
+++ b/tests/shard.test.ts
@@ -220,7 +220,7 @@
 	assert.equal(first.length, 8, 'as many as it has room for')
 	scenario.advance(500)
 	const waiting = scenario.shard.jobs.get('job-000001')
-	assert.equal(waiting?.readyTasks.size, 4, 'the others wait, and may be rented for')
+	assert.equal(waiting?.readyTasks.size, 4, 'the rest waits, and machines may be rented for it')
 	assert.equal(startedTasks(scenario.heartbeat('i-1')).length, 4, 'until its next heartbeat')
 })
 
