--- a/packages/controller/src/gate.ts
+++ b/packages/controller/src/admission-gate.ts
@@ -4,7 +4,7 @@
 import { KEY_PREFIX, type TransactionContent, WritePriority } from '@heathroad/store'
 import type { JobSpec } from '@heathroad/wire'
 import TinyQueue from 'tinyqueue'
-import type { CheckContext, Verdict } from './checks.js'
+import type { CheckContext, Verdict } from './admission-checks.js'
 import type { ShardState } from './state.js'
 
 /** Questions of one part that are under way at a time. */
--- a/packages/controller/src/model.ts
+++ b/packages/controller/src/model.ts
@@ -13,8 +13,8 @@
 	TaskState,
 	WireInteger,
 } from '@heathroad/wire'
-import type { OfferAvailability } from './capacity.js'
-import type { AdmissionChecks } from './checks.js'
+import type { AdmissionChecks } from './admission-checks.js'
+import type { OfferAvailability } from './offer-availability.js'
 
 /** `planned`: chosen for a machine, nothing sent yet. `sent`: in a report's response, not settled yet. */
 export type AttemptState = 'planned' | 'sent' | TaskState
--- a/packages/controller/src/part.ts
+++ b/packages/controller/src/part.ts
@@ -25,14 +25,14 @@
 	type ReportedTask,
 	type WireInteger,
 } from '@heathroad/wire'
+import { AdmissionGate } from './admission-gate.js'
 import { CrashLoopDetector } from './faults.js'
-import { MachineGroupWriter } from './fleet.js'
-import { AdmissionGate } from './gate.js'
+import { JobMigrator } from './job-migrator.js'
+import { MachineGroupWriter } from './machine-group-writer.js'
 import { type Attempt, gracePeriodS, JobRun, type Machine, type ShardPorts } from './model.js'
-import { JobMigrator } from './moves.js'
-import { Scheduler } from './planner.js'
 import { ProgressWriter } from './progress.js'
-import { ScaleOut } from './renter.js'
+import { ScaleOut } from './scale-out.js'
+import { Scheduler } from './scheduler.js'
 import { FailureDetector } from './silence.js'
 import { ShardState } from './state.js'
 
--- a/packages/controller/src/renter.ts
+++ b/packages/controller/src/scale-out.ts
@@ -16,7 +16,7 @@
 } from '@heathroad/policy'
 import { KEY_PREFIX, WritePriority } from '@heathroad/store'
 import type { JobSpec, MachineType } from '@heathroad/wire'
-import type { MachineGroupWriter } from './fleet.js'
+import type { MachineGroupWriter } from './machine-group-writer.js'
 import type { JobRun } from './model.js'
 import type { ShardState } from './state.js'
 
--- a/packages/controller/src/planner.ts
+++ b/packages/controller/src/scheduler.ts
@@ -17,7 +17,7 @@
 } from '@heathroad/policy'
 import type { JobSpec } from '@heathroad/wire'
 import { type Attempt, gracePeriodS, type JobRun, type Machine } from './model.js'
-import type { ScaleOut } from './renter.js'
+import type { ScaleOut } from './scale-out.js'
 import type { ShardState } from './state.js'
 
 /** Attempts are `token * ATTEMPTS + counter`: unique over owners and restarts, and exact in a double. */
--- a/packages/controller/src/state.ts
+++ b/packages/controller/src/state.ts
@@ -9,7 +9,7 @@
 import { hourlyPrice, machineFraction, orderRank, startBounds, type TeamLimit } from '@heathroad/policy'
 import { KEY_PREFIX, type WriteResult } from '@heathroad/store'
 import type { Condition, JobSpec, MachineType, Mutation } from '@heathroad/wire'
-import { BootTimeEstimator } from './boots.js'
+import { BootTimeEstimator } from './boot-time-estimator.js'
 import type { Attempt, JobRun, Machine, ShardPorts } from './model.js'
 
 /** What the concerns of one part share: its jobs, its machines and the books of what is, or may be, where. */
