--- /dev/null
+++ b/packages/controller/src/consolidation.ts
@@ -0,0 +1,121 @@
+/** Consolidation: empties sparsely used machines so that they become idle and are returned. */
+import {
+	choosePacking,
+	hourlyPrice,
+	isAllowedOn,
+	type PackedMachine,
+	type PackedTask,
+} from '@heathroad/policy'
+import { type Attempt, gracePeriodS, type JobRun, type Machine } from './model.js'
+import type { ShardState } from './state.js'
+
+/** At most one in so many machines is emptied a round: moved tasks must find room at once. */
+const MACHINES_PER_DRAIN = 16
+
+/** Least fetch rate assumed for the time that an image takes, so that unknown rates do not divide by zero. */
+const MIN_FETCH_GB_PER_S = 0.01
+
+/** Heartbeat periods that a move takes beside saving and fetching: stop, report of the end, start. */
+const HEARTBEATS_PER_MOVE = 3
+
+interface ConsolidationMachine extends PackedMachine {
+	machine: Machine
+}
+
+/** The machines as packing policy sees them, and the jobs of those tasks that may be moved. */
+interface ConsolidationInput {
+	machines: readonly ConsolidationMachine[]
+	jobsByTask: ReadonlyMap<PackedTask, JobRun>
+}
+
+/**
+ * Empties machines while no job waits. Without it low-priority work that runs for minutes in small pieces keeps most of
+ * a fleet half empty, and none of it ever idle.
+ */
+export class Consolidator {
+	/** steady time in ms */
+	private nextRoundAt = 0
+
+	constructor(private readonly state: ShardState) {}
+
+	/** Starts to drain machines whose few tasks can save their progress and fit on other machines. */
+	consolidate(now: number): void {
+		if (!this.isDue(now)) return
+		const { machines, jobsByTask } = this.collectInput(now)
+		const mayMove = (from: ConsolidationMachine, task: PackedTask, to: ConsolidationMachine): boolean => {
+			const spec = jobsByTask.get(task)?.spec
+			// Tasks of unknown jobs have no cost of a move: policy never moves them.
+			if (spec === undefined) return false
+			const isZoneBound = spec.samePlace || spec.apart
+			return isAllowedOn(spec, to.machine) && (!isZoneBound || from.machine.zone === to.machine.zone)
+		}
+		const maxDrained = Math.ceil(machines.length / MACHINES_PER_DRAIN)
+		for (const { machine } of choosePacking(machines, maxDrained, mayMove)) this.drain(machine)
+	}
+
+	/**
+	 * A round is due once the queue has been empty for half an agent lease, and then once in that time: machines that are
+	 * emptied in the gap between two jobs would be rented anew a moment later.
+	 */
+	private isDue(now: number): boolean {
+		if (this.state.ports.leadership() !== 'lease' || !this.state.reconciled) return false
+		const isWaiting = this.state.hasWaitingJobs(now)
+		const isTimeOver = now >= this.nextRoundAt
+		if (isWaiting || isTimeOver) this.nextRoundAt = now + this.state.config.limits.agentLeaseMs / 2
+		return !isWaiting && isTimeOver
+	}
+
+	private collectInput(now: number): ConsolidationInput {
+		const machines: ConsolidationMachine[] = []
+		const jobsByTask = new Map<PackedTask, JobRun>()
+		for (const machine of this.state.machines.values()) {
+			if (!this.state.isSchedulable(machine, now)) continue
+			const tasks: PackedTask[] = []
+			for (const attempt of machine.attempts.values()) {
+				if (attempt.state === 'ended') continue
+				const task = this.toPackedTask(attempt, now)
+				tasks.push(task)
+				if (attempt.job !== null) jobsByTask.set(task, attempt.job)
+			}
+			machines.push({
+				id: machine.id,
+				price: hourlyPrice(machine),
+				cpus: machine.type.cpus,
+				free: machine.freeResources,
+				tasks,
+				machine,
+			})
+		}
+		return { machines, jobsByTask }
+	}
+
+	private toPackedTask(attempt: Attempt, now: number): PackedTask {
+		const { job, resources } = attempt
+		// Nothing is known of a task whose job is not of this shard: it stays.
+		if (job === null) return { need: resources, leftS: 0, moveS: null }
+		const isMovable =
+			attempt.state === 'running' && attempt.stopGracePeriodS === null && job.spec.checkpointS > 0
+		return {
+			need: resources,
+			leftS: this.state.remainingRunS(attempt, job, now),
+			moveS: isMovable ? this.moveCostS(job, attempt.machine) : null,
+		}
+	}
+
+	/** Seconds that moving a task costs: saving its progress, fetching the image anew and the commands' way. */
+	private moveCostS({ spec }: JobRun, machine: Machine): number {
+		const fetchS = spec.imageGb / Math.max(MIN_FETCH_GB_PER_S, machine.type.fetchGbPerS)
+		return spec.saveS + fetchS + (this.state.config.limits.heartbeatMs * HEARTBEATS_PER_MOVE) / 1000
+	}
+
+	private drain(machine: Machine): void {
+		machine.drainReason = 'packed'
+		for (const attempt of machine.attempts.values())
+			if (attempt.state === 'running' && attempt.job !== null)
+				attempt.stopGracePeriodS = gracePeriodS(attempt.job.spec)
+		this.state.ports.log('info', 'machine consolidating', {
+			machine: machine.id,
+			freeCpus: machine.freeResources.cpus,
+		})
+	}
+}
--- /dev/null
+++ b/packages/controller/src/preemption.ts
@@ -0,0 +1,194 @@
+/** Preemption: stops running tasks so that waiting urgent tasks, or those of a guaranteed team, can start. */
+import { chooseVictims, isAllowedOn, isZoneAllowed, priorityRank, type Victim } from '@heathroad/policy'
+import type { JobSpec } from '@heathroad/wire'
+import { type Attempt, gracePeriodS, type JobRun, type Machine } from './model.js'
+import { startPatienceS } from './start-patience.js'
+import type { ShardState } from './state.js'
+
+/** In one round tasks are stopped on at most one in so many machines: a burst must not empty the fleet. */
+const MACHINES_PER_PREEMPTION = 8
+
+interface RunningTask extends Victim {
+	attempt: Attempt
+	spec: JobSpec
+}
+
+/** Machines on which tasks may be stopped; each is used at most once a round and then leaves its list. */
+interface PreemptableMachines {
+	/** some task there saves checkpoints */
+	withCheckpoints: Machine[]
+	/** some task of ours runs there */
+	withRunningTasks: Machine[]
+}
+
+/** A waiting job that preempts. */
+interface Preemptor {
+	job: JobRun
+	/** its team uses less than it is guaranteed */
+	isWithinGuarantee: boolean
+}
+
+/** Tasks to stop on one machine. */
+interface Preemption {
+	machineIndex: number
+	victims: readonly RunningTask[]
+	/** work that is lost, in CPU seconds */
+	lostCpuS: number
+}
+
+const isBeingStopped = (attempt: Attempt): boolean =>
+	attempt.state !== 'ended' && attempt.stopGracePeriodS !== null
+
+/** CPUs of tasks that are being stopped already, on machines that take new tasks. */
+const countFreeingCpus = (machines: readonly Machine[]): number => {
+	let cpus = 0
+	for (const machine of machines)
+		for (const attempt of machine.attempts.values())
+			if (isBeingStopped(attempt)) cpus += attempt.resources.cpus
+	return cpus
+}
+
+/** Specs of the known jobs whose tasks run on the machine. */
+const runningSpecs = (machine: Machine): readonly JobSpec[] => {
+	const specs: JobSpec[] = []
+	for (const { state, job } of machine.attempts.values())
+		if (state === 'running' && job !== null) specs.push(job.spec)
+	return specs
+}
+
+/** Machines where tasks are being stopped already are left alone. */
+const findPreemptableMachines = (machines: readonly Machine[]): PreemptableMachines => {
+	const withCheckpoints: Machine[] = []
+	const withRunningTasks: Machine[] = []
+	for (const machine of machines) {
+		if ([...machine.attempts.values()].some(isBeingStopped)) continue
+		const specs = runningSpecs(machine)
+		if (specs.some((spec) => spec.checkpointS > 0)) withCheckpoints.push(machine)
+		if (specs.length > 0) withRunningTasks.push(machine)
+	}
+	return { withCheckpoints, withRunningTasks }
+}
+
+/** Work that stopping a task now would lose, in seconds. */
+const lostWorkS = (attempt: Attempt, spec: JobSpec, now: number): number => {
+	if (spec.checkpointS > 0) return spec.saveS
+	return attempt.startedAt === null ? 0 : (now - attempt.startedAt) / 1000
+}
+
+/** The tasks that run on the machine and are not being stopped. */
+const findRunningTasks = (machine: Machine, now: number): readonly RunningTask[] => {
+	const tasks: RunningTask[] = []
+	for (const attempt of machine.attempts.values()) {
+		if (attempt.state !== 'running' || attempt.job === null || attempt.stopGracePeriodS !== null) continue
+		const { spec } = attempt.job
+		const lostS = lostWorkS(attempt, spec, now)
+		tasks.push({ key: attempt.key, priority: spec.priority, lostS, ...attempt.resources, attempt, spec })
+	}
+	return tasks
+}
+
+/** Which tasks to stop on a machine for one task of the job; null if that makes no room or none has to be stopped. */
+const chooseVictimsOn = (
+	state: ShardState,
+	machine: Machine,
+	{ job, isWithinGuarantee }: Preemptor,
+	mayStop: (task: RunningTask) => boolean,
+): readonly RunningTask[] | null => {
+	if (!isAllowedOn(job.spec, machine) || !isZoneAllowed(job.spec, machine.zone, job.taskCountByZone))
+		return null
+	const tasks = findRunningTasks(machine, state.ports.now()).filter(mayStop)
+	const victims = chooseVictims(job.spec, machine.freeResources, tasks, isWithinGuarantee, (team) =>
+		state.exceedsGuarantee(team),
+	)
+	return victims === null || victims.length === 0 ? null : victims
+}
+
+const lostCpuS = (victims: readonly RunningTask[]): number =>
+	victims.reduce((sum, victim) => sum + victim.lostS * victim.cpus, 0)
+
+/** The first machine on which stopping tasks with checkpoints makes room: they lose little wherever they run. */
+const findCheckpointedPreemption = (
+	state: ShardState,
+	preemptor: Preemptor,
+	machines: readonly Machine[],
+): Preemption | null => {
+	for (const [machineIndex, machine] of machines.entries()) {
+		const victims = chooseVictimsOn(state, machine, preemptor, ({ spec }) => spec.checkpointS > 0)
+		if (victims !== null) return { machineIndex, victims, lostCpuS: lostCpuS(victims) }
+	}
+	return null
+}
+
+/**
+ * The machine on which stopping tasks loses least. For an urgent job no task is stopped that loses more than the urgent
+ * task runs. There is no such limit for a team within its guarantee: other teams' long tasks would otherwise keep it
+ * from its guarantee for as long as they run.
+ */
+const findCheapestPreemption = (
+	state: ShardState,
+	preemptor: Preemptor,
+	machines: readonly Machine[],
+): Preemption | null => {
+	const maxLostS = preemptor.isWithinGuarantee
+		? Number.POSITIVE_INFINITY
+		: state.estimatedRunS(preemptor.job.spec)
+	let best: Preemption | null = null
+	for (const [machineIndex, machine] of machines.entries()) {
+		const victims = chooseVictimsOn(state, machine, preemptor, ({ lostS }) => lostS <= maxLostS)
+		if (victims === null) continue
+		const lost = lostCpuS(victims)
+		if (best === null || lost < best.lostCpuS) best = { machineIndex, victims, lostCpuS: lost }
+	}
+	return best
+}
+
+/** Marks the victims to be stopped and takes their machine off the list; returns the CPUs that become free. */
+const carryOut = (state: ShardState, preemption: Preemption, machines: Machine[], job: JobRun): number => {
+	machines.splice(preemption.machineIndex, 1)
+	for (const { attempt, spec } of preemption.victims) {
+		attempt.stopGracePeriodS = gracePeriodS(spec)
+		state.ports.log('info', 'tasks preempted', {
+			task: attempt.taskName,
+			machine: attempt.machine.id,
+			for: job.spec.uid,
+		})
+	}
+	return preemption.victims.reduce((sum, victim) => sum + victim.cpus, 0)
+}
+
+/**
+ * Stops tasks on one machine so that a task of the job fits there; returns the CPUs that become free, 0 if there is no
+ * such machine. A task without checkpoints is stopped only where stopping those with checkpoints makes no room.
+ */
+const preemptFor = (state: ShardState, preemptor: Preemptor, preemptable: PreemptableMachines): number => {
+	const { withCheckpoints, withRunningTasks } = preemptable
+	const checkpointed = findCheckpointedPreemption(state, preemptor, withCheckpoints)
+	if (checkpointed !== null) {
+		const freedCpus = carryOut(state, checkpointed, withCheckpoints, preemptor.job)
+		if (freedCpus !== 0) return freedCpus
+	}
+	const cheapest = findCheapestPreemption(state, preemptor, withRunningTasks)
+	return cheapest === null ? 0 : carryOut(state, cheapest, withRunningTasks, preemptor.job)
+}
+
+/** Makes room for urgent tasks, and for tasks of teams within their guarantee, that have waited for a while. */
+export const preemptTasks = (state: ShardState, now: number): void => {
+	const schedulable = [...state.machines.values()].filter((machine) => state.isSchedulable(machine, now))
+	const preemptable = findPreemptableMachines(schedulable)
+	// Room that earlier preemptions are about to free serves the waiting jobs, in the order of the queue.
+	let surplusCpus = countFreeingCpus(schedulable)
+	let remaining = Math.ceil(state.machines.size / MACHINES_PER_PREEMPTION)
+	for (const job of state.waitingHealthyJobs(now)) {
+		const isWithinGuarantee = state.isWithinGuarantee(job.spec)
+		if (priorityRank(job.spec.priority) < priorityRank('urgent') && !isWithinGuarantee) continue
+		if (state.jobAgeS(job) < startPatienceS(state, job)) continue
+		surplusCpus -= job.readyTasks.size * job.spec.cpus
+		while (surplusCpus < 0 && remaining > 0) {
+			const freedCpus = preemptFor(state, { job, isWithinGuarantee }, preemptable)
+			if (freedCpus === 0) break
+			surplusCpus += freedCpus
+			remaining--
+		}
+		if (remaining === 0) return
+	}
+}
