--- a/packages/controller/src/admission-checks.ts
+++ b/packages/controller/src/admission-checks.ts
@@ -1,44 +1,52 @@
+/** Admission checks: what a shard needs from the operators' own checks, whoever implements them. */
 import type { JobSpec } from '@heathroad/wire'
 
-/** What a check says of a job that waits for it. */
+/** A check's answer about a job that is pending release. Times are in ms. */
 export type Verdict =
 	| { kind: 'release' }
 	| { kind: 'hold'; why: string; againMs: number }
 	/** no answer that can be acted on */
 	| { kind: 'unsure'; why: string; againMs: number }
 
-/** What an operator has settled for a check. */
+/** An operator's settings for a check. */
 export interface CheckTerms {
-	/** from its acceptance on; then the job is released whatever the check says */
+	/** ms from the job's acceptance; then the job is released whatever the check answers */
 	atMostMs: number
+	/** what an unsure answer means */
 	whenUnsure: 'release' | 'hold'
 	/** one question for all jobs of a class and team */
 	grouped: boolean
 }
 
-/** What a check is told beside the job. */
+/** What a check learns beside the job's spec. */
 export interface CheckContext {
+	/** seconds since the job's acceptance */
 	waitedS: number
+	/** seconds until the job is released whatever the check answers */
 	leftS: number
+	/** how often the check has been asked this question before */
 	asked: number
+	/** jobs that wait for the answer */
 	waiting: number
 }
 
-/** Checks of the operators' own, before jobs are accepted and before they first start. Nothing here waits. */
+/** The operators' own checks, before jobs are accepted and before they first start. No method blocks. */
 export interface AdmissionChecks {
-	/** which of them a job that is accepted now has to pass before its first start */
+	/** Names of the checks that a job accepted now has to pass before its first start. */
 	required(spec: JobSpec): readonly string[]
 	/**
-	 * `done`: with the reason of a refusal, or null; at once or within the budget that operators set. `released`: checks that
-	 * let the job start already, so that its acceptance settles that and no change of its own has to.
+	 * Checks a job before it is accepted. `done` is called at once or within the budget that operators set: with the
+	 * reason of a refusal, or null; and with the checks that release the job already, so that its acceptance records that
+	 * and no separate write has to.
 	 */
 	admit(spec: JobSpec, done: (refusal: string | null, released: readonly string[]) => void): void
-	/** null: there is no such check here */
+	/** The settings of a check; null if there is no such check here. */
 	terms(name: string): CheckTerms | null
+	/** Asks a check about a job that is pending release. */
 	ask(name: string, spec: JobSpec, seen: CheckContext, done: (verdict: Verdict) => void): void
 }
 
-/** What holds where operators have no checks: jobs that were accepted elsewhere with some are released. */
+/** For clusters without checks: jobs that were accepted elsewhere with some are released. */
 export const NO_CHECKS: AdmissionChecks = {
 	required: () => [],
 	admit: (_spec, done) => done(null, []),
--- a/packages/controller/src/job-migrator.ts
+++ b/packages/controller/src/job-migrator.ts
@@ -1,122 +1,156 @@
+/** Job migration: hands waiting jobs to other shards that can serve them better. */
 import { moveJobToShard } from '@heathroad/cluster'
-import { KEY_PREFIX, type TransactionContent, WritePriority } from '@heathroad/store'
+import { KEY_PREFIX, type TransactionContent, WritePriority, type WriteResult } from '@heathroad/store'
 import type { JobSpec } from '@heathroad/wire'
 import type { JobRun } from './model.js'
 import type { ShardState } from './state.js'
 
-interface Move {
+/** Migrations take at most this share of the controller's writes. */
+const WRITE_SHARE = 0.5
+
+/** Agent leases for which a job stays in a shard before it may migrate (again). */
+const MIN_STAY_IN_AGENT_LEASES = 0.5
+
+interface Migration {
 	job: JobRun
-	to: number
-	/** a try went without an answer: it may yet be carried out, so the same is tried until it is settled */
-	open: boolean
+	targetShardId: number
+	/** a write was not answered and may yet be applied: the same is tried until it is settled */
+	isUncertain: boolean
 }
 
 /**
- * Jobs that wait in a part which cannot serve them go to another one. Only jobs of which nothing can be anywhere: the
- * tasks that are not done are all proven absent, so whoever owns the other part may start them at once.
+ * Migrates jobs that wait in a shard which cannot serve them. Only jobs of which nothing can be on any machine: the tasks
+ * that are not done are all proven absent, so that whoever owns the other shard may start them at once.
  *
- * A move sets the job's own key to its record with the other part's number, on condition of that key's modRevision and of
- * our ownership. Whatever else decides about the job (a cancellation, its progress, another owner's take of this part)
- * changes one of the two; so a move that comes late is carried out only if nothing was decided without it. Until it
- * is settled whether it was, nothing of the job starts here.
+ * A migration sets the job's own key to its record with the other shard's number, on condition of that key's mod revision
+ * and of our ownership. Any other decision about the job (a cancellation, its progress, a takeover of this shard)
+ * changes one of the two; so a migration that comes late is applied only if nothing was decided without it. Until it is
+ * settled whether it was applied, nothing of the job starts here.
  */
 export class JobMigrator {
-	private readonly under = new Map<string, Move>()
+	private readonly migrationsByUid = new Map<string, Migration>()
 
 	constructor(private readonly state: ShardState) {}
 
-	/** The regular look: as many at a time as our share of the changes takes until the next one, and half of that. */
+	/**
+	 * Starts migrations, as many as half of this controller's share of the writes takes until the next tick. `now` is steady
+	 * time in ms, `everyMs` the time until the next tick.
+	 */
 	tick(now: number, everyMs: number): void {
 		const { ports, config } = this.state
 		if (!this.state.reconciled || ports.leadership() !== 'lease') return
-		let left = Math.max(1, Math.ceil((config.limits.writesPerS * everyMs) / 2000)) - this.under.size
-		let better: ((spec: JobSpec) => number | null) | null = null
+		const writes = (config.limits.writesPerS * everyMs * WRITE_SHARE) / 1000
+		let remaining = Math.max(1, Math.ceil(writes)) - this.migrationsByUid.size
+		let findTarget: ((spec: JobSpec) => number | null) | null = null
 		for (const job of this.state.waitingHealthyJobs(now)) {
-			if (left <= 0) return
-			if (!this.movable(job, now)) continue
-			better ??= ports.migrationPlanner(
-				this.state.shardId,
-				[...this.under.values()].map((m) => ({ spec: m.job.spec, to: m.to })),
-			)
-			const to = better(job.spec)
-			if (to === null) continue
-			this.begin(job, to)
-			left--
+			if (remaining <= 0) return
+			if (!this.isMovable(job, now)) continue
+			// Planned only when there is a job to migrate: planning looks at all shards.
+			findTarget ??= ports.migrationPlanner(this.state.shardId, this.jobsUnderWay())
+			const targetShardId = findTarget(job.spec)
+			if (targetShardId === null) continue
+			this.start(job, targetShardId)
+			remaining--
 		}
 	}
 
+	private jobsUnderWay(): { spec: JobSpec; to: number }[] {
+		return [...this.migrationsByUid.values()].map(({ job, targetShardId }) => ({
+			spec: job.spec,
+			to: targetShardId,
+		}))
+	}
+
 	/**
-	 * Nothing of it is anywhere, its records tell all that is done, and it has been here for a while. What is known here of
-	 * its failures would be lost on the way, and it be tried on everybody's machines anew (incident 8).
+	 * May the job migrate? Nothing of it is on any machine, its records show all that is done, and it has been here for a
+	 * while. A job that has failed stays: what is known here of its failures would be lost, and it would be tried anew on
+	 * every other shard's machines (incident 8).
 	 */
-	private movable(job: JobRun, now: number): boolean {
+	private isMovable(job: JobRun, now: number): boolean {
 		return (
 			job.placements.size === 0 &&
 			job.orphanCounts.size === 0 &&
 			job.failureCount === 0 &&
 			job.pendingWrite === null &&
 			job.durableDoneTasks.size === job.doneTasks.size &&
-			now - job.arrivedAt > this.state.config.limits.agentLeaseMs / 2
+			now - job.arrivedAt > this.state.config.limits.agentLeaseMs * MIN_STAY_IN_AGENT_LEASES
 		)
 	}
 
-	private begin(job: JobRun, to: number): void {
+	private start(job: JobRun, targetShardId: number): void {
 		job.migrating = true
 		this.state.queueDirty = true
-		const move: Move = { job, to, open: false }
-		this.under.set(job.spec.uid, move)
-		this.state.ports.log('info', 'job migrating', { uid: job.spec.uid, from: this.state.shardId, to })
-		this.write(move)
+		const migration: Migration = { job, targetShardId, isUncertain: false }
+		this.migrationsByUid.set(job.spec.uid, migration)
+		this.state.ports.log('info', 'job migrating', {
+			uid: job.spec.uid,
+			from: this.state.shardId,
+			to: targetShardId,
+		})
+		this.write(migration)
 	}
 
-	/** What moves the job; null: that is needless, since it is over or is not here any more. */
-	private content({ job, to }: Move): TransactionContent | null {
+	/** The write that migrates the job; null if it is not needed, since the job is terminal or not in this shard any more. */
+	private buildContent({ job, targetShardId }: Migration): TransactionContent | null {
 		const { uid } = job.spec
-		const known = this.state.ports.job(uid)
-		if (this.state.stopped || job.isTerminal || known?.record.shardId !== this.state.shardId) return null
-		if (known.record.finalState !== undefined) return null
-		return moveJobToShard(this.state.records, this.state.ownershipCondition(), uid, known, to)
+		const entry = this.state.ports.job(uid)
+		if (this.state.stopped || job.isTerminal || entry?.record.shardId !== this.state.shardId) return null
+		if (entry.record.finalState !== undefined) return null
+		return moveJobToShard(this.state.records, this.state.ownershipCondition(), uid, entry, targetShardId)
 	}
 
-	private write(move: Move): void {
+	private write(migration: Migration): void {
 		let content: TransactionContent | null = null
 		this.state.ports.enqueueWrite({
 			priority: WritePriority.outcome,
 			build: () => {
-				content = this.content(move)
+				content = this.buildContent(migration)
 				return content
 			},
 			onResult: (result) => {
-				if (this.state.stopped) return
-				if (result.kind === 'ok' && content !== null) {
-					this.end(move)
-					for (const c of content.mutations)
-						if ('set' in c)
-							this.state.ports.applyOwnWrite(c.set.slice(KEY_PREFIX.length), c.data, result.revision)
-				} else if (result.kind === 'refused' && !move.open) this.end(move)
-				else {
-					move.open ||= result.kind === 'unknown'
-					this.settle(move, result.kind === 'conflict')
-				}
+				if (!this.state.stopped) this.onWritten(migration, content, result)
 			},
 		})
 	}
 
+	private onWritten(migration: Migration, content: TransactionContent | null, result: WriteResult): void {
+		if (result.kind === 'ok' && content !== null) {
+			this.finish(migration)
+			this.applyMutations(content, result.revision)
+			return
+		}
+		if (result.kind === 'refused' && !migration.isUncertain) {
+			this.finish(migration)
+			return
+		}
+		migration.isUncertain ||= result.kind === 'unknown'
+		this.settle(migration, { isConflict: result.kind === 'conflict' })
+	}
+
+	private applyMutations({ mutations }: TransactionContent, revision: number): void {
+		for (const mutation of mutations)
+			if ('set' in mutation) {
+				const key = mutation.set.slice(KEY_PREFIX.length)
+				this.state.ports.applyOwnWrite(key, mutation.data, revision)
+			}
+	}
+
 	/**
-	 * Once a read proves what the records say. `conflict`: something that the move depends on has changed since, so that
-	 * no try of it can be carried out any more; if one was, the read shows it.
+	 * Decides after a linearizable read whether the migration was applied, and tries again if it may have to. A conflict
+	 * means that a key on which the write depends has changed since: no attempt can be applied any more, and if one was,
+	 * the read shows it.
 	 */
-	private settle(move: Move, conflict: boolean): void {
-		this.state.ports.linearizableRead((ok) => {
+	private settle(migration: Migration, outcome: { isConflict: boolean }): void {
+		this.state.ports.linearizableRead((isCurrent) => {
 			if (this.state.stopped) return
-			if (!ok) this.settle(move, conflict)
-			else if (conflict || this.content(move) === null) this.end(move)
-			else this.write(move)
+			if (!isCurrent) this.settle(migration, outcome)
+			else if (outcome.isConflict || this.buildContent(migration) === null) this.finish(migration)
+			else this.write(migration)
 		})
 	}
 
-	private end({ job }: Move): void {
-		this.under.delete(job.spec.uid)
+	private finish({ job }: Migration): void {
+		this.migrationsByUid.delete(job.spec.uid)
 		job.migrating = false
 		this.state.queueDirty = true
 	}
--- a/packages/controller/src/machine-group-writer.ts
+++ b/packages/controller/src/machine-group-writer.ts
@@ -1,123 +1,170 @@
+/** Writes of machine group records: which machines a shard has, and at which addresses. */
 import {
 	decodeMachineGroup,
 	encodeMachineGroup,
 	type MachineGroupRecord,
 	machineGroupKey,
 } from '@heathroad/cluster'
-import { KEY_PREFIX, type QueuedWrite, type TransactionContent, WritePriority } from '@heathroad/store'
+import {
+	KEY_PREFIX,
+	type QueuedWrite,
+	type TransactionContent,
+	WritePriority,
+	type WriteResult,
+} from '@heathroad/store'
 import type { ShardState } from './state.js'
 
-/** What is asked of one record and not durable yet. */
-interface Pending {
-	/** machine -> address: it may get start commands from when this is written */
-	used: Map<string, string>
+/** Changes of one machine group that are not durable yet. */
+interface PendingChanges {
+	/** by machine: once its address is written it may get start commands */
+	addresses: Map<string, string>
 	/** machines that are gone for certain */
-	gone: Set<string>
-	/** the answer to the rental */
-	answer: readonly string[] | null
+	removedMachineIds: Set<string>
+	/** machines of the answered rental; null: none was answered */
+	rentedMachineIds: readonly string[] | null
+	/** the write that will carry them, waiting or under way */
 	write: QueuedWrite | null
 }
 
+/** What the pending changes make of a machine group's record. */
+type PlannedChange =
+	| { kind: 'none' }
+	| { kind: 'delete'; modRevision: number }
+	| { kind: 'set'; modRevision: number; data: unknown }
+
+/** Applies the changes that the record does not have yet; null if it has them all. */
+const applyChanges = (record: MachineGroupRecord, changes: PendingChanges): MachineGroupRecord | null => {
+	const addresses = { ...record.addresses }
+	let isChanged = false
+	if (changes.rentedMachineIds !== null && record.requestedCount > 0) {
+		isChanged = true
+		for (const machineId of changes.rentedMachineIds) addresses[machineId] = null
+	}
+	for (const [machineId, address] of changes.addresses)
+		if (addresses[machineId] === null) {
+			addresses[machineId] = address
+			isChanged = true
+		}
+	for (const machineId of changes.removedMachineIds)
+		if (addresses[machineId] !== undefined) {
+			delete addresses[machineId]
+			isChanged = true
+		}
+	if (!isChanged) return null
+	const requestedCount = changes.rentedMachineIds === null ? record.requestedCount : 0
+	return { ...record, requestedCount, addresses }
+}
+
+/** A group is deleted once its rental is answered and it has no machines. */
+const isEmptyGroup = (record: MachineGroupRecord): boolean =>
+	record.requestedCount === 0 && Object.keys(record.addresses).length === 0
+
 /**
- * The records of a part's machines. Whatever is asked of one record while a write of it waits goes out with that
- * write: the changes per second follow the number of records, not of machines.
+ * Writes the machine groups of one shard. Changes of a group that are requested while a write of it waits are part of
+ * that write: the number of writes follows the number of groups, not of machines.
  */
 export class MachineGroupWriter {
-	private readonly pending = new Map<string, Pending>()
+	private readonly changesByGroup = new Map<string, PendingChanges>()
 
 	constructor(private readonly state: ShardState) {}
 
-	/** May get start commands once this is durable; then the record's change tells the part. */
-	recordAddress(name: string, id: string, address: string): void {
-		this.of(name).used.set(id, address)
-		this.flush(name, WritePriority.outcome)
+	/** Records a machine's address. The machine may get start commands once the group's change shows it. */
+	recordAddress(groupName: string, machineId: string, address: string): void {
+		this.changesOf(groupName).addresses.set(machineId, address)
+		this.flush(groupName, WritePriority.outcome)
 	}
 
-	removeMachine(name: string, id: string): void {
-		this.of(name).gone.add(id)
-		this.flush(name, WritePriority.progress)
+	/** Removes a machine that is gone for certain. */
+	removeMachine(groupName: string, machineId: string): void {
+		this.changesOf(groupName).removedMachineIds.add(machineId)
+		this.flush(groupName, WritePriority.progress)
 	}
 
-	/** The rental's machines are recorded, or the record goes if there are none. */
-	recordRentalResult(name: string, ids: readonly string[]): void {
-		this.of(name).answer = ids
-		this.flush(name, WritePriority.rental)
+	/** Records the machines of an answered rental; the group is deleted if there are none. */
+	recordRentalResult(groupName: string, machineIds: readonly string[]): void {
+		this.changesOf(groupName).rentedMachineIds = machineIds
+		this.flush(groupName, WritePriority.rental)
 	}
 
-	private of(name: string): Pending {
-		const known = this.pending.get(name)
-		if (known !== undefined) return known
-		const fresh: Pending = { used: new Map(), gone: new Set(), answer: null, write: null }
-		this.pending.set(name, fresh)
-		return fresh
+	private changesOf(groupName: string): PendingChanges {
+		const existing = this.changesByGroup.get(groupName)
+		if (existing !== undefined) return existing
+		const changes: PendingChanges = {
+			addresses: new Map(),
+			removedMachineIds: new Set(),
+			rentedMachineIds: null,
+			write: null,
+		}
+		this.changesByGroup.set(groupName, changes)
+		return changes
 	}
 
-	/** The record as it is and as it should be; null if there is nothing to write. */
-	private wanted(name: string): { modRevision: number; record: MachineGroupRecord | null } | null {
-		const p = this.of(name)
-		const entry = this.state.ports.entry(machineGroupKey(name))
+	/** What is to be written to the group's record as it is now; `none` also if it is not of this shard any more. */
+	private planChange(groupName: string): PlannedChange {
+		const changes = this.changesOf(groupName)
+		const entry = this.state.ports.entry(machineGroupKey(groupName))
 		const record = decodeMachineGroup(entry?.data)
-		if (entry === undefined || record === null || record.shardId !== this.state.shardId) return null
-		const hosts = { ...record.addresses }
-		let changed = false
-		if (p.answer !== null && record.requestedCount > 0) {
-			changed = true
-			for (const id of p.answer) hosts[id] = null
-		}
-		for (const [id, address] of p.used)
-			if (hosts[id] === null) {
-				hosts[id] = address
-				changed = true
-			}
-		for (const id of p.gone)
-			if (hosts[id] !== undefined) {
-				delete hosts[id]
-				changed = true
-			}
-		if (!changed) return null
-		const asked = p.answer === null ? record.requestedCount : 0
-		if (asked === 0 && Object.keys(hosts).length === 0)
-			return { modRevision: entry.modRevision, record: null }
-		return { modRevision: entry.modRevision, record: { ...record, requestedCount: asked, addresses: hosts } }
+		if (entry === undefined || record === null || record.shardId !== this.state.shardId)
+			return { kind: 'none' }
+		const changed = applyChanges(record, changes)
+		if (changed === null) return { kind: 'none' }
+		const { modRevision } = entry
+		if (isEmptyGroup(changed)) return { kind: 'delete', modRevision }
+		return { kind: 'set', modRevision, data: encodeMachineGroup(changed) }
 	}
 
-	private flush(name: string, priority: number): void {
-		const p = this.of(name)
-		if (p.write !== null) return this.state.ports.raisePriority(p.write, priority)
-		let sent: { data: unknown } | null = null
-		p.write = this.state.ports.enqueueWrite({
-			priority: priority,
-			build: (): TransactionContent | null => {
-				const wanted = this.state.stopped ? null : this.wanted(name)
-				const data = wanted === null || wanted.record === null ? null : encodeMachineGroup(wanted.record)
-				sent = wanted === null ? null : { data }
-				if (wanted === null) return null
-				const key = KEY_PREFIX + machineGroupKey(name)
-				return {
-					conditions: [this.state.ownershipCondition(), { key, modRevision: wanted.modRevision }],
-					mutations: [data === null ? { delete: key } : { set: key, data }],
-				}
+	/** Enqueues a write of the group's changes, or raises the priority of the one that waits. */
+	private flush(groupName: string, priority: number): void {
+		const changes = this.changesOf(groupName)
+		if (changes.write !== null) return this.state.ports.raisePriority(changes.write, priority)
+		let planned: PlannedChange = { kind: 'none' }
+		changes.write = this.state.ports.enqueueWrite({
+			priority,
+			build: () => {
+				planned = this.state.stopped ? { kind: 'none' } : this.planChange(groupName)
+				return this.toTransaction(groupName, planned)
 			},
 			onResult: (result) => {
-				p.write = null
-				if (this.state.stopped) return
-				if (result.kind === 'ok') {
-					// A deletion is left to the watch: older news of the key may still be on their way to the mirror.
-					if (sent === null || sent.data === null) {
-						this.pending.delete(name)
-						return
-					}
-					this.state.ports.applyOwnWrite(machineGroupKey(name), sent.data, result.revision)
-				}
-				const goOn = () => {
-					if (this.state.stopped || p.write !== null) return
-					if (this.wanted(name) === null) this.pending.delete(name)
-					else if (p.answer !== null) this.flush(name, WritePriority.rental)
-					else this.flush(name, p.used.size > 0 ? WritePriority.outcome : WritePriority.progress)
-				}
-				if (result.kind === 'ok' || result.kind === 'refused') goOn()
-				else this.state.ports.refreshCache(goOn)
+				changes.write = null
+				if (!this.state.stopped) this.onWritten(groupName, changes, planned, result)
 			},
 		})
 	}
+
+	private toTransaction(groupName: string, planned: PlannedChange): TransactionContent | null {
+		if (planned.kind === 'none') return null
+		const key = KEY_PREFIX + machineGroupKey(groupName)
+		return {
+			conditions: [this.state.ownershipCondition(), { key, modRevision: planned.modRevision }],
+			mutations: [planned.kind === 'delete' ? { delete: key } : { set: key, data: planned.data }],
+		}
+	}
+
+	private onWritten(
+		groupName: string,
+		changes: PendingChanges,
+		planned: PlannedChange,
+		result: WriteResult,
+	): void {
+		const flushRest = () => this.flushRest(groupName, changes)
+		if (result.kind === 'ok') {
+			// A deletion is left to the watch: older changes of the key may still be on their way to the watch cache.
+			if (planned.kind !== 'set') {
+				this.changesByGroup.delete(groupName)
+				return
+			}
+			this.state.ports.applyOwnWrite(machineGroupKey(groupName), planned.data, result.revision)
+			flushRest()
+		} else if (result.kind === 'refused') flushRest()
+		else this.state.ports.refreshCache(flushRest)
+	}
+
+	/** Writes what came meanwhile or was not applied; forgets the changes if there is nothing left. */
+	private flushRest(groupName: string, changes: PendingChanges): void {
+		if (this.state.stopped || changes.write !== null) return
+		if (this.planChange(groupName).kind === 'none') this.changesByGroup.delete(groupName)
+		else if (changes.rentedMachineIds !== null) this.flush(groupName, WritePriority.rental)
+		else if (changes.addresses.size > 0) this.flush(groupName, WritePriority.outcome)
+		else this.flush(groupName, WritePriority.progress)
+	}
 }
