--- a/packages/controller/src/job-migrator.ts
+++ b/packages/controller/src/job-migrator.ts
@@ -1,8 +1,9 @@
 /** Job migration: hands waiting jobs to other shards that can serve them better. */
 import { moveJobToShard } from '@heathroad/cluster'
-import { KEY_PREFIX, type TransactionContent, WritePriority, type WriteResult } from '@heathroad/store'
+import { type TransactionContent, WritePriority, type WriteResult } from '@heathroad/store'
 import type { JobSpec } from '@heathroad/wire'
 import type { JobRun } from './model.js'
+import { applyOwnMutations } from './own-writes.js'
 import type { ShardState } from './state.js'
 
 /** Migrations take at most this share of the controller's writes. */
@@ -116,7 +117,7 @@
 	private onWritten(migration: Migration, content: TransactionContent | null, result: WriteResult): void {
 		if (result.kind === 'ok' && content !== null) {
 			this.finish(migration)
-			this.applyMutations(content, result.revision)
+			applyOwnMutations(this.state.ports, content.mutations, result.revision)
 			return
 		}
 		if (result.kind === 'refused' && !migration.isUncertain) {
@@ -127,14 +128,6 @@
 		this.settle(migration, { isConflict: result.kind === 'conflict' })
 	}
 
-	private applyMutations({ mutations }: TransactionContent, revision: number): void {
-		for (const mutation of mutations)
-			if ('set' in mutation) {
-				const key = mutation.set.slice(KEY_PREFIX.length)
-				this.state.ports.applyOwnWrite(key, mutation.data, revision)
-			}
-	}
-
 	/**
 	 * Decides after a linearizable read whether the migration was applied, and tries again if it may have to. A conflict
 	 * means that a key on which the write depends has changed since: no attempt can be applied any more, and if one was,
--- a/packages/controller/src/release-writer.ts
+++ b/packages/controller/src/release-writer.ts
@@ -1,8 +1,9 @@
 /** Release writing: makes it durable that jobs have passed their admission checks. */
 import { markReleased } from '@heathroad/cluster'
 import { maxValueChars } from '@heathroad/config'
-import { KEY_PREFIX, type TransactionContent, WritePriority, type WriteResult } from '@heathroad/store'
+import { type TransactionContent, WritePriority, type WriteResult } from '@heathroad/store'
 import type { PendingJob } from './check-questions.js'
+import { applyOwnMutations } from './own-writes.js'
 import type { ShardState } from './state.js'
 
 /** Release pages that one write may touch: keeps it small beside the other writes of a transaction. */
@@ -60,11 +61,7 @@
 	private onWritten({ mutations }: TransactionContent, result: WriteResult): void {
 		if (result.kind === 'ok') {
 			// The pages decide which jobs may start; a job that found no room on them is part of the next write.
-			for (const mutation of mutations)
-				if ('set' in mutation) {
-					const key = mutation.set.slice(KEY_PREFIX.length)
-					this.state.ports.applyOwnWrite(key, mutation.data, result.revision)
-				}
+			applyOwnMutations(this.state.ports, mutations, result.revision)
 			this.flush()
 		} else if (result.kind !== 'refused') this.state.ports.refreshCache(() => this.flush())
 	}
--- a/packages/controller/src/scale-out-plan.ts
+++ b/packages/controller/src/scale-out-plan.ts
@@ -125,7 +125,7 @@
 		this.addDemand({ job, tasks: 1, runS: this.state.estimatedRunS(job.spec), isForced: true })
 	}
 
-	/** What to rent, the largest rentals by CPUs first; `count` can exceed what one rental can ask for by rounding. */
+	/** What to rent, the largest rentals by CPUs first. */
 	rentals(): readonly PendingRental[] {
 		return [...this.demandByOffer.values()]
 			.map(({ offer, machines, isForced }) => ({
@@ -143,12 +143,12 @@
 	 * wait.
 	 */
 	private addDemand({ job, tasks, runS, isForced }: TaskDemand): void {
-		const budgetShare = () => job.budget.share(job.spec.uid)
-		const offers = this.affordableOffers(job, runS)
+		const budgetShare = job.budget.share(job.spec.uid)
+		const offers = this.candidateOffers(job, runS)
 		let remaining = tasks
 		while (remaining > COUNT_EPSILON) {
 			const withRoom = offers.filter((offer) => this.roomFor(offer) > COUNT_EPSILON)
-			const offer = chooseOffer(job.spec, runS, budgetShare(), withRoom)
+			const offer = chooseOffer(job.spec, runS, budgetShare, withRoom)
 			if (offer === undefined) return
 			const perTask = machinesPerTask(this.state, job, runS, offer.type)
 			const machines = Math.min(remaining * perTask, this.roomFor(offer))
@@ -158,7 +158,7 @@
 	}
 
 	/** Available offers without a pending rental whose price is near that of the cheapest available one. */
-	private affordableOffers(job: JobRun, runS: number): readonly InstanceOffer[] {
+	private candidateOffers(job: JobRun, runS: number): readonly InstanceOffer[] {
 		const { spec } = job
 		const cost = (offer: InstanceOffer) => offerCost(spec, runS, offer, false, false).cost
 		const offers = availableOffers(this.state, spec).filter((offer) =>
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -2,18 +2,26 @@
 import { test } from 'node:test'
 import { arrayJob, Simulation } from '@heathroad/testkit'
 
-/** Releases of machines for a reason, as the controllers log them. */
-const releases = (world: Simulation, why: string): { atS: number; machines: number }[] => {
-	const out: { atS: number; machines: number }[] = []
-	const tell = world.tell
-	world.tell = (line) => {
-		tell(line)
-		const n = line.includes(' machines releasing ') ? line.split(`(${why})`).length - 1 : 0
-		if (n > 0) out.push({ atS: Number(line.split(' ')[0]) / 1000, machines: n })
+interface MachineRelease {
+	atS: number
+	machines: number
+}
+
+/** Collects the releases of machines for a reason, as the controllers log them. */
+const recordReleases = (simulation: Simulation, reason: string): readonly MachineRelease[] => {
+	const releases: MachineRelease[] = []
+	const forwardLine = simulation.tell
+	simulation.tell = (line) => {
+		forwardLine(line)
+		const machines = line.includes(' machines releasing ') ? line.split(`(${reason})`).length - 1 : 0
+		if (machines > 0) releases.push({ atS: Number(line.split(' ')[0]) / 1000, machines })
 	}
-	return out
+	return releases
 }
 
+/** when the machines are cut off */
+const CUT_AT_S = 45
+
 const cuts: { name: string; report: { reportS: number; leaseS: number; cancelS: number }; forS: number }[] = [
 	// Two leases: longer than the tasks of the silent ones stay theirs, shorter than they are given up.
 	{
@@ -31,7 +39,7 @@
 
 for (const { name, report, forS } of cuts)
 	test(`machines that are silent together are ${name}`, async () => {
-		const world = new Simulation({
+		const simulation = new Simulation({
 			seed: 41,
 			untilS: 320,
 			capacity: 12,
@@ -40,25 +48,30 @@
 				atS: 1 + i * 0.5,
 				spec: arrayJob(`job-0008${String(i).padStart(2, '0')}`, { tasks: 16, expectedS: 40 }),
 			})),
-			faults: [{ atS: 45, kind: 'machinesCut', forS }],
+			faults: [{ atS: CUT_AT_S, kind: 'machinesCut', forS }],
 		})
-		const silent = releases(world, 'silent')
-		let cut = 0
-		world.clock.after(45_500, () => {
-			cut = Math.floor(world.workers.size / 2)
+		const silentReleases = recordReleases(simulation, 'silent')
+		let cutMachines = 0
+		simulation.clock.after(45_500, () => {
+			cutMachines = Math.floor(simulation.workers.size / 2)
 		})
-		await world.play()
-		assert.deepEqual(world.invariants.violations, [])
-		assert.deepEqual(world.invariants.unfinished(), [], 'every job ends')
-		// A part of which fewer than two fifths are silent returns them: those are few.
-		const until = 45 + forS + report.reportS * 1.5
-		const early = silent.filter((r) => r.atS > 45 && r.atS < until).reduce((n, r) => n + r.machines, 0)
-		assert.ok(cut >= 10 && early * 3 <= cut, `${early} of ${cut} machines were returned`)
+		await simulation.play()
+		assert.deepEqual(simulation.invariants.violations, [])
+		assert.deepEqual(simulation.invariants.unfinished(), [], 'every job ends')
+		// A shard of which fewer than two fifths are silent returns them: those are few.
+		const untilS = CUT_AT_S + forS + report.reportS * 1.5
+		const returnedEarly = silentReleases
+			.filter(({ atS }) => atS > CUT_AT_S && atS < untilS)
+			.reduce((sum, { machines }) => sum + machines, 0)
+		assert.ok(
+			cutMachines >= 10 && returnedEarly * 3 <= cutMachines,
+			`${returnedEarly} of ${cutMachines} machines were returned`,
+		)
 	})
 
-test('jobs of a part whose zone is cut off move to parts that can run them', async () => {
-	const cut = { from: 60, forS: 120 }
-	const world = new Simulation({
+test('jobs of a shard whose zone is cut off migrate to shards that can run them', async () => {
+	const cut = { fromS: 60, forS: 120 }
+	const simulation = new Simulation({
 		seed: 43,
 		untilS: 400,
 		controllers: 4,
@@ -67,27 +80,33 @@
 			atS: 1 + i * 0.9,
 			spec: arrayJob(`job-0010${String(i).padStart(2, '0')}`, { tasks: 24, expectedS: 12 }),
 		})),
-		faults: [{ atS: cut.from, kind: 'zoneCut', zone: 'b', who: [1, 3], forS: cut.forS }],
+		faults: [{ atS: cut.fromS, kind: 'zoneCut', zone: 'b', who: [1, 3], forS: cut.forS }],
 	})
-	const moved = new Set<string>()
-	const over = new Map<string, number>()
-	world.tell = (line) => {
-		const at = /^(\d+) \S+ (job migrating|job terminal) .*"uid":"([^"]+)"/.exec(line)
-		if (at === null) return
-		if (at[2] === 'job migrating') moved.add(at[3])
-		else if (!over.has(at[3])) over.set(at[3], Number(at[1]) / 1000)
+	const migratedUids = new Set<string>()
+	const terminalAtS = new Map<string, number>()
+	simulation.tell = (line) => {
+		const event = /^(\d+) \S+ (job migrating|job terminal) .*"uid":"([^"]+)"/.exec(line)
+		if (event === null) return
+		const [, atMs, name, uid] = event
+		if (name === 'job migrating') migratedUids.add(uid)
+		else if (!terminalAtS.has(uid)) terminalAtS.set(uid, Number(atMs) / 1000)
 	}
-	await world.play()
-	assert.deepEqual(world.invariants.violations, [])
-	assert.deepEqual(world.invariants.unfinished(), [], 'every job ends')
-	const during = [...moved].filter((uid) => (over.get(uid) ?? Number.POSITIVE_INFINITY) < cut.from + cut.forS)
-	assert.ok(moved.size >= 3, `${moved.size} jobs moved`)
-	assert.ok(during.length * 2 >= moved.size, `${during.length} of ${moved.size} ended while the cut lasted`)
+	await simulation.play()
+	assert.deepEqual(simulation.invariants.violations, [])
+	assert.deepEqual(simulation.invariants.unfinished(), [], 'every job ends')
+	const endedDuringCut = [...migratedUids].filter(
+		(uid) => (terminalAtS.get(uid) ?? Number.POSITIVE_INFINITY) < cut.fromS + cut.forS,
+	)
+	assert.ok(migratedUids.size >= 3, `${migratedUids.size} jobs migrated`)
+	assert.ok(
+		endedDuringCut.length * 2 >= migratedUids.size,
+		`${endedDuringCut.length} of ${migratedUids.size} ended while the cut lasted`,
+	)
 })
 
 test('many machines and all controllers restart together: work is bounded by counts, no lease is lost', async () => {
 	const tasks = 40 * 130
-	const world = new Simulation({
+	const simulation = new Simulation({
 		seed: 42,
 		untilS: 110,
 		controllers: 5,
@@ -99,46 +118,46 @@
 		})),
 		faults: [{ atS: 50, kind: 'crash', who: [0, 1, 2, 3, 4], forS: 4 }],
 	})
-	const rebuilt: number[] = []
-	world.tell = (line) => {
-		const at = Number(line.split(' ')[0]) / 1000
-		if (at > 50 && line.includes('shard reconciled')) rebuilt.push(at)
+	const reconciledAtS: number[] = []
+	simulation.tell = (line) => {
+		const atS = Number(line.split(' ')[0]) / 1000
+		if (atS > 50 && line.includes('shard reconciled')) reconciledAtS.push(atS)
 	}
 	let machines = 0
-	let dead = 0
-	const before = { requests: 0, started: 0, changes: 0 }
+	let deadMachines = 0
+	const before = { requests: 0, started: 0 }
 	const after = { requests: 0, started: 0 }
-	world.clock.after(49_900, () => {
-		machines = world.workers.size
+	simulation.clock.after(49_900, () => {
+		machines = simulation.workers.size
 		// Some are dead at the moment of the restart, as at such sizes there nearly always are.
-		for (const [i, w] of [...world.workers.values()].entries())
-			if (i % 100 === 0) {
-				w.die()
-				dead++
+		for (const [index, worker] of [...simulation.workers.values()].entries())
+			if (index % 100 === 0) {
+				worker.die()
+				deadMachines++
 			}
-		before.requests = world.state.requests
-		before.started = world.invariants.started
+		before.requests = simulation.state.requests
+		before.started = simulation.invariants.started
 	})
-	world.clock.after(64_000, () => {
-		after.requests = world.state.requests
-		after.started = world.invariants.started
+	simulation.clock.after(64_000, () => {
+		after.requests = simulation.state.requests
+		after.started = simulation.invariants.started
 	})
-	await world.play()
-	assert.deepEqual(world.invariants.violations, [])
+	await simulation.play()
+	assert.deepEqual(simulation.invariants.violations, [])
 	assert.ok(machines >= 450, `${machines} machines`)
-	assert.equal(rebuilt.length, 5, 'every part is owned and rebuilt once')
-	// 4 s until the processes are back, then 0.3 of a grant for the dead ones.
-	assert.ok(Math.max(...rebuilt) < 58, `rebuilt at ${rebuilt}`)
+	assert.equal(reconciledAtS.length, 5, 'every shard is owned and reconciled once')
+	// 4 s until the processes are back, then 0.3 of a controller lease for the dead ones.
+	assert.ok(Math.max(...reconciledAtS) < 58, `reconciled at ${reconciledAtS}`)
 	const requests = after.requests - before.requests
 	assert.ok(
 		requests < 90 * 10,
 		`${requests} requests in the 10 s after the restart, of 900 that five may make`,
 	)
-	const lost = [...world.workers.values()].filter((w) => !w.dead && w.tenure > 1).length
+	const lost = [...simulation.workers.values()].filter((worker) => !worker.dead && worker.tenure > 1).length
 	assert.equal(lost, 0, 'no machine lost its lease')
 	// Nothing runs again but what the dead machines held.
 	assert.ok(
-		world.invariants.started <= tasks + dead * 8 + 8,
-		`${world.invariants.started} starts of ${tasks} tasks, ${dead} dead`,
+		simulation.invariants.started <= tasks + deadMachines * 8 + 8,
+		`${simulation.invariants.started} starts of ${tasks} tasks, ${deadMachines} dead`,
 	)
 })
--- a/tests/placement.test.ts
+++ b/tests/placement.test.ts
@@ -66,13 +66,13 @@
 			want: 'ba',
 		},
 	]
-	for (const c of cases) {
-		const order = rankCandidates(c.machines, 1, () => c.rentable === true).map((m) => m.id)
-		assert.equal(order.join(''), c.want, c.name)
+	for (const testCase of cases) {
+		const order = rankCandidates(testCase.machines, 1, () => testCase.rentable === true).map((m) => m.id)
+		assert.equal(order.join(''), testCase.want, testCase.name)
 	}
 })
 
-const type = (name: string, price: number, more: Partial<MachineType> = {}): MachineType => ({
+const machineType = (name: string, price: number, more: Partial<MachineType> = {}): MachineType => ({
 	name,
 	cpus: 8,
 	gpus: 0,
@@ -85,11 +85,11 @@
 	zones: ['a'],
 	...more,
 })
-const offer = (t: MachineType, spot = false): InstanceOffer => ({ type: t, zone: 'a', spot })
+const offer = (type: MachineType, spot = false): InstanceOffer => ({ type, zone: 'a', spot })
 
-test('what to rent', () => {
-	const slow = type('slow', 1)
-	const quick = type('quick', 3, { bootS: 10 })
+test('offer to rent', () => {
+	const slow = machineType('slow', 1)
+	const quick = machineType('quick', 3, { bootS: 10 })
 	const spec = arrayJob('job-000001')
 	const cases: { name: string; share: number; offers: InstanceOffer[]; want: string | undefined }[] = [
 		{
@@ -105,15 +105,25 @@
 			offers: [offer(slow), offer(quick)],
 			want: 'slow',
 		},
-		{ name: 'near-ties by price', share: 1, offers: [offer(slow), offer(type('same', 0.5))], want: 'same' },
+		{
+			name: 'near-ties by price',
+			share: 1,
+			offers: [offer(slow), offer(machineType('same', 0.5))],
+			want: 'same',
+		},
 		{
 			name: 'nothing large enough',
 			share: 1,
-			offers: [offer(type('tiny', 1, { cpus: 0.5 }))],
+			offers: [offer(machineType('tiny', 1, { cpus: 0.5 }))],
 			want: undefined,
 		},
 	]
-	for (const c of cases) assert.equal(chooseOffer(spec, 10, c.share, c.offers)?.type.name, c.want, c.name)
+	for (const testCase of cases)
+		assert.equal(
+			chooseOffer(spec, 10, testCase.share, testCase.offers)?.type.name,
+			testCase.want,
+			testCase.name,
+		)
 })
 
 test('order of ready tasks (incident 1)', () => {
@@ -131,19 +141,23 @@
 		{ name: 'halfway to the second', age: 200, lifted: true },
 		{ name: 'past all of them', age: 300, lifted: false },
 	]
-	for (const c of cases) {
-		const r = orderRank('idle', c.age, bounds)
-		assert.equal(r > priorityRank('normal') && r < priorityRank('urgent'), c.lifted, c.name)
+	for (const testCase of cases) {
+		const rank = orderRank('idle', testCase.age, bounds)
+		assert.equal(
+			rank > priorityRank('normal') && rank < priorityRank('urgent'),
+			testCase.lifted,
+			testCase.name,
+		)
 	}
 	assert.equal(orderRank('urgent', 50, bounds), priorityRank('urgent'), 'urgent jobs are never lowered')
 })
 
-test('zones, limits and fits', () => {
+test('zones, team limits and resources', () => {
 	const zones = new Map([
 		['a', 2],
 		['b', 0],
 	])
-	const place = [
+	const zoneCases = [
 		{ name: 'free', spec: arrayJob('job-000001'), zone: 'b', want: true },
 		{
 			name: 'same place, elsewhere',
@@ -165,7 +179,8 @@
 			want: true,
 		},
 	]
-	for (const c of place) assert.equal(isZoneAllowed(c.spec, c.zone, zones), c.want, c.name)
+	for (const testCase of zoneCases)
+		assert.equal(isZoneAllowed(testCase.spec, testCase.zone, zones), testCase.want, testCase.name)
 	const team = { name: 't', cpus: 0, gpus: 0, cpus_max: 8, gpus_max: 0 }
 	assert.equal(
 		withinLimit(team, { cpus: 6, gpus: 0 }, { cpus: 2, gpus: 1, ramGb: 0 }),
@@ -178,12 +193,12 @@
 		3,
 		'memory decides',
 	)
-	assert.equal(canEverRun(arrayJob('job-000001', { cpus: 9 }), [type('slow', 1)]), false)
-	assert.equal(canEverRun(arrayJob('job-000001', { zone: 'z' }), [type('slow', 1)]), false)
+	assert.equal(canEverRun(arrayJob('job-000001', { cpus: 9 }), [machineType('slow', 1)]), false)
+	assert.equal(canEverRun(arrayJob('job-000001', { zone: 'z' }), [machineType('slow', 1)]), false)
 })
 
-test('whom to stop', () => {
-	const v = (key: string, priority: Victim['priority'], team: string, lostS: number): Victim => ({
+test('tasks to preempt on one machine', () => {
+	const victim = (key: string, priority: Victim['priority'], team: string, lostS: number): Victim => ({
 		key,
 		priority,
 		team,
@@ -192,7 +207,11 @@
 		ramGb: 1,
 		lostS,
 	})
-	const running = [v('low9', 'idle', 't', 9), v('low1', 'idle', 't', 1), v('norm', 'normal', 'u', 0)]
+	const running = [
+		victim('low9', 'idle', 't', 9),
+		victim('low1', 'idle', 't', 1),
+		victim('norm', 'normal', 'u', 0),
+	]
 	const free = { cpus: 1, gpus: 0, ramGb: 9 }
 	const need = (priority: Victim['priority'], cpus: number, team = 't') => ({
 		priority,
@@ -208,13 +227,13 @@
 		{ name: 'nothing equal', need: need('idle', 3), entitled: false, want: null },
 		{ name: "another team's beyond its guarantee", need: need('idle', 3), entitled: true, want: ['norm'] },
 	]
-	for (const c of cases) {
-		const got = chooseVictims(c.need, free, running, c.entitled, (team) => team === 'u')
-		assert.deepEqual(got === null ? null : got.map((x) => x.key), c.want, c.name)
+	for (const testCase of cases) {
+		const victims = chooseVictims(testCase.need, free, running, testCase.entitled, (team) => team === 'u')
+		assert.deepEqual(victims === null ? null : victims.map((task) => task.key), testCase.want, testCase.name)
 	}
 })
 
-test('how much of a slot a waiting task asks for', () => {
+test('share of a slot that a waiting task asks to have rented', () => {
 	const cases = [
 		{ name: 'no bounds: run against boot and run', run: 20, boot: 20, age: 0, bounds: [], want: 0.5 },
 		{ name: 'a far bound changes nothing', run: 20, boot: 20, age: 0, bounds: [200], want: 0.5 },
@@ -229,19 +248,24 @@
 			want: 0.25,
 		},
 	]
-	for (const c of cases) assert.equal(scaleOutWeight(c.run, c.boot, c.age, c.bounds), c.want, c.name)
+	for (const testCase of cases)
+		assert.equal(
+			scaleOutWeight(testCase.run, testCase.boot, testCase.age, testCase.bounds),
+			testCase.want,
+			testCase.name,
+		)
 })
 
-test('machines that are emptied by moving what can save', () => {
+test('machines to consolidate: emptied by moving tasks that save checkpoints', () => {
 	const machine = (
 		id: string,
 		price: number,
-		tasks: [cpus: number, leftS: number, moveS: number | null][],
+		tasks: readonly [cpus: number, leftS: number, moveS: number | null][],
 	) => ({
 		id,
 		price,
 		cpus: 8,
-		free: { cpus: 8 - tasks.reduce((n, t) => n + t[0], 0), gpus: 0, ramGb: 32 },
+		free: { cpus: 8 - tasks.reduce((sum, [cpus]) => sum + cpus, 0), gpus: 0, ramGb: 32 },
 		tasks: tasks.map(([cpus, leftS, moveS]) => ({ need: { cpus, gpus: 0, ramGb: 1 }, leftS, moveS })),
 	})
 	const cases: { name: string; machines: PackedMachine[]; most?: number; want: string }[] = [
@@ -297,24 +321,24 @@
 			want: 'b',
 		},
 	]
-	for (const c of cases) {
-		const chosen = choosePacking(c.machines, c.most ?? 4, () => true).map((m) => m.id)
-		assert.equal(chosen.join(''), c.want, c.name)
+	for (const testCase of cases) {
+		const chosen = choosePacking(testCase.machines, testCase.most ?? 4, () => true).map((m) => m.id)
+		assert.equal(chosen.join(''), testCase.want, testCase.name)
 	}
 })
 
-test('when a machine that boots is given up, and when it is returned', () => {
-	const box = type('box', 1, { bootS: 10 })
-	const cases: { name: string; cameMs: number[]; want: number }[] = [
-		{ name: 'nothing seen yet: a little beyond the longest usual boot', cameMs: [], want: 18 },
-		{ name: 'quick boots do not shorten it', cameMs: Array(9).fill(500), want: 18 },
-		{ name: 'slow ones lengthen it', cameMs: Array(9).fill(25_000), want: 30 },
-		{ name: 'a single slow one does not', cameMs: [...Array(12).fill(9000), 70_000], want: 18 },
+test('time after which a booting machine is given up, and returned', () => {
+	const boxType = machineType('box', 1, { bootS: 10 })
+	const cases: { name: string; bootedAfterMs: number[]; want: number }[] = [
+		{ name: 'nothing seen yet: a little beyond the longest usual boot', bootedAfterMs: [], want: 18 },
+		{ name: 'quick boots do not shorten it', bootedAfterMs: Array(9).fill(500), want: 18 },
+		{ name: 'slow ones lengthen it', bootedAfterMs: Array(9).fill(25_000), want: 30 },
+		{ name: 'a single slow one does not', bootedAfterMs: [...Array(12).fill(9000), 70_000], want: 18 },
 	]
-	for (const c of cases) {
-		const boots = new BootTimeEstimator()
-		for (const ms of c.cameMs) boots.observe(box, ms)
-		assert.equal(Math.round(boots.giveUpAfterMs(box) / 1000), c.want, c.name)
-		assert.ok(boots.returnAfterMs(box) > boots.giveUpAfterMs(box), c.name)
+	for (const testCase of cases) {
+		const bootTimes = new BootTimeEstimator()
+		for (const afterMs of testCase.bootedAfterMs) bootTimes.observe(boxType, afterMs)
+		assert.equal(Math.round(bootTimes.giveUpAfterMs(boxType) / 1000), testCase.want, testCase.name)
+		assert.ok(bootTimes.returnAfterMs(boxType) > bootTimes.giveUpAfterMs(boxType), testCase.name)
 	}
 })
