--- a/packages/controller/src/heartbeat-handler.ts
+++ b/packages/controller/src/heartbeat-handler.ts
@@ -1,11 +1,11 @@
 /** Answers the heartbeats of a shard's machines; first heartbeats wait until the machine's address is durable. */
 import type { Command, Heartbeat } from '@heathroad/wire'
-import type { MachineGroupWriter } from './fleet.js'
+import type { MachineGroupWriter } from './machine-group-writer.js'
 import { isNewerHeartbeat } from './heartbeat-order.js'
 import type { HeartbeatReconciler } from './heartbeat-reconciler.js'
 import type { MachineCommands } from './machine-commands.js'
 import type { Machine } from './model.js'
-import type { Scheduler } from './planner.js'
+import type { Scheduler } from './scheduler.js'
 import type { ShardState } from './state.js'
 
 /** The longest wait of a first heartbeat for its response, in ms: well within the 4 s that an agent waits (protocol). */
--- a/packages/controller/src/job-lifecycle.ts
+++ b/packages/controller/src/job-lifecycle.ts
@@ -2,11 +2,11 @@
 import { type JobRecord, progressChunkKey, TASKS_PER_CHUNK } from '@heathroad/cluster'
 import { RangeSet } from '@heathroad/policy'
 import { type Command, type Heartbeat, type JobSpec, MAX_COMMANDS_PER_RESPONSE } from '@heathroad/wire'
-import type { AdmissionGate } from './gate.js'
+import type { AdmissionGate } from './admission-gate.js'
 import { createBudgetLedger } from './job-budget.js'
 import { JobRun, type Machine } from './model.js'
-import type { Scheduler } from './planner.js'
-import type { ScaleOut } from './renter.js'
+import type { Scheduler } from './scheduler.js'
+import type { ScaleOut } from './scale-out.js'
 import type { ShardState } from './state.js'
 
 type FinalState = NonNullable<JobRecord['finalState']>
--- /dev/null
+++ b/packages/controller/src/machine-group-writer.ts
@@ -0,0 +1,170 @@
+/** Writes of machine group records: which machines a shard has, and at which addresses. */
+import {
+	decodeMachineGroup,
+	encodeMachineGroup,
+	type MachineGroupRecord,
+	machineGroupKey,
+} from '@heathroad/cluster'
+import {
+	KEY_PREFIX,
+	type QueuedWrite,
+	type TransactionContent,
+	WritePriority,
+	type WriteResult,
+} from '@heathroad/store'
+import type { ShardState } from './state.js'
+
+/** Changes of one machine group that are not durable yet. */
+interface PendingChanges {
+	/** by machine: once its address is written it may get start commands */
+	addresses: Map<string, string>
+	/** machines that are gone for certain */
+	removedMachineIds: Set<string>
+	/** machines of the answered rental; null: none was answered */
+	rentedMachineIds: readonly string[] | null
+	/** the write that will carry them, waiting or under way */
+	write: QueuedWrite | null
+}
+
+/** What the pending changes make of a machine group's record. */
+type PlannedChange =
+	| { kind: 'none' }
+	| { kind: 'delete'; modRevision: number }
+	| { kind: 'set'; modRevision: number; data: unknown }
+
+/** Applies the changes that the record does not have yet; null if it has them all. */
+const applyChanges = (record: MachineGroupRecord, changes: PendingChanges): MachineGroupRecord | null => {
+	const addresses = { ...record.addresses }
+	let isChanged = false
+	if (changes.rentedMachineIds !== null && record.requestedCount > 0) {
+		isChanged = true
+		for (const machineId of changes.rentedMachineIds) addresses[machineId] = null
+	}
+	for (const [machineId, address] of changes.addresses)
+		if (addresses[machineId] === null) {
+			addresses[machineId] = address
+			isChanged = true
+		}
+	for (const machineId of changes.removedMachineIds)
+		if (addresses[machineId] !== undefined) {
+			delete addresses[machineId]
+			isChanged = true
+		}
+	if (!isChanged) return null
+	const requestedCount = changes.rentedMachineIds === null ? record.requestedCount : 0
+	return { ...record, requestedCount, addresses }
+}
+
+/** A group is deleted once its rental is answered and it has no machines. */
+const isEmptyGroup = (record: MachineGroupRecord): boolean =>
+	record.requestedCount === 0 && Object.keys(record.addresses).length === 0
+
+/**
+ * Writes the machine groups of one shard. Changes of a group that are requested while a write of it waits are part of
+ * that write: the number of writes follows the number of groups, not of machines.
+ */
+export class MachineGroupWriter {
+	private readonly changesByGroup = new Map<string, PendingChanges>()
+
+	constructor(private readonly state: ShardState) {}
+
+	/** Records a machine's address. The machine may get start commands once the group's change shows it. */
+	recordAddress(groupName: string, machineId: string, address: string): void {
+		this.changesOf(groupName).addresses.set(machineId, address)
+		this.flush(groupName, WritePriority.outcome)
+	}
+
+	/** Removes a machine that is gone for certain. */
+	removeMachine(groupName: string, machineId: string): void {
+		this.changesOf(groupName).removedMachineIds.add(machineId)
+		this.flush(groupName, WritePriority.progress)
+	}
+
+	/** Records the machines of an answered rental; the group is deleted if there are none. */
+	recordRentalResult(groupName: string, machineIds: readonly string[]): void {
+		this.changesOf(groupName).rentedMachineIds = machineIds
+		this.flush(groupName, WritePriority.rental)
+	}
+
+	private changesOf(groupName: string): PendingChanges {
+		const existing = this.changesByGroup.get(groupName)
+		if (existing !== undefined) return existing
+		const changes: PendingChanges = {
+			addresses: new Map(),
+			removedMachineIds: new Set(),
+			rentedMachineIds: null,
+			write: null,
+		}
+		this.changesByGroup.set(groupName, changes)
+		return changes
+	}
+
+	/** What is to be written to the group's record as it is now; `none` also if it is not of this shard any more. */
+	private planChange(groupName: string): PlannedChange {
+		const changes = this.changesOf(groupName)
+		const entry = this.state.ports.entry(machineGroupKey(groupName))
+		const record = decodeMachineGroup(entry?.data)
+		if (entry === undefined || record === null || record.shardId !== this.state.shardId)
+			return { kind: 'none' }
+		const changed = applyChanges(record, changes)
+		if (changed === null) return { kind: 'none' }
+		const { modRevision } = entry
+		if (isEmptyGroup(changed)) return { kind: 'delete', modRevision }
+		return { kind: 'set', modRevision, data: encodeMachineGroup(changed) }
+	}
+
+	/** Enqueues a write of the group's changes, or raises the priority of the one that waits. */
+	private flush(groupName: string, priority: number): void {
+		const changes = this.changesOf(groupName)
+		if (changes.write !== null) return this.state.ports.raisePriority(changes.write, priority)
+		let planned: PlannedChange = { kind: 'none' }
+		changes.write = this.state.ports.enqueueWrite({
+			priority,
+			build: () => {
+				planned = this.state.stopped ? { kind: 'none' } : this.planChange(groupName)
+				return this.toTransaction(groupName, planned)
+			},
+			onResult: (result) => {
+				changes.write = null
+				if (!this.state.stopped) this.onWritten(groupName, changes, planned, result)
+			},
+		})
+	}
+
+	private toTransaction(groupName: string, planned: PlannedChange): TransactionContent | null {
+		if (planned.kind === 'none') return null
+		const key = KEY_PREFIX + machineGroupKey(groupName)
+		return {
+			conditions: [this.state.ownershipCondition(), { key, modRevision: planned.modRevision }],
+			mutations: [planned.kind === 'delete' ? { delete: key } : { set: key, data: planned.data }],
+		}
+	}
+
+	private onWritten(
+		groupName: string,
+		changes: PendingChanges,
+		planned: PlannedChange,
+		result: WriteResult,
+	): void {
+		const flushRest = () => this.flushRest(groupName, changes)
+		if (result.kind === 'ok') {
+			// A deletion is left to the watch: older changes of the key may still be on their way to the watch cache.
+			if (planned.kind !== 'set') {
+				this.changesByGroup.delete(groupName)
+				return
+			}
+			this.state.ports.applyOwnWrite(machineGroupKey(groupName), planned.data, result.revision)
+			flushRest()
+		} else if (result.kind === 'refused') flushRest()
+		else this.state.ports.refreshCache(flushRest)
+	}
+
+	/** Writes what came meanwhile or was not applied; forgets the changes if there is nothing left. */
+	private flushRest(groupName: string, changes: PendingChanges): void {
+		if (this.state.stopped || changes.write !== null) return
+		if (this.planChange(groupName).kind === 'none') this.changesByGroup.delete(groupName)
+		else if (changes.rentedMachineIds !== null) this.flush(groupName, WritePriority.rental)
+		else if (changes.addresses.size > 0) this.flush(groupName, WritePriority.outcome)
+		else this.flush(groupName, WritePriority.progress)
+	}
+}
--- a/packages/controller/src/takeover-reconciler.ts
+++ b/packages/controller/src/takeover-reconciler.ts
@@ -2,7 +2,7 @@
 import { RangeSet, reconcilePatienceMs } from '@heathroad/policy'
 import type { Heartbeat } from '@heathroad/wire'
 import type { JobRun, Machine } from './model.js'
-import type { Scheduler } from './planner.js'
+import type { Scheduler } from './scheduler.js'
 import type { ShardState } from './state.js'
 
 /** Share of the controller's sockets that probes may use: each needs a connection, and the rest is for other work. */
