--- /dev/null
+++ b/packages/server/src/archival-controller.ts
@@ -0,0 +1,119 @@
+/** Terminal jobs of one controller: which are in memory, where the others are found, and their way into the archive. */
+import { HISTORY_KEY, RECORD_FORMAT } from '@heathroad/cluster'
+import { defaultHistorySettings } from '@heathroad/config'
+import { type ArchivedJob, type ArchiveLookup, ArchiveReader } from '@heathroad/history'
+import type { StoreClient } from '@heathroad/store'
+import { Effect } from 'effect'
+import { ArchivalLoop } from './archival-loop.js'
+import { type ArchivalPorts, ArchivalWriter } from './archival-writer.js'
+import {
+	type ControllerContext,
+	type TerminalStateArchive,
+	USER_ANSWER_TIMEOUT_MS,
+} from './controller-context.js'
+import { RecordMigration } from './record-migration.js'
+import { historyRecord, TerminalStateRetention } from './terminal-state-retention.js'
+
+/** Look-ups have one in three of this controller's reads; the watch and linearizable reads have the others. */
+const READS_PER_LOOKUP_READ = 3
+/** As many look-ups may wait as are read within this time, for which users would wait for an answer. */
+const MAX_LOOKUP_WAIT_S = 3
+/** Archive pages that one request reads at most; more would make its answer too long to come in time. */
+const MAX_PAGES_PER_READ = 16
+const CHARS_PER_MB = 1e6
+
+/**
+ * Composes archival: retention at full reads, look-ups, the archival loop and the migration of the first format. What is
+ * decided is in `archival-policy.ts`, how the archive is written in `@heathroad/history`.
+ */
+export class ArchivalController implements TerminalStateArchive {
+	readonly reader: ArchiveReader
+	private readonly retention: TerminalStateRetention
+	private readonly writer: ArchivalWriter
+	private readonly loop: ArchivalLoop
+	private readonly migration: RecordMigration
+
+	constructor(
+		private readonly context: ControllerContext,
+		client: StoreClient,
+		private readonly ports: ArchivalPorts,
+	) {
+		const { limits, history } = context.config
+		const settings = history ?? defaultHistorySettings
+		const lookupReadsPerS = limits.readsPerS / READS_PER_LOOKUP_READ
+		this.retention = new TerminalStateRetention(context)
+		this.writer = new ArchivalWriter(context, ports, settings.share)
+		this.loop = new ArchivalLoop(context, client, ports, this.writer, settings)
+		this.migration = new RecordMigration(context, client, ports, this.writer)
+		this.reader = new ArchiveReader(
+			client,
+			() => this.retention.searchScope(),
+			context.cache.readPacer,
+			{
+				maxCacheChars: settings.cacheMb * CHARS_PER_MB,
+				maxPendingLookups: Math.ceil(lookupReadsPerS * MAX_LOOKUP_WAIT_S),
+				maxPagesPerRead: MAX_PAGES_PER_READ,
+			},
+			(error) => this.writer.logError('archive read failed', error),
+		)
+	}
+
+	/** Begins nothing new; what is in flight ends at its next step. */
+	stop(): void {
+		this.writer.stopped = true
+	}
+
+	archivalEpoch(): number {
+		return this.context.cache.modRevision(HISTORY_KEY)
+	}
+
+	/** Tells whether a full read keeps a key. */
+	retains(key: string, data: unknown): boolean {
+		return this.retention.retains(key, data)
+	}
+
+	/** The record of the format and the archival epoch changed. */
+	onHistoryRecordChanged(): void {
+		this.loop.onEpochChanged()
+		const record = historyRecord(this.context)
+		this.retention.onHistoryRecordChanged(record)
+		if (record !== null && record.format > RECORD_FORMAT) this.ports.onUnsupportedFormat(record.format)
+	}
+
+	/** A full read is complete: changes between the last known one and `revision` may never be notified. */
+	onFullRead(revision: number): void {
+		this.retention.onFullRead(revision)
+		this.reader.reset(revision)
+	}
+
+	/** Every change up to the watch cache's revision is applied. */
+	onRevisionAdvanced(): void {
+		const droppedJobs = this.context.jobs.dropJobsThatLeftPages()
+		if (droppedJobs.length > 0) this.reader.onLeftMemory(droppedJobs, this.context.cache.revision)
+	}
+
+	cached(uid: string): ArchivedJob | undefined {
+		return this.reader.cached(uid)
+	}
+
+	lookUp(uid: string): Effect.Effect<ArchiveLookup> {
+		return this.reader.lookUp(uid).pipe(
+			Effect.timeoutOption(USER_ANSWER_TIMEOUT_MS),
+			Effect.map((found) => (found._tag === 'Some' ? found.value : 'unsure')),
+		)
+	}
+
+	provesAbsent(uid: string): boolean {
+		return historyRecord(this.context) === null || this.reader.provesAbsent(uid)
+	}
+
+	/** The regular step of archival; does nothing while the state service is out of reach. */
+	tick(): void {
+		if (this.context.cache.revision < 0 || this.writer.stopped) return
+		const record = historyRecord(this.context)
+		if (record === null) return this.migration.begin()
+		if (record.format > RECORD_FORMAT || !this.context.isStoreReachable()) return
+		this.loop.tick(record)
+		if (record.legacy) this.migration.startPass()
+	}
+}
--- /dev/null
+++ b/packages/server/src/heartbeat-router.ts
@@ -0,0 +1,80 @@
+/** Routes machines' heartbeats to the shard that they belong to, or to the controller that owns it. */
+import { hashName } from '@heathroad/cluster'
+import { encodeCommands, type Heartbeat, parseHeartbeat } from '@heathroad/wire'
+import type { ControllerContext } from './controller-context.js'
+import { RETRY_LATER } from './heartbeat-replies.js'
+import type { Respond } from './http-server.js'
+import type { LocalStatus } from './local-status.js'
+import { UnregisteredMachines } from './unregistered-machines.js'
+
+/** Delay of the extra gossip in controller leases, so that many look-ups share one message. */
+const GOSSIP_DELAY_LEASES = 0.04
+
+/** Handles heartbeats of all machines, whichever shard they belong to. */
+export class HeartbeatRouter {
+	private readonly unregisteredMachines: UnregisteredMachines
+	private gossipScheduled = false
+
+	constructor(
+		private readonly context: ControllerContext,
+		private readonly localStatus: LocalStatus,
+		afterLinearizableRead: (done: (ok: boolean) => void) => void,
+	) {
+		this.unregisteredMachines = new UnregisteredMachines(context, {
+			afterLinearizableRead,
+			shardIdOf: (heartbeat) => this.shardIdOf(heartbeat),
+			forward: (heartbeat, respond) => this.forward(heartbeat, respond),
+		})
+	}
+
+	/**
+	 * Handles the body of a heartbeat: 200 with commands, 400 for what is no heartbeat, 421 with the owner if that is
+	 * another controller, 503 while nothing can be decided.
+	 */
+	handle(body: unknown, respond: Respond): void {
+		const heartbeat = parseHeartbeat(body)
+		if (heartbeat === null) return respond({ status: 400, body: { error: 'not a report' } })
+		if (this.context.cache.revision < 0) return respond(RETRY_LATER)
+		const shardId = this.shardIdOf(heartbeat)
+		if (this.context.shard(shardId) === undefined)
+			return this.redirectToOwner(heartbeat.machineId, shardId, respond)
+		if (this.context.machineGroups.groupOf(heartbeat.machineId) === undefined)
+			this.unregisteredMachines.handleHeartbeat(heartbeat, respond)
+		else this.forward(heartbeat, respond)
+	}
+
+	private redirectToOwner(machineId: string, shardId: number, respond: Respond): void {
+		const { membership, config } = this.context
+		this.localStatus.onOwnerLookup(machineId, shardId)
+		const owner = membership.ownerOf(shardId)
+		// Sent back to an owner that cannot hear it, the machine would wait there for most of its lease.
+		const isReachable = owner?.alive && owner.hears && owner.name !== config.limits.self
+		if (owner?.alive && !owner.hears) this.gossipSoon()
+		respond({ status: 421, body: isReachable ? { overseer: owner.name } : {} })
+	}
+
+	/** Informs peers early that machines look for an owner here. */
+	private gossipSoon(): void {
+		if (this.gossipScheduled) return
+		this.gossipScheduled = true
+		setTimeout(() => {
+			this.gossipScheduled = false
+			this.context.membership.gossip()
+		}, this.context.config.limits.controllerLeaseMs * GOSSIP_DELAY_LEASES)
+	}
+
+	/** Returns the shard of the machine's group; of an unregistered machine the one that its name falls to. */
+	private shardIdOf({ machineId }: Heartbeat): number {
+		const group = this.context.machineGroups.groupOf(machineId)
+		return group?.shardId ?? hashName(machineId) % this.context.config.limits.controllerNames.length
+	}
+
+	private forward(heartbeat: Heartbeat, respond: Respond): void {
+		const shard = this.context.shard(this.shardIdOf(heartbeat))
+		if (shard === undefined || this.context.membership.leadership() === 'none') return respond(RETRY_LATER)
+		shard.handleHeartbeat(heartbeat, (answer) => {
+			if (answer === null) return respond(RETRY_LATER)
+			respond({ status: 200, body: encodeCommands(answer.token, answer.orders) })
+		})
+	}
+}
--- /dev/null
+++ b/packages/server/src/http-routes.ts
@@ -0,0 +1,43 @@
+/** Routes of both HTTP addresses: users, machines and the load balancer; peers and operators. */
+import type { ControllerContext } from './controller-context.js'
+import type { HeartbeatRouter } from './heartbeat-router.js'
+import type { HttpRequest, RequestHandler, Respond } from './http-server.js'
+import type { UserApi } from './user-api.js'
+
+/** Handles an operator's call from another process. */
+export type AdminHandler = (path: string, body: unknown, respond: Respond) => void
+
+/** What the public address serves. */
+export interface PublicRoutes {
+	heartbeats: HeartbeatRouter
+	userApi: UserApi
+	/** Tells whether users' requests can be answered. */
+	isHealthy(): boolean
+}
+
+/** Returns the handler of the public address, for users, machines and the load balancer. */
+export const publicRequestHandler =
+	({ heartbeats, userApi, isHealthy }: PublicRoutes): RequestHandler =>
+	(request, respond) => {
+		if (request.path === '/checkin') {
+			if (request.method !== 'POST') return respond({ status: 405 })
+			return heartbeats.handle(request.body, respond)
+		}
+		if (request.path === '/healthz') {
+			if (request.method !== 'GET') return respond({ status: 405 })
+			if (!isHealthy()) return respond({ status: 503, retryAfterS: 1 })
+			return respond({ status: 200, body: { status: 'ok' } })
+		}
+		userApi.handle(request, respond)
+	}
+
+/** Returns the handler of the internal address, for peers and operators' calls. */
+export const internalRequestHandler =
+	({ membership }: Pick<ControllerContext, 'membership'>, adminHandler: () => AdminHandler | null) =>
+	({ method, path, body }: HttpRequest, respond: Respond): void => {
+		if (method !== 'POST') return respond({ status: 404 })
+		const handleAdmin = adminHandler()
+		if (path.startsWith('/admin/') && handleAdmin !== null) return handleAdmin(path, body, respond)
+		const answer = membership.handlePeerRequest(path, body)
+		respond(answer === null ? { status: 404 } : { status: 200, body: answer })
+	}
--- /dev/null
+++ b/packages/server/src/http-server.ts
@@ -0,0 +1,133 @@
+/** HTTP listener: reads requests in full, within limits, and keeps sockets free for machines' heartbeats. */
+import * as http from 'node:http'
+import type { Socket } from 'node:net'
+import { type HttpReply, MAX_BODY_BYTES, readBody, sendReply, sendReplyAndClose } from '@heathroad/wire'
+
+/** A request whose body, if any, has been read and decoded. */
+export interface HttpRequest {
+	method: string
+	path: string
+	body: unknown
+}
+
+/** Sends the reply to one request; called once. */
+export type Respond = (reply: HttpReply) => void
+/** Handles one request and responds to it, now or later. */
+export type RequestHandler = (request: HttpRequest, respond: Respond) => void
+
+/** Limits of one listening address. */
+export interface ListenerLimits {
+	/** silent connections are closed after this long */
+	idleMs: number
+	/** a request must be complete after this long */
+	requestMs: number
+	/** open connections at most */
+	sockets: number
+	/** paths whose connections make room for others when there are many */
+	yields?: (path: string) => boolean
+}
+
+/** Of a body that is too long, this many times the limit is read and dropped, so that its sender sees the answer. */
+const DROPPED_BODIES = 64
+/** Share of the sockets from which on connections of yielding paths are closed with their answer. */
+const CLOSE_AFTER_ANSWER_SHARE = 0.75
+/** Share of the sockets from which on each new connection closes the one that has been idle longest. */
+const EVICT_IDLE_SHARE = 0.9
+/** Connections that may wait to be accepted by the process. */
+const LISTEN_BACKLOG = 511
+
+/**
+ * Keeps users' idle connections from taking the sockets that machines need: a refused heartbeat costs a machine a second,
+ * some of them their lease. From `CLOSE_AFTER_ANSWER_SHARE` of the sockets on, users are answered and disconnected; from
+ * `EVICT_IDLE_SHARE` on, each new connection evicts the one that has been idle longest.
+ */
+class ConnectionLimiter {
+	private openCount = 0
+	/** idle connections of yielding paths, the longest idle first */
+	private readonly idleSockets = new Set<Socket>()
+
+	constructor(private readonly limits: ListenerLimits) {}
+
+	onConnection(socket: Socket): void {
+		this.openCount++
+		socket.once('close', () => {
+			this.openCount--
+			this.idleSockets.delete(socket)
+		})
+		const [longestIdle] = this.idleSockets
+		if (this.openCount > this.limits.sockets * EVICT_IDLE_SHARE && longestIdle !== undefined)
+			longestIdle.destroy()
+	}
+
+	onRequest(path: string, socket: Socket, response: http.ServerResponse): void {
+		this.idleSockets.delete(socket)
+		if (this.limits.yields?.(path) !== true) return
+		if (this.openCount > this.limits.sockets * CLOSE_AFTER_ANSWER_SHARE)
+			response.setHeader('connection', 'close')
+		response.once('finish', () => {
+			if (!socket.destroyed) this.idleSockets.add(socket)
+		})
+	}
+}
+
+/** Reads the request's body, if its method has one, and hands the request to the handler or answers 400. */
+const readRequest = (
+	request: http.IncomingMessage,
+	{ method, path }: { method: string; path: string },
+	limits: ListenerLimits,
+	handler: RequestHandler,
+	respond: Respond,
+): void => {
+	if (method === 'GET' || method === 'HEAD') {
+		request.resume()
+		handler({ method, path, body: undefined }, respond)
+		return
+	}
+	readBody(request, (body, failure) => {
+		if (failure === null) return handler({ method, path, body }, respond)
+		if (failure === 'not MessagePack')
+			return respond({ status: 400, body: { error: 'the body is not MessagePack' } })
+		const error = `the body is longer than ${MAX_BODY_BYTES / 1024} KiB`
+		const drop = { ms: limits.requestMs, bytes: MAX_BODY_BYTES * DROPPED_BODIES }
+		sendReplyAndClose(request, { status: 400, body: { error } }, drop)
+	})
+}
+
+const listen = (server: http.Server, address: string): Promise<http.Server> => {
+	const colon = address.lastIndexOf(':')
+	const host = address.slice(0, colon)
+	const port = Number(address.slice(colon + 1))
+	return new Promise((resolve, reject) => {
+		server.once('error', reject)
+		server.listen({ host, port, backlog: LISTEN_BACKLOG }, () => resolve(server))
+	})
+}
+
+/**
+ * Listens on one address (`host:port`). Bodies are read in full, within limits, before the handler sees a request.
+ * Rejects if the address cannot be listened on.
+ */
+export const startHttpServer = (
+	address: string,
+	limits: ListenerLimits,
+	handler: RequestHandler,
+): Promise<http.Server> => {
+	const connectionLimiter = new ConnectionLimiter(limits)
+	const server = http.createServer(
+		{ connectionsCheckingInterval: limits.requestMs / 4, noDelay: true },
+		(request, response) => {
+			const path = (request.url ?? '/').split('?', 1)[0]
+			const method = request.method ?? 'GET'
+			connectionLimiter.onRequest(path, request.socket, response)
+			// An error of the response means that the client is gone: nobody is left to answer.
+			response.on('error', () => {})
+			readRequest(request, { method, path }, limits, handler, (reply) => sendReply(response, reply))
+		},
+	)
+	server.on('connection', (socket) => connectionLimiter.onConnection(socket))
+	server.keepAliveTimeout = limits.idleMs
+	server.requestTimeout = limits.requestMs
+	server.headersTimeout = limits.requestMs
+	server.maxConnections = limits.sockets
+	return listen(server, address)
+}
--- /dev/null
+++ b/packages/server/src/job-cancellation.ts
@@ -0,0 +1,103 @@
+/** Cancels jobs for users. */
+import {
+	HISTORY_KEY,
+	type JobRecord,
+	putJobRecord,
+	recordTerminalJobs,
+	toTerminalJob,
+} from '@heathroad/cluster'
+import { terminalPageLimits } from '@heathroad/config'
+import { KEY_PREFIX, type TransactionContent, WritePriority, type WriteResult } from '@heathroad/store'
+import type { HttpReply } from '@heathroad/wire'
+import { Effect } from 'effect'
+import type { ControllerContext } from './controller-context.js'
+import type { JobStatusReader } from './job-status.js'
+import { retryLater } from './user-replies.js'
+
+/** Writes of one cancellation at most, where each but the last conflicts with other changes of the job. */
+const MAX_CANCEL_ATTEMPTS = 3
+/** A cancellation that could not be made durable by then is given up; users wait 5 s for an answer (protocol). */
+const CANCEL_TIMEOUT_MS = 3000
+
+/** Makes cancellations durable and answers with the job's status. */
+export class JobCanceller {
+	constructor(
+		private readonly context: ControllerContext,
+		private readonly statusReader: JobStatusReader,
+	) {}
+
+	/** Cancels a job unless it is terminal; answers with its status, or 503 if the outcome is not known. */
+	cancel(uid: string, attemptsLeft = MAX_CANCEL_ATTEMPTS): Effect.Effect<HttpReply> {
+		return this.statusReader.read(uid).pipe(
+			Effect.flatMap((status) => {
+				const record = this.statusReader.record(uid)
+				if (status.status !== 200 || record === null || record.finalState !== undefined)
+					return Effect.succeed(status)
+				return this.write(uid, record).pipe(
+					Effect.flatMap((result) => this.replyTo(uid, result, attemptsLeft)),
+				)
+			}),
+		)
+	}
+
+	private replyTo(uid: string, result: WriteResult, attemptsLeft: number): Effect.Effect<HttpReply> {
+		const record = this.statusReader.record(uid)
+		if (record?.finalState !== undefined) return Effect.succeed(this.statusReader.statusOf(uid, record))
+		if (result.kind === 'conflict' && attemptsLeft > 1) return this.cancel(uid, attemptsLeft - 1)
+		return Effect.succeed(retryLater())
+	}
+
+	private write(uid: string, record: JobRecord): Effect.Effect<WriteResult> {
+		return Effect.callback<WriteResult>((resume) => {
+			let written: TransactionContent | null = null
+			this.context.writeQueue.enqueue({
+				priority: WritePriority.user,
+				build: () => {
+					written = this.transaction(uid, record)
+					return written
+				},
+				deadline: this.context.now() + CANCEL_TIMEOUT_MS,
+				onResult: (result) => {
+					if (result.kind === 'ok') this.applyToCache(written, result.revision)
+					resume(Effect.succeed(result))
+				},
+			})
+		})
+	}
+
+	private applyToCache(written: TransactionContent | null, revision: number): void {
+		for (const mutation of written?.mutations ?? [])
+			if ('set' in mutation)
+				this.context.cache.applyOwnWrite(mutation.set.slice(KEY_PREFIX.length), mutation.data, revision)
+	}
+
+	/** Builds what makes a cancellation durable, from what is known when its turn comes; null: the job is terminal. */
+	private transaction(uid: string, record: JobRecord): TransactionContent | null {
+		const { cache, config, jobs } = this.context
+		const known = jobs.get(uid)
+		if (known === undefined || known.record.finalState !== undefined) return null
+		const doneCount = this.statusReader.recordedDoneCount(uid, known.record)
+		const terminalJob = toTerminalJob(uid, 'aborted', record.spec, doneCount)
+		const cancelled: JobRecord = {
+			shardId: record.shardId,
+			finalState: 'aborted',
+			taskCount: terminalJob.taskCount,
+			resources: terminalJob.resources,
+			doneCount: terminalJob.doneCount,
+		}
+		const ownKey = putJobRecord(cache, uid, known.modRevision, cancelled)
+		if (cache.get(HISTORY_KEY) === undefined) return ownKey
+		// The own key too, until it is deleted: an owner that has not seen the cancellation yet must not write progress
+		// behind it, for counts that were answered never fall.
+		const { content: page } = recordTerminalJobs(
+			cache,
+			record.shardId,
+			[terminalJob],
+			terminalPageLimits(config),
+		)
+		return {
+			conditions: [...page.conditions, ...ownKey.conditions],
+			mutations: [...page.mutations, ...ownKey.mutations],
+		}
+	}
+}
--- /dev/null
+++ b/packages/server/src/job-status.ts
@@ -0,0 +1,76 @@
+/** Answers users' questions for a job's status from the records and the archive. */
+import { countRecordedDone, type JobRecord, terminalDoneCount } from '@heathroad/cluster'
+import type { ArchivedJob } from '@heathroad/history'
+import { type HttpReply, JOB_ID_PATTERN, type JobStatusResponse } from '@heathroad/wire'
+import { Effect } from 'effect'
+import type { ControllerContext } from './controller-context.js'
+import { NO_SUCH_JOB, retryLater } from './user-replies.js'
+
+const archivedStatus = (uid: string, { aborted, doneCount }: ArchivedJob): HttpReply => ({
+	status: 200,
+	body: { uid, status: aborted ? 'aborted' : 'done', done: doneCount, running: 0 },
+})
+
+/** Reads jobs' statuses. A status is durable, and no older than a read begun after the question. */
+export class JobStatusReader {
+	constructor(private readonly context: ControllerContext) {}
+
+	/** Returns a job's record if it is in memory. */
+	record(uid: string): JobRecord | null {
+		return this.context.jobs.get(uid)?.record ?? null
+	}
+
+	/** Returns how many of a job's tasks are recorded as done. */
+	recordedDoneCount(uid: string, record: JobRecord): number {
+		return countRecordedDone(uid, record, (key) => this.context.cache.get(key)?.data)
+	}
+
+	/** Returns the status that a record in memory shows. */
+	statusOf(uid: string, record: JobRecord): HttpReply {
+		if (record.finalState !== undefined) {
+			const done = terminalDoneCount(record)
+			return { status: 200, body: { uid, status: record.finalState, done, running: 0 } }
+		}
+		// From the records, also where we own the job and know more: another controller, asked next, must not answer less.
+		const done = this.recordedDoneCount(uid, record)
+		const running = this.context.shardRouter.runningTaskCount(uid, record)
+		const body: JobStatusResponse = { uid, status: running > 0 ? 'running' : 'pending', done, running }
+		return { status: 200, body }
+	}
+
+	/** Reads a job's status: 200 with the status, 404 for a job that nobody submitted, 503 if neither can be proven. */
+	read(uid: string): Effect.Effect<HttpReply> {
+		if (!JOB_ID_PATTERN.test(uid)) return Effect.succeed(NO_SUCH_JOB)
+		// A terminal state never changes: no newer answer can exist.
+		const record = this.record(uid)
+		if (record?.finalState !== undefined) return Effect.succeed(this.statusOf(uid, record))
+		const archived = record === null ? this.context.archive.cached(uid) : undefined
+		if (archived !== undefined) return Effect.succeed(archivedStatus(uid, archived))
+		return this.context
+			.linearizableRead()
+			.pipe(Effect.flatMap((isCurrent) => this.statusAfterRead(uid, isCurrent)))
+	}
+
+	private statusAfterRead(uid: string, isCurrent: boolean): Effect.Effect<HttpReply> {
+		const record = this.record(uid)
+		if (record?.finalState !== undefined) return Effect.succeed(this.statusOf(uid, record))
+		if (!isCurrent) return Effect.succeed(retryLater())
+		if (record !== null) return Effect.succeed(this.statusOf(uid, record))
+		// Not in memory as of now: it is archived, or nobody submitted it.
+		return this.context.archive.lookUp(uid).pipe(
+			Effect.map((found) => {
+				if (found === 'unsure') return retryLater()
+				return found === 'absent' ? NO_SUCH_JOB : archivedStatus(uid, found)
+			}),
+		)
+	}
+
+	/** Delays the confirmation of a cancellation until all the job's tasks are sure to be gone, whoever owns them by now. */
+	delayUnconfirmed(reply: HttpReply): HttpReply {
+		const { uid, status } = (reply.body ?? {}) as Partial<JobStatusResponse>
+		if (reply.status !== 200 || status !== 'aborted' || uid === undefined) return reply
+		const { config, cancellations } = this.context
+		const remainingMs = config.limits.cancellationConfirmDelayMs - cancellations.knownForMs(uid)
+		return remainingMs > 0 ? retryLater(remainingMs / 1000) : reply
+	}
+}
--- /dev/null
+++ b/packages/server/src/job-submission.ts
@@ -0,0 +1,138 @@
+/** Accepts users' submissions: validates them, has them admitted and queues them to become durable. */
+import { canEverRun, withinLimit } from '@heathroad/policy'
+import { type HttpReply, InvalidSubmission, type JobSpec, parseSubmission } from '@heathroad/wire'
+import { Effect } from 'effect'
+import type { ControllerContext } from './controller-context.js'
+import type { Respond } from './http-server.js'
+import type { JobStatusReader } from './job-status.js'
+import { type NewJobRecord, type SubmissionOutcome, SubmissionQueue } from './submission-queue.js'
+import { retryLater } from './user-replies.js'
+
+/** A submission that could not be made durable by then is given up; users wait 5 s for an answer (protocol). */
+const SUBMISSION_TIMEOUT_MS = 3000
+/** Longest time in s that users are asked to wait while too many submissions are pending. */
+const MAX_RETRY_AFTER_S = 30
+
+/** Runs a user call and sends its reply. */
+type RunCall = (call: Effect.Effect<HttpReply>, respond: Respond) => void
+
+/** Submissions of this controller's users, from the request to the answer. */
+export class JobSubmissions {
+	/** users to answer, by job; retries of a pending submission share its answer */
+	private readonly waitingResponses = new Map<string, Respond[]>()
+	private readonly queue: SubmissionQueue
+
+	constructor(
+		private readonly context: ControllerContext,
+		private readonly statusReader: JobStatusReader,
+		private readonly runCall: RunCall,
+	) {
+		this.queue = new SubmissionQueue(context)
+	}
+
+	/** Number of submissions that wait for their answer. */
+	get pendingCount(): number {
+		return this.waitingResponses.size
+	}
+
+	/** Handles the body of a submission. A job that is known is answered with its status. */
+	submit(body: unknown, respond: Respond): void {
+		const spec = parseSubmission(body)
+		if (spec instanceof InvalidSubmission)
+			return respond({ status: 400, body: { error: String(spec), field: spec.field } })
+		const { uid } = spec
+		if (this.statusReader.record(uid) !== null || this.context.archive.cached(uid) !== undefined)
+			return this.runCall(this.statusReader.read(uid), respond)
+		if (!this.canJudge()) return respond(retryLater())
+		const waiting = this.waitingResponses.get(uid)
+		if (waiting !== undefined) {
+			waiting.push(respond)
+			return
+		}
+		const refusal = this.refusalReason(spec)
+		if (refusal !== null) return this.runCall(this.refuseUnlessKnown(uid, refusal), respond)
+		if (!this.context.isStoreReachable()) return respond(retryLater())
+		if (!this.queue.hasCapacity(spec.team)) return this.rejectForCapacity(uid, respond)
+		this.admit(spec, respond)
+	}
+
+	/** Tells whether this controller accepts jobs and knows enough to judge them. */
+	private canJudge(): boolean {
+		const { acceptsJobs, cache } = this.context
+		return acceptsJobs && cache.revision >= 0 && this.context.machineTypes().length > 0
+	}
+
+	private rejectForCapacity(uid: string, respond: Respond): void {
+		const { maxPendingSubmissions, submissionsPerS } = this.context.config.limits
+		const retryAfterS = Math.min(MAX_RETRY_AFTER_S, maxPendingSubmissions / submissionsPerS)
+		this.context.log('info', 'submission rejected', { uid, why: 'too many are waiting', retryAfterS })
+		respond(retryLater(retryAfterS, 429))
+	}
+
+	private admit(spec: JobSpec, respond: Respond): void {
+		const { uid } = spec
+		this.waitingResponses.set(uid, [respond])
+		const respondToAll = (reply: HttpReply) => {
+			for (const respondToOne of this.waitingResponses.get(uid) ?? []) respondToOne(reply)
+			this.waitingResponses.delete(uid)
+		}
+		this.context.checks.admit(spec, (refusal, released) => {
+			if (refusal === null) return this.accept(spec, released, respondToAll)
+			this.context.log('info', 'submission rejected', { uid, why: refusal })
+			this.runCall(this.refuseUnlessKnown(uid, refusal), respondToAll)
+		})
+	}
+
+	/** Answers 422, unless another controller accepted the job earlier: it must not be refused then. */
+	private refuseUnlessKnown(uid: string, refusal: string): Effect.Effect<HttpReply> {
+		const refuseUnknown = (status: HttpReply) =>
+			status.status === 404 ? { status: 422, body: { error: refusal } } : status
+		return this.statusReader.read(uid).pipe(Effect.map(refuseUnknown))
+	}
+
+	/** Queues an admitted job; `released`: checks that released it with their admission. */
+	private accept(spec: JobSpec, released: readonly string[], respond: Respond): void {
+		const requiredChecks = this.context.checks.required(spec).filter((name) => !released.includes(name))
+		const record: NewJobRecord = {
+			shardId: this.context.shardRouter.chooseShard(spec),
+			spec,
+			acceptedAtMs: Date.now(),
+			...(requiredChecks.length > 0 ? { requiredChecks } : {}),
+		}
+		this.queue.enqueue(record, SUBMISSION_TIMEOUT_MS, (outcome) => this.onOutcome(record, outcome, respond))
+	}
+
+	private onOutcome({ spec, shardId }: NewJobRecord, outcome: SubmissionOutcome, respond: Respond): void {
+		const { uid } = spec
+		if (outcome === 'refused') return respond(retryLater())
+		if (outcome === 'unclear')
+			return this.runCall(this.statusReader.read(uid), (status) =>
+				respond(status.status === 404 ? retryLater() : status),
+			)
+		const { jobClass, team, priority, tasks, cpus, expectedS, checkpointS } = spec
+		this.context.log('info', 'job accepted', {
+			uid,
+			part: shardId,
+			tasks,
+			jobClass,
+			team,
+			priority,
+			cpus,
+			expectedS,
+			checkpointS,
+		})
+		respond({ status: 201, body: { uid, status: 'pending' } })
+	}
+
+	/** Tells why a job can never run here; null if it can. */
+	private refusalReason(spec: JobSpec): string | null {
+		const team = this.context.config.settings.deployment.teams.find(({ name }) => name === spec.team)
+		if (team === undefined) return `unknown team ${spec.team}`
+		if (!canEverRun(spec, this.context.machineTypes())) return 'no allowed machine type has room for one task'
+		// A job array runs with as few as one task at a time; other jobs need all of theirs at once.
+		const concurrentTasks = spec.kind === 'sweep' ? 1 : spec.tasks
+		if (!withinLimit(team, { cpus: 0, gpus: 0 }, spec, concurrentTasks))
+			return `more than the limit of team ${spec.team}`
+		return null
+	}
+}
--- /dev/null
+++ b/packages/server/src/record-reads.ts
@@ -0,0 +1,64 @@
+/** Reads that wait until the watch cache is fresh enough. */
+import type { StoreClient, WatchCache } from '@heathroad/store'
+import { Effect } from 'effect'
+import { USER_ANSWER_TIMEOUT_MS } from './controller-context.js'
+
+/** `refreshCache` calls back this long after a failed read, in controller leases. */
+const REFRESH_RETRY_LEASES = 0.1
+
+interface RevisionWaiter {
+	revision: number
+	done: (ok: boolean) => void
+}
+
+/** Brings one watch cache up to date for those who need it fresh. */
+export class RecordReads {
+	private readonly revisionWaiters = new Set<RevisionWaiter>()
+
+	constructor(
+		private readonly cache: WatchCache,
+		private readonly storeClient: StoreClient,
+		private readonly controllerLeaseMs: number,
+	) {}
+
+	/** Returns true once everything durable before the call is in the cache; false if that takes too long. */
+	linearizableRead(): Effect.Effect<boolean> {
+		return this.cache.linearizableRead(this.storeClient).pipe(
+			Effect.timeoutOption(USER_ANSWER_TIMEOUT_MS),
+			Effect.map((isCurrent) => isCurrent._tag === 'Some' && isCurrent.value),
+		)
+	}
+
+	/** Calls back once everything durable before the call is in the cache, or with false. */
+	afterLinearizableRead(done: (ok: boolean) => void): void {
+		Effect.runFork(this.linearizableRead().pipe(Effect.map(done)))
+	}
+
+	/** Brings the cache up to date, then calls back; without an answer it calls back after a pause. */
+	refreshCache(done: () => void): void {
+		const onRead = (ok: boolean) => {
+			if (ok) done()
+			else setTimeout(done, this.controllerLeaseMs * REFRESH_RETRY_LEASES)
+		}
+		Effect.runFork(this.cache.linearizableRead(this.storeClient).pipe(Effect.map(onRead)))
+	}
+
+	/** Calls back with true once the cache is at the revision, with false after `USER_ANSWER_TIMEOUT_MS`. */
+	waitForRevision(revision: number, done: (ok: boolean) => void): void {
+		if (this.cache.revision >= revision) return done(true)
+		const waiter = { revision, done }
+		this.revisionWaiters.add(waiter)
+		setTimeout(() => {
+			if (this.revisionWaiters.delete(waiter)) done(false)
+		}, USER_ANSWER_TIMEOUT_MS)
+	}
+
+	/** The cache's revision has advanced: those who wait for it are called back. */
+	onRevisionAdvanced(): void {
+		for (const waiter of this.revisionWaiters)
+			if (waiter.revision <= this.cache.revision) {
+				this.revisionWaiters.delete(waiter)
+				waiter.done(true)
+			}
+	}
+}
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -1,72 +1,62 @@
+/** One controller: the composition root of its components. */
 import type * as http from 'node:http'
-import { CloudClient } from '@heathroad/cloud'
+import type { CloudClient } from '@heathroad/cloud'
 import {
-	CATALOG_KEY,
 	CancellationLog,
-	type CancelledJob,
-	decodeJobRecord,
 	decodeShardOwner,
-	HISTORY_KEY,
-	hashName,
 	type JobRecord,
 	JobRegistry,
-	type LeadershipStatus,
 	MachineGroups,
 	Membership,
 	ReleaseRegistry,
-	requiresRelease,
+	shardKey,
 } from '@heathroad/cluster'
 import type { Config } from '@heathroad/config'
-import {
-	type AdmissionChecks,
-	NO_CHECKS,
-	OfferAvailability,
-	Shard,
-	type ShardPorts,
-} from '@heathroad/controller'
+import { type AdmissionChecks, NO_CHECKS, OfferAvailability, Shard } from '@heathroad/controller'
 import type { Log } from '@heathroad/logging'
-import {
-	type CacheEntry,
-	createStoreClient,
-	KEY_PREFIX,
-	type StoreClient,
-	WatchCache,
-	WritePriority,
-	WriteQueue,
-} from '@heathroad/store'
-import {
-	createHttpClient,
-	encodeCommands,
-	type Heartbeat,
-	type HttpClient,
-	type HttpReply,
-	type MachineType,
-	parseHeartbeat,
-} from '@heathroad/wire'
+import { type StoreClient, WatchCache, type WriteQueue } from '@heathroad/store'
+import type { HttpClient, MachineType } from '@heathroad/wire'
 import { Effect, Fiber } from 'effect'
-import { type ControllerContext, type RecordObserver, USER_ANSWER_TIMEOUT_MS } from './core.js'
-import { ArchivalController } from './history.js'
-import { type HttpRequest, type Respond, startHttpServer } from './http.js'
-import { ShardRouter } from './parting.js'
-import { isUserPath, UserApi } from './users.js'
-
-/** How many cancellations are kept for owners that are cut off, and told in one message. */
-const CANCELLATIONS = 2000
-
-/** How operators' figures and metrics name the leadership status. */
-const LEADERSHIP_LABELS: Record<LeadershipStatus, string> = {
-	lease: 'grant',
-	promise: 'promise',
-	none: 'none',
-}
-
-const RETRY_LATER: HttpReply = { status: 503, retryAfterS: 1 }
-
-/** One controller: composes the parts it owns with the state, the cloud, its peers and its HTTP faces. */
+import { ArchivalController } from './archival-controller.js'
+import type { ControllerContext, RecordObserver } from './controller-context.js'
+import { Drain } from './drain.js'
+import { isHealthy } from './health.js'
+import { HeartbeatRouter } from './heartbeat-router.js'
+import { type AdminHandler, internalRequestHandler, publicRequestHandler } from './http-routes.js'
+import { type HttpRequest, type RequestHandler, type Respond, startHttpServer } from './http-server.js'
+import { LocalStatus } from './local-status.js'
+import { MachineTypeCatalog } from './machine-type-catalog.js'
+import { deleteObsoleteRecords } from './obsolete-records.js'
+import { collectFigures, openJobsOfTeam } from './operator-figures.js'
+import { createOutgoingClients } from './outgoing-clients.js'
+import { startPeriodicTasks } from './periodic-tasks.js'
+import { RecordDispatcher } from './record-dispatcher.js'
+import { RecordReads } from './record-reads.js'
+import { createShardPorts } from './shard-ports.js'
+import { ShardRouter } from './shard-router.js'
+import { isUserPath, UserApi } from './user-api.js'
+import { WorkerProbe } from './worker-probe.js'
+
+/** Cancellations kept for owners that are cut off from the state service; they fit in one message. */
+const MAX_LOGGED_CANCELLATIONS = 2000
+/**
+ * Minimum time between linearizable reads is this over the reads per second: a third of this controller's reads each for
+ * what follows the changes and for questions; writes and leases have the rest.
+ */
+const READ_GAP_DIVIDEND_MS = 3000
+/** The watch of the records pauses this long after a failure, in controller leases. */
+const WATCH_RETRY_LEASES = 0.06
+/** The state service counts as reachable for this long after it answered, in controller leases. */
+const STORE_REACHABLE_LEASES = 0.6
+/** Idle connections of machines outlive this many agent leases, so that a heartbeat finds its connection open. */
+const IDLE_AGENT_LEASES = 2
+/** Time in ms in which a request must have arrived. */
+const REQUEST_TIMEOUT_MS = 5000
+
+/** One controller: composes the shards it owns with the state service, the cloud, its peers and its HTTP interfaces. */
 export class Service implements ControllerContext {
 	private readonly shards = new Map<number, Shard>()
 	private readonly httpClient: HttpClient
-	/** workers are called once in a while each: connections kept to hundreds of them would use up the sockets */
 	private readonly workerClient: HttpClient
 	private readonly storeClient: StoreClient
 	readonly cache: WatchCache
@@ -74,368 +64,255 @@
 	readonly membership: Membership
 	private readonly cloud: CloudClient
 	readonly offerAvailability = new OfferAvailability()
-	private knownMachineTypes: readonly MachineType[] = []
 	readonly jobs: JobRegistry
-	/** which jobs checks have released */
+	/** which jobs admission checks have released */
 	private readonly releases = new ReleaseRegistry()
+	/** operators' admission checks; plugins set them before the start */
 	checks: AdmissionChecks = NO_CHECKS
-	/** as the operator's drain has it: `leaving`: the balancer is told so, `handing`: parts go to other controllers */
-	private drainPhase: 'serving' | 'leaving' | 'handing' = 'serving'
-	/** operators' calls from other processes, at the internal address; nobody answers them unless a daemon does */
-	adminHandler: ((path: string, body: unknown, respond: Respond) => void) | null = null
+	/** handles operators' calls from other processes, at the internal address; without one they are answered 404 */
+	adminHandler: AdminHandler | null = null
 	readonly archive: ArchivalController
-	/** the records are of a form that this program does not know; nothing may be done with them */
+	/** called if the records have a format that this program does not know; nothing may be done with them */
 	onUnsupportedFormat: (why: string) => void = () => {}
 	readonly cancellations: CancellationLog
-	/** where every recorded machine belongs */
+	/** which group each registered machine belongs to */
 	readonly machineGroups = new MachineGroups()
-	/** reports of machines that are proven to have no record, about to be claimed together */
-	private unregisteredMachines: { report: Heartbeat; reply: Respond }[] = []
-	/** machines of parts that are not ours and asked here for their owner */
-	private readonly ownerLookups = new Map<string, { part: number; at: number }>()
-	/** who waits for the mirror to reach an revision */
-	private readonly revisionWaiters = new Set<{ revision: number; done: (ok: boolean) => void }>()
-	private handOffAtOnce = false
-	private workerProbesAnswered = 0
-	private gossipScheduled = false
-	private fibers: Fiber.Fiber<unknown, unknown>[] = []
-	private timers: ReturnType<typeof setInterval>[] = []
-	private servers: http.Server[] = []
 	readonly shardRouter: ShardRouter
-	private readonly userApi: UserApi
 	/** follows the records for others; nobody does unless settings ask for it */
 	recordObserver: RecordObserver | null = null
+	private readonly catalog: MachineTypeCatalog
+	private readonly reads: RecordReads
+	private readonly drain: Drain
+	private readonly localStatus: LocalStatus
+	private readonly recordDispatcher: RecordDispatcher
+	private readonly workerProbe: WorkerProbe
+	private readonly userApi: UserApi
+	private readonly handlePublicRequest: RequestHandler
+	private fibers: Fiber.Fiber<unknown, unknown>[] = []
+	private timers: ReturnType<typeof setInterval>[] = []
+	private servers: http.Server[] = []
 
+	/**
+	 * @param now steady clock, in ms
+	 * @param httpClient replaces all outgoing calls, as simulations do
+	 */
 	constructor(
 		readonly config: Config,
 		readonly log: Log,
 		readonly now: () => number = () => performance.now(),
-		caller?: HttpClient,
+		httpClient?: HttpClient,
 	) {
-		const { settings, limits: derived } = config
-		this.httpClient = caller ?? createHttpClient(Math.max(4, Math.floor(derived.maxSockets / 16)))
-		this.workerClient = caller ?? createHttpClient(2, false)
-		const timeoutMs = derived.controllerLeaseMs * 0.3
-		this.storeClient = createStoreClient(this.httpClient, settings.services.state, timeoutMs, (ok) => {
-			this.membership.onStoreContact(ok)
-		})
-		// A third of our share each for what follows the changes and for questions; writes and grants have the rest.
-		const gapMs = 3000 / derived.readsPerS
-		this.cache = new WatchCache((key, entry, before) => this.onRecordChanged(key, entry, before), gapMs, now)
+		const clients = createOutgoingClients(config, now, httpClient, (ok) => this.membership.onStoreContact(ok))
+		this.httpClient = clients.httpClient
+		this.workerClient = clients.workerClient
+		this.storeClient = clients.storeClient
+		this.writeQueue = clients.writeQueue
+		this.cloud = clients.cloud
+		this.cache = this.createCache()
+		this.reads = new RecordReads(this.cache, this.storeClient, config.limits.controllerLeaseMs)
 		this.jobs = new JobRegistry(this.cache)
-		this.cancellations = new CancellationLog(CANCELLATIONS, now)
-		this.cache.retains = (key, data) => this.archive.retains(key, data)
-		this.cache.onFullRead = (revision) => this.archive.onFullRead(revision)
-		this.cache.onRevisionAdvanced = () => {
+		this.cancellations = new CancellationLog(MAX_LOGGED_CANCELLATIONS, now)
+		this.catalog = new MachineTypeCatalog(this, this.cloud, () => {
+			for (const shard of this.shards.values()) shard.onMachineTypesChanged()
+		})
+		this.localStatus = new LocalStatus(this, this.shards)
+		this.membership = this.createMembership()
+		this.drain = new Drain(this.membership)
+		this.archive = this.createArchive()
+		this.recordDispatcher = this.createRecordDispatcher()
+		this.shardRouter = new ShardRouter(this)
+		this.workerProbe = new WorkerProbe(this, this.workerClient)
+		this.userApi = new UserApi(this)
+		this.handlePublicRequest = publicRequestHandler({
+			heartbeats: new HeartbeatRouter(this, this.localStatus, (done) => this.afterLinearizableRead(done)),
+			userApi: this.userApi,
+			isHealthy: () => this.isHealthy(),
+		})
+	}
+
+	private createCache(): WatchCache {
+		const gapMs = READ_GAP_DIVIDEND_MS / this.config.limits.readsPerS
+		const cache = new WatchCache(
+			(key, entry, previous) => this.recordDispatcher.onChange(key, entry, previous),
+			gapMs,
+			this.now,
+		)
+		cache.retains = (key, data) => this.archive.retains(key, data)
+		cache.onFullRead = (revision) => this.archive.onFullRead(revision)
+		cache.onRevisionAdvanced = () => {
 			this.archive.onRevisionAdvanced()
-			this.notifyRevisionWaiters()
+			this.reads.onRevisionAdvanced()
 			this.recordObserver?.onRevisionAdvanced()
 		}
-		const limits = settings.deployment.state
-		this.writeQueue = new WriteQueue(
-			this.storeClient,
-			{
-				writesPerS: derived.writesPerS,
-				burst: limits.write_rps,
-				maxOperations: limits.txn_ops,
-				maxBytes: 48 * 1024,
-			},
-			this.now,
-		)
-		this.cloud = new CloudClient(
-			this.httpClient,
-			settings.services.cloud,
-			derived.cloudCallsPerS,
-			derived.controllerLeaseMs * 2,
-			this.now,
-		)
-		this.membership = new Membership(derived, this.cache, this.storeClient, this.httpClient, this.now, {
+		return cache
+	}
+
+	private createMembership(): Membership {
+		const { limits } = this.config
+		return new Membership(limits, this.cache, this.storeClient, this.httpClient, this.now, {
 			onShardAcquired: (shardId, fencingToken) => this.onShardAcquired(shardId, fencingToken),
 			onShardLost: (shardId, why) => this.onShardLost(shardId, why),
 			isQuiescent: (shardId) => this.shards.get(shardId)?.isQuiescent() ?? true,
 			unreachableMachines: (shardId) => this.shards.get(shardId)?.unreachableMachines() ?? 0,
-			localStatus: () => this.localStatus(),
-			onPeerStatus: (news) => this.offerAvailability.mergeFromPeer(news.exhaustedOffers, this.now()),
+			localStatus: () => this.localStatus.forPeers(),
+			onPeerStatus: (status) => this.offerAvailability.mergeFromPeer(status.exhaustedOffers, this.now()),
 			cancellationsSince: (revision) => this.cancellations.since(revision),
-			applyCancellations: (all) => this.applyCancellations(all),
-			log,
+			applyCancellations: (cancelledJobs) => this.recordDispatcher.applyPeerCancellations(cancelledJobs),
+			log: this.log,
 		})
-		this.archive = new ArchivalController(this, this.storeClient, {
+	}
+
+	private createArchive(): ArchivalController {
+		return new ArchivalController(this, this.storeClient, {
 			ownedShards: () => this.shards.keys(),
 			jobsOnMachines: (shardId) => this.shards.get(shardId)?.jobsOnMachines() ?? null,
-			onUnsupportedFormat: (form) => {
-				const why = `the state is of form ${form}, which this version does not know`
+			onUnsupportedFormat: (format) => {
+				const why = `the state is of form ${format}, which this version does not know`
 				this.log('error', 'unsupported record format', { why })
 				this.onUnsupportedFormat(why)
 			},
 		})
-		this.shardRouter = new ShardRouter(this)
-		this.userApi = new UserApi(this)
 	}
 
-	/** Listens on both addresses and begins. */
+	private createRecordDispatcher(): RecordDispatcher {
+		return new RecordDispatcher({
+			context: this,
+			shards: this.shards,
+			archive: this.archive,
+			releases: this.releases,
+			catalog: this.catalog,
+			observer: () => this.recordObserver,
+		})
+	}
+
+	/** Listens on both addresses and begins. Rejects if an address cannot be listened on. */
 	async start(): Promise<void> {
-		const { settings, limits: derived } = this.config
-		const limits = { idleMs: derived.agentLeaseMs * 2, requestMs: 5000, sockets: derived.maxSockets }
+		const { settings, limits } = this.config
+		const listenerLimits = {
+			idleMs: limits.agentLeaseMs * IDLE_AGENT_LEASES,
+			requestMs: REQUEST_TIMEOUT_MS,
+			sockets: limits.maxSockets,
+		}
 		this.servers = [
-			await startHttpServer(settings.bind, { ...limits, yields: isUserPath }, (request, respond) =>
+			await startHttpServer(settings.bind, { ...listenerLimits, yields: isUserPath }, (request, respond) =>
 				this.handleRequest(request, respond),
 			),
-			await startHttpServer(settings.internal_addr, limits, (request, respond) => {
-				if (request.method === 'POST' && request.path.startsWith('/admin/') && this.adminHandler !== null)
-					return this.adminHandler(request.path, request.body, respond)
-				const body =
-					request.method === 'POST' ? this.membership.handlePeerRequest(request.path, request.body) : null
-				respond(body === null ? { status: 404 } : { status: 200, body })
-			}),
+			await startHttpServer(
+				settings.internal_addr,
+				listenerLimits,
+				internalRequestHandler(this, () => this.adminHandler),
+			),
 		]
 		this.begin()
 	}
 
-	/** Everything but listening. */
+	/** Starts everything but the listeners. */
 	begin(): void {
-		const { limits } = this.config
+		const { limits, settings } = this.config
+		const watchRetryMs = limits.controllerLeaseMs * WATCH_RETRY_LEASES
 		this.fibers = [
-			Effect.runFork(
-				this.cache.follow(this.storeClient, limits.watchTimeoutMs, limits.controllerLeaseMs * 0.06),
-			),
+			Effect.runFork(this.cache.follow(this.storeClient, limits.watchTimeoutMs, watchRetryMs)),
 			Effect.runFork(this.membership.maintainLease()),
-			Effect.runFork(this.watchCatalog()),
+			Effect.runFork(this.catalog.watch()),
 		]
-		const every = (ms: number, what: () => void) => this.timers.push(setInterval(what, ms))
-		every(Math.min(250, limits.heartbeatMs / 4), () => this.tick())
-		every(limits.controllerLeaseMs * 0.15, () => this.membership.gossip())
-		every(limits.controllerLeaseMs * 2, () => {
-			this.deleteObsoleteRecords()
-			this.archive.tick()
+		const timers = startPeriodicTasks(limits, {
+			tick: () => this.tick(),
+			gossip: () => this.membership.gossip(),
+			cleanUp: () => {
+				deleteObsoleteRecords(this, this.shards)
+				this.archive.tick()
+			},
+			probeWorkers: () => this.workerProbe.tick(),
 		})
-		every(limits.controllerLeaseMs * 0.2, () => this.probeWorkers())
+		this.timers.push(...timers)
 		this.membership.gossip()
-		const teams = this.config.settings.deployment.teams
+		const { teams } = settings.deployment
 		this.log('info', 'controller started', { name: limits.self, upMs: Math.round(performance.now()), teams })
 	}
 
+	/** Ends all tasks and closes the listeners with their connections; leases and shards are left to expire. */
 	async stop(): Promise<void> {
-		for (const t of this.timers) clearInterval(t)
-		for (const f of this.fibers) Effect.runFork(Fiber.interrupt(f))
+		for (const timer of this.timers) clearInterval(timer)
+		for (const fiber of this.fibers) Effect.runFork(Fiber.interrupt(fiber))
 		for (const shard of this.shards.values()) shard.stop()
 		this.archive.stop()
-		for (const s of this.servers) {
-			s.closeAllConnections()
-			await new Promise((done) => s.close(done))
+		for (const server of this.servers) {
+			server.closeAllConnections()
+			await new Promise((done) => server.close(done))
 		}
 	}
 
-	/** Users go elsewhere as soon as the balancer has noticed; those who still come are served. */
+	private tick(): void {
+		this.membership.detectStandstill()
+		this.membership.acquireFreeShards()
+		this.membership.failBack()
+		this.membership.handOffUnreachableShards()
+		this.drain.tick()
+		for (const shard of this.shards.values()) shard.tick()
+	}
+
+	/** Begins a drain: users go elsewhere as soon as the balancer has noticed; those who still come are served. */
 	beginDrain(): void {
-		this.drainPhase = 'leaving'
+		this.drain.begin()
 	}
 
-	/** Parts go to other controllers; `atOnce`: those too whose machines are not all accounted for. */
+	/** Hands shards off to other controllers; `atOnce`: also those whose machines are not all accounted for. */
 	handOffShards(atOnce: boolean): void {
-		this.drainPhase = 'handing'
-		this.handOffAtOnce = atOnce
-		this.membership.draining = true
+		this.drain.handOffShards(atOnce)
 	}
 
 	get acceptsJobs(): boolean {
-		return this.drainPhase !== 'handing'
+		return this.drain.phase !== 'handing'
 	}
 
-	/** What is still to be handed over or answered before this controller can end without anybody noticing. */
+	/** What is still to be handed off or answered before this controller can end without anybody noticing. */
 	get pendingWork(): { parts: number; submissions: number } {
 		return { parts: this.shards.size, submissions: this.userApi.pendingSubmissions }
 	}
 
-	/** Figures for operators, counted when asked for. */
+	/** Returns figures for operators; metrics and admin calls read them by their names. */
 	figures() {
-		const shards = [...this.shards.values()]
-		const sum = (of: (shard: Shard) => number) => shards.reduce((n, shard) => n + of(shard), 0)
-		return {
-			parts: shards.length,
-			openJobs: this.jobs.openJobs.size,
-			ownJobs: sum((shard) => shard.jobs.size),
-			heldJobs: sum((shard) => shard.pendingReleaseCount),
-			machines: sum((shard) => shard.machines.size),
-			endedInMemory: this.jobs.terminalCount,
-			epoch: this.cache.revision,
-			right: LEADERSHIP_LABELS[this.membership.leadership()],
-			healthy: this.isHealthy(),
-			course: this.drainPhase,
-		}
+		const state = { isHealthy: this.isHealthy(), drainPhase: this.drain.phase }
+		return collectFigures(this, [...this.shards.values()], state)
 	}
 
-	/** No checks are left: what was held is released, as where there never were any. */
+	/** Removes all admission checks: jobs pending release start as if there never were any. */
 	disableChecks(): void {
 		this.checks = NO_CHECKS
 	}
 
-	/** Ids of a team's jobs that are not over, the oldest first. */
+	/** Returns the ids of a team's jobs that are not terminal, the oldest first. */
 	openJobsOfTeam(team: string): string[] {
-		const out: { uid: string; at: number }[] = []
-		for (const uid of this.jobs.openJobs) {
-			const record = this.jobs.get(uid)?.record
-			if (record?.spec?.team === team) out.push({ uid, at: record.acceptedAtMs ?? 0 })
-		}
-		return out.sort((a, b) => a.at - b.at).map((o) => o.uid)
+		return openJobsOfTeam(this, team)
 	}
 
-	/** Gives our grant up, once nothing of ours acts any more: what is still in our name is free at once. */
+	/** Revokes the controller lease, once nothing here acts any more: the shards still owned are free at once. */
 	async revokeLease(): Promise<void> {
-		const { leaseId: grant } = this.membership
-		if (grant === null) return
-		await Effect.runPromise(Effect.ignore(this.storeClient.revokeLease(grant)))
+		const { leaseId } = this.membership
+		if (leaseId === null) return
+		await Effect.runPromise(Effect.ignore(this.storeClient.revokeLease(leaseId)))
 	}
 
-	/** After an error of our own a part's picture may be half changed: it is taken anew and rebuilt. */
+	/** Logs an unexpected error and acquires all shards anew: what they hold in memory may be half changed. */
 	recoverFromError(error: unknown): void {
 		this.log('error', 'unexpected error', { error: error instanceof Error ? error.stack : String(error) })
 		this.membership.reacquireAll()
 	}
 
-	private tick(): void {
-		this.membership.detectStandstill()
-		this.membership.acquireFreeShards()
-		this.membership.failBack()
-		this.membership.handOffUnreachableShards()
-		if (this.drainPhase === 'handing') this.membership.handOffAll(this.handOffAtOnce)
-		for (const shard of this.shards.values()) shard.tick()
-	}
-
-	/** Cut from the workers, we ask one of them now and then whether that is over. */
-	private probeWorkers(): void {
-		if (!this.membership.cutFromWorkers) return
-		const addresses = [...this.machineGroups.records.values()].flatMap((r) => Object.values(r.addresses))
-		const known = addresses.filter((a) => a !== null)
-		const heard = (ok: boolean) => {
-			this.workerProbesAnswered = ok ? this.workerProbesAnswered + 1 : 0
-			if (this.workerProbesAnswered < 3) return
-			this.workerProbesAnswered = 0
-			this.membership.cutFromWorkers = false
-			this.log('info', 'workers reachable again')
-		}
-		if (known.length === 0) return heard(true)
-		const address = known[Math.floor(Math.random() * known.length)]
-		const asked = this.workerClient.request(
-			address,
-			'GET',
-			'/inspect',
-			undefined,
-			this.config.limits.controllerLeaseMs * 0.2,
-		)
-		const answered = Effect.match(asked, { onFailure: () => false, onSuccess: (a) => a.status === 200 })
-		Effect.runFork(Effect.map(answered, heard))
-	}
-
-	/**
-	 * Records that say nothing any more are removed by the owner of the part that their name falls to. As many at a time as
-	 * half of our share of the changes takes until the next look: a vast array leaves a hundred of them, and what gave
-	 * up waiting for its turn stayed for ever.
-	 */
-	private deleteObsoleteRecords(): void {
-		const { writesPerS, controllerLeaseMs: grantMs } = this.config.limits
-		let left = Math.ceil((writesPerS * grantMs) / 1000)
-		for (const [key, { modRevision }] of this.jobs.obsoleteEntries()) {
-			if (!this.shards.has(hashName(key) % this.config.limits.controllerNames.length)) continue
-			if (left-- <= 0) return
-			const content = {
-				conditions: [{ key: KEY_PREFIX + key, modRevision }],
-				mutations: [{ delete: KEY_PREFIX + key }],
-			}
-			const until = this.now() + grantMs
-			this.writeQueue.enqueue({
-				priority: WritePriority.progress,
-				build: () => content,
-				deadline: until,
-				onResult: () => {},
-			})
-		}
-	}
-
-	// ---- catalog ----
-
 	machineTypes(): readonly MachineType[] {
-		return this.knownMachineTypes
-	}
-
-	private setCatalog(types: readonly MachineType[]): void {
-		if (types.length === 0) return
-		const first = this.knownMachineTypes.length === 0
-		this.knownMachineTypes = types
-		if (first) for (const shard of this.shards.values()) shard.onMachineTypesChanged()
-	}
-
-	private watchCatalog(): Effect.Effect<never> {
-		const limits = this.config.limits
-		const step = Effect.suspend(() => this.cloud.fetchMachineTypes()).pipe(
-			Effect.flatMap((types) => {
-				if (types === null || types.length === 0) return Effect.sleep(limits.controllerLeaseMs * 0.2)
-				this.setCatalog(types)
-				// Kept in the state too, so that a controller that starts while the cloud is down knows the types.
-				if (this.cache.revision >= 0 && this.cache.get(CATALOG_KEY) === undefined)
-					this.writeQueue.enqueue({
-						priority: WritePriority.progress,
-						build: () => ({
-							conditions: [{ key: KEY_PREFIX + CATALOG_KEY, modRevision: 0 }],
-							mutations: [{ set: KEY_PREFIX + CATALOG_KEY, data: types }],
-						}),
-						deadline: this.now() + limits.controllerLeaseMs,
-						onResult: () => {},
-					})
-				return Effect.sleep(limits.controllerLeaseMs * 8)
-			}),
-		)
-		return Effect.forever(step)
-	}
-
-	// ---- changes of the records ----
-
-	private onRecordChanged(key: string, entry: CacheEntry | undefined, before: CacheEntry | undefined): void {
-		const slash = key.indexOf('/')
-		const [kind, id] = slash < 0 ? [key, ''] : [key.slice(0, slash), key.slice(slash + 1)]
-		if (kind === 'part') {
-			this.membership.onShardKeyChanged(Number(id))
-			this.recordObserver?.onShardChanged(Number(id))
-		} else if (kind === 'done') this.recordObserver?.onJobChanged(id.split('/')[0])
-		else if (kind === 'job') {
-			const record = decodeJobRecord(entry?.data)
-			if (record !== null && this.jobs.onJobRecordChanged(id, record)) this.onJobChanged(id, record)
-		} else if (kind === 'over') {
-			const fresh = this.jobs.onTerminalPageChanged(key, entry, before, this.cache.revision)
-			for (const { uid, record } of fresh) this.onJobChanged(uid, record)
-		} else if (kind === HISTORY_KEY) {
-			this.archive.onHistoryRecordChanged()
-		} else if (kind === 'intake') {
-			for (const record of this.jobs.onBatchAccepted(entry?.data)) {
-				this.shards.get(record.shardId)?.onJobChanged(record.spec!.uid, record)
-				this.recordObserver?.onJobChanged(record.spec!.uid)
-			}
-		} else if (kind === 'released') {
-			const uids = this.releases.onPageChanged(key, entry?.data)
-			for (const shard of this.shards.values()) shard.onJobsReleased(uids)
-		} else if (kind === 'fleet') {
-			this.machineGroups.onRecordChanged(id, entry?.data)
-			for (const shard of this.shards.values()) shard.onMachineGroupChanged(id, entry?.data, before?.data)
-		} else if (kind === CATALOG_KEY && this.knownMachineTypes.length === 0 && Array.isArray(entry?.data))
-			this.setCatalog(entry.data as MachineType[])
-	}
-
-	/** What peers know of cancellations while we are cut off: from now on those jobs are over here, whatever is read. */
-	private applyCancellations(all: readonly CancelledJob[]): void {
-		for (const uid of this.jobs.applyPeerCancellations(all))
-			for (const shard of this.shards.values()) shard.applyCancellation(uid)
-	}
-
-	private onJobChanged(uid: string, record: JobRecord): void {
-		if (record.finalState === 'aborted')
-			this.cancellations.record(uid, this.jobs.terminalRecord(uid)!.revision)
-		// The part that it was in, too, if it moved.
-		for (const shard of this.shards.values()) shard.onJobChanged(uid, record)
-		this.recordObserver?.onJobChanged(uid)
+		return this.catalog.types
 	}
 
 	private onShardAcquired(shardId: number, fencingToken: number): void {
-		this.shards.set(shardId, new Shard(shardId, fencingToken, this.config, this.shardPorts()))
+		const ports = createShardPorts({
+			context: this,
+			localStatus: this.localStatus,
+			releases: this.releases,
+			cloud: this.cloud,
+			workerClient: this.workerClient,
+			afterLinearizableRead: (done) => this.afterLinearizableRead(done),
+		})
+		this.shards.set(shardId, new Shard(shardId, fencingToken, this.config, ports))
 	}
 
 	private onShardLost(shardId: number, why: string): void {
@@ -444,318 +321,59 @@
 		this.log('info', 'shard lost', { part: shardId, why })
 	}
 
-	/** Running tasks of the jobs in our parts. */
-	localRunningTasks(): Record<string, number> {
-		const running: Record<string, number> = {}
-		for (const shard of this.shards.values())
-			for (const [uid, job] of shard.jobs) {
-				const n = job.isTerminal ? 0 : job.runningCount()
-				if (n > 0) running[uid] = n
-			}
-		return running
-	}
-
-	private localStatus() {
-		return {
-			runningTasks: this.localRunningTasks(),
-			quarantinedJobs: this.localQuarantinedJobs(),
-			ownerLookups: this.countOwnerLookups(),
-			partitionedShards: this.localPartitionedShards(),
-			teamUsage: this.localTeamUsage(),
-			ready: this.cache.revision >= 0 && this.isStoreReachable(),
-			exhaustedOffers: this.offerAvailability.exhaustedForMs(this.now()),
-			supportsArchive: this.config.history !== null || this.archive.archivalEpoch() > 0,
-		}
-	}
-
-	/** How many machines asked here for the owner of a part, of those that may still have a lease. */
-	private countOwnerLookups(): Record<string, number> {
-		const out: Record<string, number> = {}
-		const since = this.now() - this.config.limits.agentLeaseMs * 0.6
-		for (const [id, { part: shardId, at }] of this.ownerLookups)
-			if (at < since || this.shards.has(shardId)) this.ownerLookups.delete(id)
-			else out[shardId] = (out[shardId] ?? 0) + 1
-		return out
-	}
-
-	/** What teams with a guarantee use in our parts, but for one of them. */
-	private localTeamUsage(without?: number): Record<string, { cpus: number; gpus: number }> {
-		const out: Record<string, { cpus: number; gpus: number }> = {}
-		for (const { name, cpus, gpus } of this.config.settings.deployment.teams) {
-			if (cpus <= 0 && gpus <= 0) continue
-			const sum = { cpus: 0, gpus: 0 }
-			for (const [shardId, shard] of this.shards) {
-				if (shardId === without) continue
-				const used = shard.teamUsage(name)
-				sum.cpus += used.cpus
-				sum.gpus += used.gpus
-			}
-			out[name] = sum
-		}
-		return out
+	shard(shardId: number): Shard | undefined {
+		return this.shards.get(shardId)
 	}
 
-	private usageInOtherShards(shardId: number, team: string): { cpus: number; gpus: number } {
-		const out = { ...(this.localTeamUsage(shardId)[team] ?? { cpus: 0, gpus: 0 }) }
-		for (const peer of this.membership.peers) {
-			const used = this.membership.isAlive(peer.name) ? peer.status?.teamUsage[team] : undefined
-			out.cpus += used?.cpus ?? 0
-			out.gpus += used?.gpus ?? 0
-		}
-		return out
+	ownerName(shardId: number): string | undefined {
+		return decodeShardOwner(this.cache.get(shardKey(shardId))?.data)?.owner
 	}
 
-	private localQuarantinedJobs(): string[] {
-		const out: string[] = []
-		for (const shard of this.shards.values())
-			for (const [uid, job] of shard.jobs) if (job.isQuarantined && !job.isTerminal) out.push(uid)
-		return out
+	/** Returns the running tasks of the jobs in this controller's shards, by job. */
+	localRunningTasks(): Record<string, number> {
+		return this.localStatus.runningTasks()
 	}
 
-	/** Jobs that fail wherever they are tried, as their owners tell, or told before they were lost. */
 	quarantinedJobs(): Set<string> {
-		return new Set([
-			...this.localQuarantinedJobs(),
-			...this.membership.peers.flatMap((p) => p.status?.quarantinedJobs ?? []),
-		])
+		return this.localStatus.quarantinedJobsOfAll()
 	}
 
-	/** Parts most of whose machines are out of their owners' reach, as those see it or told last. */
 	partitionedShards(): Set<number> {
-		const told = this.membership.peers.flatMap((p) =>
-			this.membership.isAlive(p.name) ? (p.status?.partitionedShards ?? []) : [],
-		)
-		return new Set([...told.filter((shardId) => !this.shards.has(shardId)), ...this.localPartitionedShards()])
-	}
-
-	private localPartitionedShards(): number[] {
-		return [...this.shards].filter(([, shard]) => shard.isPartitioned()).map(([shardId]) => shardId)
+		return this.localStatus.partitionedShardsOfAll()
 	}
 
 	isPendingRelease(uid: string, record: JobRecord): boolean {
 		return this.releases.isPending(uid, record)
 	}
 
-	/** Has a mark of the job's release to stay? */
-	private keepsReleaseMark(uid: string): boolean {
-		const record = this.jobs.get(uid)?.record
-		return record !== undefined && requiresRelease(record)
-	}
-
 	isStoreReachable(): boolean {
-		return this.membership.reachedStoreWithin(this.config.limits.controllerLeaseMs * 0.6)
+		return this.membership.reachedStoreWithin(this.config.limits.controllerLeaseMs * STORE_REACHABLE_LEASES)
 	}
 
-	private shardPorts(): ShardPorts {
-		const limits = this.config.limits
-		const run = <A>(effect: Effect.Effect<A>, done: (a: A) => void) => {
-			Effect.runFork(effect.pipe(Effect.map((a) => done(a))))
-		}
-		return {
-			now: this.now,
-			wallClockMs: () => Date.now(),
-			leadership: () => this.membership.leadership(),
-			entry: (key) => this.cache.get(key),
-			withPrefix: (prefix) => this.cache.withPrefix(prefix),
-			applyOwnWrite: (key, data, modRevision) => this.cache.applyOwnWrite(key, data, modRevision),
-			enqueueWrite: (w) => {
-				const write = { ...w, deadline: this.now() + limits.controllerLeaseMs * 2 }
-				this.writeQueue.enqueue(write)
-				return write
-			},
-			raisePriority: (write, priority) => this.writeQueue.raisePriority(write, priority),
-			job: (uid) => this.jobs.get(uid),
-			usageInOtherShards: (shardId, team) => this.usageInOtherShards(shardId, team),
-			migrationPlanner: (shardId, leaving) => this.shardRouter.migrationPlanner(shardId, leaving),
-			wasQuarantined: (uid) => this.membership.peers.some((p) => p.status?.quarantinedJobs.includes(uid)),
-			checks: () => this.checks,
-			isPendingRelease: (uid, record) => this.isPendingRelease(uid, record),
-			keepsReleaseMark: (uid) => this.keepsReleaseMark(uid),
-			openJobs: () => this.jobs.openJobs,
-			refreshCache: (done) => this.refreshCache(done),
-			linearizableRead: (done) => this.afterLinearizableRead(done),
-			revision: () => this.cache.revision,
-			sendCommands: (addr, fencingToken, agentEpoch, commands, done) =>
-				run(
-					this.workerClient
-						.request(
-							addr,
-							'POST',
-							'/commands',
-							encodeCommands(fencingToken, commands, agentEpoch),
-							limits.heartbeatMs * 2,
-						)
-						.pipe(Effect.match({ onFailure: () => null, onSuccess: (a) => a })),
-					(a) => done(a?.status ?? 0, a === null ? null : parseHeartbeat(a.body)),
-				),
-			rent: (request, done) => run(this.cloud.rent(request), done),
-			releaseMachines: (ids, done) => run(this.cloud.release(ids), done),
-			availableCloudCalls: () => this.cloud.availableCalls(),
-			machineTypes: () => this.knownMachineTypes,
-			offerAvailability: this.offerAvailability,
-			log: this.log,
-		}
-	}
-
-	/** Brings the mirror up to date, then calls back; without an answer after a pause. */
 	refreshCache(done: () => void): void {
-		const then = (ok: boolean) => {
-			if (ok) done()
-			else setTimeout(done, this.config.limits.controllerLeaseMs * 0.1)
-		}
-		Effect.runFork(this.cache.linearizableRead(this.storeClient).pipe(Effect.map(then)))
+		this.reads.refreshCache(done)
 	}
 
-	shard(shardId: number): Shard | undefined {
-		return this.shards.get(shardId)
-	}
-
-	/** True once everything durable before the call is in the mirror; false if that takes too long. */
 	linearizableRead(): Effect.Effect<boolean> {
-		return this.cache.linearizableRead(this.storeClient).pipe(
-			Effect.timeoutOption(USER_ANSWER_TIMEOUT_MS),
-			Effect.map((o) => o._tag === 'Some' && o.value),
-		)
-	}
-
-	waitForRevision(revision: number, done: (ok: boolean) => void): void {
-		if (this.cache.revision >= revision) return done(true)
-		const one = { revision, done }
-		this.revisionWaiters.add(one)
-		setTimeout(() => {
-			if (this.revisionWaiters.delete(one)) done(false)
-		}, USER_ANSWER_TIMEOUT_MS)
+		return this.reads.linearizableRead()
 	}
 
-	private notifyRevisionWaiters(): void {
-		for (const one of this.revisionWaiters)
-			if (one.revision <= this.cache.revision) {
-				this.revisionWaiters.delete(one)
-				one.done(true)
-			}
-	}
-
-	/** Calls back once everything durable before the call is in the mirror, or with false. */
+	/** Calls back once everything durable before the call is in the watch cache, or with false. */
 	afterLinearizableRead(done: (ok: boolean) => void): void {
-		Effect.runFork(this.linearizableRead().pipe(Effect.map(done)))
+		this.reads.afterLinearizableRead(done)
 	}
 
-	// ---- HTTP ----
+	waitForRevision(revision: number, done: (ok: boolean) => void): void {
+		this.reads.waitForRevision(revision, done)
+	}
 
-	/** The face to users, workers and the balancer. */
+	/** Handles a request of a user, a machine or the load balancer. */
 	handleRequest(request: HttpRequest, respond: Respond): void {
-		if (request.path === '/checkin') {
-			if (request.method !== 'POST') return respond({ status: 405 })
-			return this.handleHeartbeat(request.body, respond)
-		}
-		if (request.path === '/healthz') {
-			if (request.method !== 'GET') return respond({ status: 405 })
-			return respond(
-				this.isHealthy() ? { status: 200, body: { status: 'ok' } } : { status: 503, retryAfterS: 1 },
-			)
-		}
-		this.userApi.handle(request, respond)
+		this.handlePublicRequest(request, respond)
 	}
 
-	/**
-	 * Healthy: users' requests can be answered. In an outage that every member sees, leaving the balancer would
-	 * only delay the return; a member that alone cannot reach the state leaves the users to the others.
-	 */
+	/** Tells whether users' requests can be answered, as the load balancer sees it. */
 	isHealthy(): boolean {
-		if (this.drainPhase !== 'serving' || this.cache.revision < 0 || this.knownMachineTypes.length === 0)
-			return false
-		if (this.isStoreReachable()) return true
-		const heard = this.membership.peers.filter((p) => this.membership.isAlive(p.name))
-		return heard.length > 0 && heard.every((p) => p.status?.ready === false)
-	}
-
-	private handleHeartbeat(body: unknown, respond: Respond): void {
-		const report = parseHeartbeat(body)
-		if (report === null) return respond({ status: 400, body: { error: 'not a report' } })
-		if (this.cache.revision < 0) return respond(RETRY_LATER)
-		const shardId = this.shardIdOf(report)
-		const shard = this.shards.get(shardId)
-		if (shard === undefined) {
-			this.ownerLookups.set(report.machineId, { part: shardId, at: this.now() })
-			const owner = this.membership.ownerOf(shardId)
-			// Sent back to an owner that cannot hear it, it would wait there for most of its lease.
-			const known = owner?.alive && owner.hears && owner.name !== this.config.limits.self
-			if (owner?.alive && !owner.hears) this.gossipSoon()
-			return respond({ status: 421, body: known ? { overseer: owner.name } : {} })
-		}
-		if (this.machineGroups.groupOf(report.machineId) === undefined)
-			this.handleUnregisteredMachine(report, respond)
-		else this.forwardHeartbeat(report, respond)
-	}
-
-	/** Peers hear at once that machines seek an owner here, many reports sharing one message. */
-	private gossipSoon(): void {
-		if (this.gossipScheduled) return
-		this.gossipScheduled = true
-		setTimeout(() => {
-			this.gossipScheduled = false
-			this.membership.gossip()
-		}, this.config.limits.controllerLeaseMs * 0.04)
-	}
-
-	private shardIdOf(heartbeat: Heartbeat): number {
-		return (
-			this.machineGroups.groupOf(heartbeat.machineId)?.shardId ??
-			hashName(heartbeat.machineId) % this.config.limits.controllerNames.length
-		)
-	}
-
-	private forwardHeartbeat(heartbeat: Heartbeat, respond: Respond): void {
-		const shard = this.shards.get(this.shardIdOf(heartbeat))
-		if (shard === undefined || this.membership.leadership() === 'none') return respond(RETRY_LATER)
-		shard.handleHeartbeat(heartbeat, (answer) =>
-			respond(
-				answer === null ? RETRY_LATER : { status: 200, body: encodeCommands(answer.token, answer.orders) },
-			),
-		)
-	}
-
-	/**
-	 * A machine without a record was up before us, or was rented by a call that was carried out late. It is claimed
-	 * by the part that its name falls to, once a read begun after its report shows neither a record of it nor a
-	 * rental whose answer could still bring one: two parts must never hold the same machine.
-	 */
-	private handleUnregisteredMachine(heartbeat: Heartbeat, respond: Respond): void {
-		const proven = (ok: boolean) => {
-			if (!ok) return respond(RETRY_LATER)
-			this.unregisteredMachines.push({ report: heartbeat, reply: respond })
-			// Reports that shared the read are claimed together.
-			if (this.unregisteredMachines.length === 1) queueMicrotask(() => this.adoptUnregisteredMachines())
-		}
-		this.afterLinearizableRead(proven)
-	}
-
-	private adoptUnregisteredMachines(): void {
-		const all = this.unregisteredMachines
-		this.unregisteredMachines = []
-		const alike = new Map<string, typeof all>()
-		for (const s of all) {
-			const heartbeat = s.report
-			const shardId = this.shardIdOf(heartbeat)
-			if (this.machineGroups.groupOf(heartbeat.machineId) !== undefined)
-				this.forwardHeartbeat(heartbeat, s.reply)
-			else if (this.machineGroups.hasPendingRental(heartbeat) || !this.shards.has(shardId))
-				s.reply(RETRY_LATER)
-			else {
-				const key = `${shardId}/${heartbeat.machineType}/${heartbeat.zone}/${heartbeat.spot}`
-				alike.set(key, [...(alike.get(key) ?? []), s])
-			}
-		}
-		for (const group of alike.values()) {
-			const reports = group.map((s) => s.report)
-			this.shards.get(this.shardIdOf(reports[0]))!.adoptMachines(reports, () => {
-				for (const s of group) this.forwardHeartbeat(s.report, s.reply)
-			})
-		}
-	}
-
-	/** Who owns a part, for a status that its owner knows best. */
-	ownerName(shardId: number): string | undefined {
-		return decodeShardOwner(this.cache.get(`part/${shardId}`)?.data)?.owner
+		return isHealthy(this, this.drain)
 	}
 }
--- /dev/null
+++ b/packages/server/src/shard-ports.ts
@@ -0,0 +1,128 @@
+/** The dependencies of shards, made of the controller's components. */
+import type { CloudClient } from '@heathroad/cloud'
+import { type JobRegistry, type ReleaseRegistry, requiresRelease } from '@heathroad/cluster'
+import type { ShardPorts } from '@heathroad/controller'
+import { encodeCommands, type HttpClient, parseHeartbeat } from '@heathroad/wire'
+import { Effect } from 'effect'
+import type { ControllerContext } from './controller-context.js'
+import type { LocalStatus } from './local-status.js'
+
+/** After this many controller leases a shard's queued write is given up; what it wrote is decided anew then. */
+const WRITE_DEADLINE_LEASES = 2
+/** Time limit of commands sent to a machine, in heartbeat intervals. */
+const COMMAND_TIMEOUT_HEARTBEATS = 2
+
+/** The controller's components that shards use through their ports. */
+export interface ShardDependencies {
+	context: ControllerContext
+	localStatus: LocalStatus
+	releases: ReleaseRegistry
+	cloud: CloudClient
+	/** client for calls to machines */
+	workerClient: HttpClient
+	/** Calls back once everything durable before the call is in the watch cache, or with false. */
+	afterLinearizableRead(done: (ok: boolean) => void): void
+}
+
+const runThen = <Result>(effect: Effect.Effect<Result>, done: (result: Result) => void): void => {
+	Effect.runFork(effect.pipe(Effect.map((result) => done(result))))
+}
+
+/** A mark of a job's release stays on record as long as the job's own record still asks for the release. */
+const keepsReleaseMark = (jobs: JobRegistry, uid: string): boolean => {
+	const record = jobs.get(uid)?.record
+	return record !== undefined && requiresRelease(record)
+}
+
+type RecordPorts = Pick<
+	ShardPorts,
+	| 'entry'
+	| 'withPrefix'
+	| 'applyOwnWrite'
+	| 'enqueueWrite'
+	| 'raisePriority'
+	| 'refreshCache'
+	| 'linearizableRead'
+	| 'revision'
+>
+
+/** Reads and writes of the records. */
+const recordPorts = ({ context, afterLinearizableRead }: ShardDependencies): RecordPorts => ({
+	entry: (key) => context.cache.get(key),
+	withPrefix: (prefix) => context.cache.withPrefix(prefix),
+	applyOwnWrite: (key, data, modRevision) => context.cache.applyOwnWrite(key, data, modRevision),
+	enqueueWrite: (content) => {
+		const timeoutMs = context.config.limits.controllerLeaseMs * WRITE_DEADLINE_LEASES
+		const write = { ...content, deadline: context.now() + timeoutMs }
+		context.writeQueue.enqueue(write)
+		return write
+	},
+	raisePriority: (write, priority) => context.writeQueue.raisePriority(write, priority),
+	refreshCache: (done) => context.refreshCache(done),
+	linearizableRead: (done) => afterLinearizableRead(done),
+	revision: () => context.cache.revision,
+})
+
+type JobPorts = Pick<
+	ShardPorts,
+	| 'job'
+	| 'openJobs'
+	| 'wasQuarantined'
+	| 'checks'
+	| 'isPendingRelease'
+	| 'keepsReleaseMark'
+	| 'usageInOtherShards'
+	| 'migrationPlanner'
+>
+
+/** What the controller knows of jobs and of other shards. */
+const jobPorts = ({ context, localStatus, releases }: ShardDependencies): JobPorts => ({
+	job: (uid) => context.jobs.get(uid),
+	openJobs: () => context.jobs.openJobs,
+	wasQuarantined: (uid) =>
+		context.membership.peers.some((peer) => peer.status?.quarantinedJobs.includes(uid)),
+	checks: () => context.checks,
+	isPendingRelease: (uid, record) => releases.isPending(uid, record),
+	keepsReleaseMark: (uid) => keepsReleaseMark(context.jobs, uid),
+	usageInOtherShards: (shardId, team) => localStatus.usageInOtherShards(shardId, team),
+	migrationPlanner: (shardId, leaving) => context.shardRouter.migrationPlanner(shardId, leaving),
+})
+
+type MachinePorts = Pick<
+	ShardPorts,
+	'sendCommands' | 'rent' | 'releaseMachines' | 'availableCloudCalls' | 'machineTypes' | 'offerAvailability'
+>
+
+/** Calls to machines and to the cloud. */
+const machinePorts = ({ context, cloud, workerClient }: ShardDependencies): MachinePorts => ({
+	sendCommands: (address, fencingToken, agentEpoch, commands, done) => {
+		const timeoutMs = context.config.limits.heartbeatMs * COMMAND_TIMEOUT_HEARTBEATS
+		const body = encodeCommands(fencingToken, commands, agentEpoch)
+		const reply = workerClient
+			.request(address, 'POST', '/commands', body, timeoutMs)
+			.pipe(Effect.match({ onFailure: () => null, onSuccess: (answer) => answer }))
+		// Status 0: no answer.
+		runThen(reply, (answer) =>
+			answer === null ? done(0, null) : done(answer.status, parseHeartbeat(answer.body)),
+		)
+	},
+	rent: (request, done) => runThen(cloud.rent(request), done),
+	releaseMachines: (ids, done) => runThen(cloud.release(ids), done),
+	availableCloudCalls: () => cloud.availableCalls(),
+	machineTypes: () => context.machineTypes(),
+	offerAvailability: context.offerAvailability,
+})
+
+/** Returns the ports for one shard. */
+export const createShardPorts = (dependencies: ShardDependencies): ShardPorts => {
+	const { context } = dependencies
+	return {
+		now: context.now,
+		wallClockMs: () => Date.now(),
+		leadership: () => context.membership.leadership(),
+		log: context.log,
+		...recordPorts(dependencies),
+		...jobPorts(dependencies),
+		...machinePorts(dependencies),
+	}
+}
--- /dev/null
+++ b/packages/server/src/submission-queue.ts
@@ -0,0 +1,259 @@
+/** Queue that makes accepted jobs durable in batches, and the batch records that it writes them to. */
+import { acceptJobs, encodeJobRecord, type JobRecord } from '@heathroad/cluster'
+import { maxValueChars } from '@heathroad/config'
+import type { ArchiveLookup } from '@heathroad/history'
+import { priorityRank } from '@heathroad/policy'
+import { type QueuedWrite, type TransactionContent, WritePriority, type WriteResult } from '@heathroad/store'
+import type { JobSpec } from '@heathroad/wire'
+import { Effect } from 'effect'
+import type { ControllerContext } from './controller-context.js'
+
+/** What became of a submission. */
+export type SubmissionOutcome =
+	| 'accepted'
+	/** it may be known already, or may yet become so: its status has to be read */
+	| 'unclear'
+	/** certainly not accepted */
+	| 'refused'
+
+/** A job record that still has its specification, as a new one has. */
+export type NewJobRecord = JobRecord & { spec: JobSpec }
+
+/** How many of our batch records are examined for an obsolete one, for each that is written. */
+const RECORDS_EXAMINED_PER_WRITE = 4
+/** Jobs in one batch at most, as a multiple of the mutations that one transaction holds. */
+const JOBS_PER_TRANSACTION_OPERATION = 2
+/** `PendingSubmission.provenAbsentAt` before there is any proof. */
+const UNPROVEN = -1
+
+interface PendingSubmission {
+	record: NewJobRecord
+	bytes: number
+	/** steady time after which it is given up */
+	deadline: number
+	/** revision as of which it was proven that the job is not archived, or `UNPROVEN` */
+	provenAbsentAt: number
+	lookUpInFlight: boolean
+	done: (outcome: SubmissionOutcome) => void
+}
+
+/** Where a batch is written; `modRevision` 0: under a new key. */
+interface BatchLocation {
+	key: string
+	modRevision: number
+}
+
+/** Orders submissions fairly: teams in turn, within each the urgent first, within a priority the oldest first. */
+const inFairOrder = (submissions: readonly PendingSubmission[]): PendingSubmission[] => {
+	const turnsTaken = new Map<string, number>()
+	return submissions
+		.map((submission, index) => ({ submission, index, rank: priorityRank(submission.record.spec.priority) }))
+		.sort((a, b) => b.rank - a.rank || a.index - b.index)
+		.map((ranked) => {
+			const { team } = ranked.submission.record.spec
+			const turn = turnsTaken.get(team) ?? 0
+			turnsTaken.set(team, turn + 1)
+			return { ...ranked, turn }
+		})
+		.sort((a, b) => a.turn - b.turn || a.index - b.index)
+		.map(({ submission }) => submission)
+}
+
+/**
+ * Makes accepted jobs durable, as many in one change as a value holds: a burst of submissions would otherwise wait
+ * for seconds at the change rate that all controllers share. One write is in flight at a time; what arrives meanwhile
+ * goes with the next.
+ */
+export class SubmissionQueue {
+	private pending: PendingSubmission[] = []
+	private writeInFlight: QueuedWrite | null = null
+	private batchCounter = 0
+	/** our batch records, the oldest first, and the revisions of their last changes */
+	private readonly ownBatches: { key: string; revision: number }[] = []
+
+	constructor(private readonly context: ControllerContext) {}
+
+	/**
+	 * Tells whether one more submission of this team may wait. The bound is the service's, but a team that has less than its
+	 * equal share of it waiting is not refused because of others: one team's flood must not shut the other teams out.
+	 */
+	hasCapacity(team: string): boolean {
+		const { limits, settings } = this.context.config
+		const pendingOfTeam = this.pending.filter(({ record }) => record.spec.team === team).length
+		if (this.pending.length < limits.maxPendingSubmissions) return true
+		return pendingOfTeam < limits.maxPendingSubmissions / settings.deployment.teams.length
+	}
+
+	/** Adds a submission, which is given up after `timeoutMs`; `done` is called once with its outcome. */
+	enqueue(record: NewJobRecord, timeoutMs: number, done: (outcome: SubmissionOutcome) => void): void {
+		const submission: PendingSubmission = {
+			record,
+			bytes: JSON.stringify(encodeJobRecord(record)).length + 1,
+			deadline: this.context.now() + timeoutMs,
+			provenAbsentAt: UNPROVEN,
+			lookUpInFlight: false,
+			done,
+		}
+		this.pending.push(submission)
+		if (this.isProvenAbsent(submission)) this.flush()
+		else this.proveAbsent(submission)
+	}
+
+	/**
+	 * Tells whether it is proven that the job is not archived. A write that accepts jobs holds only for the archival epoch in
+	 * which it is made, and what was archived before that epoch is covered by a proof from within it. Jobs that were
+	 * terminal and not archived then are in memory.
+	 */
+	private isProvenAbsent(submission: PendingSubmission): boolean {
+		const { archive, cache } = this.context
+		const { provenAbsentAt } = submission
+		if (provenAbsentAt >= archive.archivalEpoch() && provenAbsentAt >= 0) return true
+		if (!archive.provesAbsent(submission.record.spec.uid)) return false
+		submission.provenAbsentAt = cache.revision
+		return true
+	}
+
+	private proveAbsent(submission: PendingSubmission): void {
+		if (submission.lookUpInFlight) return
+		submission.lookUpInFlight = true
+		const revisionBefore = this.context.cache.revision
+		const lookUp = this.context.archive
+			.lookUp(submission.record.spec.uid)
+			.pipe(Effect.map((found) => this.onLookedUp(submission, found, revisionBefore)))
+		Effect.runFork(lookUp)
+	}
+
+	private onLookedUp(submission: PendingSubmission, found: ArchiveLookup, revisionBefore: number): void {
+		submission.lookUpInFlight = false
+		if (!this.pending.includes(submission)) return
+		if (found === 'absent') {
+			submission.provenAbsentAt = revisionBefore
+			this.flush()
+			return
+		}
+		this.settle(new Set([submission]), found === 'unsure' ? 'refused' : 'unclear')
+	}
+
+	private isKnown(submission: PendingSubmission): boolean {
+		return this.context.jobs.get(submission.record.spec.uid) !== undefined
+	}
+
+	/** Returns the submissions that may be written, in fair order, and starts proofs for the others. */
+	private writable(): PendingSubmission[] {
+		// Accepted by another controller since it arrived: its status has to be read.
+		this.settle(new Set(this.pending.filter((submission) => this.isKnown(submission))), 'unclear')
+		const proven: PendingSubmission[] = []
+		for (const submission of this.pending)
+			if (this.isProvenAbsent(submission)) proven.push(submission)
+			else this.proveAbsent(submission)
+		return inFairOrder(proven)
+	}
+
+	/** Returns the first of the writable ones, as many as one value and the conditions of one transaction hold. */
+	private nextBatch(): PendingSubmission[] {
+		const { settings } = this.context.config
+		const maxJobs = settings.deployment.state.txn_ops * JOBS_PER_TRANSACTION_OPERATION
+		let bytesLeft = maxValueChars(settings)
+		const batch: PendingSubmission[] = []
+		for (const submission of this.writable()) {
+			bytesLeft -= submission.bytes
+			if (batch.length > 0 && (bytesLeft < 0 || batch.length >= maxJobs)) break
+			batch.push(submission)
+		}
+		return batch
+	}
+
+	/**
+	 * Returns where the next batch goes: over an obsolete one of ours, else under a new key. A new key costs a second change
+	 * when it is removed; at four jobs a second, which come one by one, that used up the rate (incident 25).
+	 */
+	private nextLocation(): BatchLocation {
+		const { cache, jobs, membership } = this.context
+		const maxExamined = Math.min(RECORDS_EXAMINED_PER_WRITE, this.ownBatches.length)
+		for (let examined = 0; examined < maxExamined; examined++) {
+			const batch = this.ownBatches.shift()
+			if (batch === undefined) break
+			const entry = cache.get(batch.key)
+			// What is known of it may be older than what was written last.
+			const isCurrent = cache.revision >= batch.revision
+			if (isCurrent && entry !== undefined && jobs.isObsoleteBatch(entry.data))
+				return { key: batch.key, modRevision: entry.modRevision }
+			// Removed as obsolete by its shard's owner, it is not used again.
+			if (!isCurrent || entry !== undefined) this.ownBatches.push(batch)
+		}
+		return { key: `intake/${membership.incarnation}-${++this.batchCounter}`, modRevision: 0 }
+	}
+
+	private flush(): void {
+		if (this.writeInFlight !== null) return
+		if (!this.pending.some((submission) => this.isProvenAbsent(submission))) return
+		let batch: PendingSubmission[] = []
+		let location: BatchLocation | null = null
+		this.writeInFlight = {
+			priority: WritePriority.user,
+			deadline: Math.min(...this.pending.map(({ deadline }) => deadline)),
+			// May be called again for the same location: what waits then is chosen anew.
+			build: (): TransactionContent | null => {
+				batch = this.nextBatch()
+				location ??= this.nextLocation()
+				if (batch.length === 0) return null
+				const records = batch.map(({ record }) => record)
+				return acceptJobs(this.context.cache, location.key, records, location.modRevision)
+			},
+			onResult: (result) => this.onWriteResult(result, batch, location),
+		}
+		this.context.writeQueue.enqueue(this.writeInFlight)
+	}
+
+	private onWriteResult(
+		result: WriteResult,
+		batch: readonly PendingSubmission[],
+		location: BatchLocation | null,
+	): void {
+		if (result.kind === 'conflict') {
+			// One of them is known already: it leaves the queue, the others are written again.
+			this.context.refreshCache(() => {
+				const known = batch.filter((submission) => this.isKnown(submission))
+				this.settle(new Set(known), 'unclear')
+				this.onWriteFinished()
+			})
+			return
+		}
+		if (result.kind === 'ok' && location !== null) {
+			this.ownBatches.push({ key: location.key, revision: result.revision })
+			this.onBatchDurable(batch, result.revision)
+		}
+		// The record may yet be applied, so it is not used again; the shard's owner removes it once it sees it.
+		if (result.kind === 'unknown') this.settle(new Set(batch), 'unclear')
+		this.onWriteFinished()
+	}
+
+	/**
+	 * Reports the outcomes once every change before the batch is known. A user's retry may have reached another controller
+	 * meanwhile, and the job be terminal by now: batch records and terminal states share no key that would conflict. A job
+	 * accepted by an earlier record was known already.
+	 */
+	private onBatchDurable(batch: readonly PendingSubmission[], revision: number): void {
+		this.pending = this.pending.filter((submission) => !batch.includes(submission))
+		this.context.waitForRevision(revision, (isKnownUpTo) => {
+			for (const { record, done } of batch) {
+				const known = this.context.jobs.get(record.spec.uid)?.record
+				const isOurs = known?.finalState === undefined && known?.acceptedAtMs === record.acceptedAtMs
+				done(isKnownUpTo && isOurs ? 'accepted' : 'unclear')
+			}
+		})
+	}
+
+	private onWriteFinished(): void {
+		this.writeInFlight = null
+		const now = this.context.now()
+		this.settle(new Set(this.pending.filter(({ deadline }) => deadline <= now)), 'refused')
+		this.flush()
+	}
+
+	private settle(submissions: ReadonlySet<PendingSubmission>, outcome: SubmissionOutcome): void {
+		if (submissions.size === 0) return
+		this.pending = this.pending.filter((submission) => !submissions.has(submission))
+		for (const submission of submissions) submission.done(outcome)
+	}
+}
--- /dev/null
+++ b/packages/server/src/terminal-state-retention.ts
@@ -0,0 +1,71 @@
+/** Decides which terminal states a full read of the state service keeps in memory. */
+import {
+	decodeAcceptedBatch,
+	decodeHistoryRecord,
+	decodeJobRecord,
+	HISTORY_KEY,
+	type HistoryRecord,
+} from '@heathroad/cluster'
+import type { SearchScope } from '@heathroad/history'
+import type { ControllerContext } from './controller-context.js'
+
+const JOB_PREFIX = 'job/'
+const BATCH_PREFIX = 'intake/'
+
+/** Returns the record of the records' format and archival epoch; null: nothing was ever archived. */
+export const historyRecord = (context: ControllerContext): HistoryRecord | null =>
+	decodeHistoryRecord(context.cache.get(HISTORY_KEY)?.data)
+
+/**
+ * Terminal states under keys of their own, which the first record format kept for ever, are left out of full reads:
+ * 200,000 of them take more memory than a controller has.
+ */
+export class TerminalStateRetention {
+	/** whether the full read in progress leaves out terminal states of the first format */
+	private omitsLegacyStates: boolean
+	/** whether the full read in progress has left out cancelled jobs */
+	private omittedCancellations = false
+	/** jobs that the full read in progress has met in accepted batches */
+	private readonly jobsInBatches = new Set<string>()
+
+	constructor(private readonly context: ControllerContext) {
+		this.omitsLegacyStates = context.config.history !== null
+	}
+
+	/** Returns where terminal states may be that are not in memory. */
+	searchScope(): SearchScope {
+		const record = historyRecord(this.context)
+		return { legacy: this.omitsLegacyStates && (record?.legacy ?? true), levels: record !== null }
+	}
+
+	/**
+	 * Tells whether a full read keeps a key. Terminal states that an accepted batch still names are kept: without them the
+	 * job would be open again. That batch, and the record of the format, come before job keys in the order of keys.
+	 */
+	retains(key: string, data: unknown): boolean {
+		// Where none of the first format are left, a job's own key shows a cancellation that is yet to be deleted.
+		if (key === HISTORY_KEY) this.omitsLegacyStates = decodeHistoryRecord(data)?.legacy ?? true
+		if (key.startsWith(BATCH_PREFIX)) this.rememberBatch(data)
+		if (!this.omitsLegacyStates || !key.startsWith(JOB_PREFIX)) return true
+		const finalState = decodeJobRecord(data)?.finalState
+		if (finalState === undefined || this.jobsInBatches.has(key.slice(JOB_PREFIX.length))) return true
+		if (finalState === 'aborted') this.omittedCancellations = true
+		return false
+	}
+
+	/** The record of the format changed. */
+	onHistoryRecordChanged(record: HistoryRecord | null): void {
+		this.omitsLegacyStates = record?.legacy ?? true
+	}
+
+	/** A full read is complete: changes between the last known one and `revision` may never be notified. */
+	onFullRead(revision: number): void {
+		this.jobsInBatches.clear()
+		if (this.omittedCancellations) this.context.cancellations.markIncompleteUpTo(revision)
+		this.omittedCancellations = false
+	}
+
+	private rememberBatch(data: unknown): void {
+		for (const { spec } of decodeAcceptedBatch(data) ?? []) this.jobsInBatches.add(spec.uid)
+	}
+}
--- /dev/null
+++ b/packages/server/src/user-api.ts
@@ -0,0 +1,52 @@
+/** The users' HTTP interface: routes calls to submissions, statuses and cancellations. */
+import type { HttpReply } from '@heathroad/wire'
+import { Effect } from 'effect'
+import type { ControllerContext } from './controller-context.js'
+import type { HttpRequest, Respond } from './http-server.js'
+import { JobCanceller } from './job-cancellation.js'
+import { JobStatusReader } from './job-status.js'
+import { JobSubmissions } from './job-submission.js'
+import { METHOD_NOT_ALLOWED, NO_SUCH_PATH } from './user-replies.js'
+
+const JOBS_PATH = '/v2/runs'
+const CANCEL_VERB = 'withdraw'
+
+/** Tells whether a path belongs to the users' interface. */
+export const isUserPath = (path: string): boolean => path === JOBS_PATH || path.startsWith(`${JOBS_PATH}/`)
+
+/** The users' interface: every answer is durable, and no older than a read begun after the question. */
+export class UserApi {
+	private readonly statusReader: JobStatusReader
+	private readonly canceller: JobCanceller
+	private readonly submissions: JobSubmissions
+
+	constructor(context: ControllerContext) {
+		this.statusReader = new JobStatusReader(context)
+		this.canceller = new JobCanceller(context, this.statusReader)
+		this.submissions = new JobSubmissions(context, this.statusReader, (call, respond) =>
+			this.runCall(call, respond),
+		)
+	}
+
+	/** Handles a user's request, unknown paths included. */
+	handle({ method, path, body }: HttpRequest, respond: Respond): void {
+		if (path === JOBS_PATH) {
+			if (method !== 'POST') return respond(METHOD_NOT_ALLOWED)
+			return this.submissions.submit(body, respond)
+		}
+		if (!path.startsWith(`${JOBS_PATH}/`)) return respond(NO_SUCH_PATH)
+		const [uid, verb, ...rest] = path.slice(JOBS_PATH.length + 1).split('/')
+		if (rest.length > 0 || (verb !== undefined && verb !== CANCEL_VERB)) return respond(NO_SUCH_PATH)
+		if (method !== (verb === CANCEL_VERB ? 'POST' : 'GET')) return respond(METHOD_NOT_ALLOWED)
+		this.runCall(verb === CANCEL_VERB ? this.canceller.cancel(uid) : this.statusReader.read(uid), respond)
+	}
+
+	/** Number of submissions that wait for their answer. */
+	get pendingSubmissions(): number {
+		return this.submissions.pendingCount
+	}
+
+	private runCall(call: Effect.Effect<HttpReply>, respond: Respond): void {
+		Effect.runFork(call.pipe(Effect.map((reply) => respond(this.statusReader.delayUnconfirmed(reply)))))
+	}
+}
