--- a/packages/server/src/archival-controller.ts
+++ b/packages/server/src/archival-controller.ts
@@ -18,7 +18,7 @@
 const READS_PER_LOOKUP_READ = 3
 /** As many look-ups may wait as are read within this time, for which users would wait for an answer. */
 const MAX_LOOKUP_WAIT_S = 3
-/** Archive pages that one request reads at most; more would make its answer too long to come in time. */
+/** Archive pages that one request reads at most, where many look-ups wait. */
 const MAX_PAGES_PER_READ = 16
 const CHARS_PER_MB = 1e6
 
--- a/packages/server/src/heartbeat-router.ts
+++ b/packages/server/src/heartbeat-router.ts
@@ -2,7 +2,7 @@
 import { hashName } from '@heathroad/cluster'
 import { encodeCommands, type Heartbeat, parseHeartbeat } from '@heathroad/wire'
 import type { ControllerContext } from './controller-context.js'
-import { RETRY_LATER } from './heartbeat-replies.js'
+import { UNAVAILABLE } from './http-replies.js'
 import type { Respond } from './http-server.js'
 import type { LocalStatus } from './local-status.js'
 import { UnregisteredMachines } from './unregistered-machines.js'
@@ -34,7 +34,7 @@
 	handle(body: unknown, respond: Respond): void {
 		const heartbeat = parseHeartbeat(body)
 		if (heartbeat === null) return respond({ status: 400, body: { error: 'not a report' } })
-		if (this.context.cache.revision < 0) return respond(RETRY_LATER)
+		if (this.context.cache.revision < 0) return respond(UNAVAILABLE)
 		const shardId = this.shardIdOf(heartbeat)
 		if (this.context.shard(shardId) === undefined)
 			return this.redirectToOwner(heartbeat.machineId, shardId, respond)
@@ -71,9 +71,9 @@
 
 	private forward(heartbeat: Heartbeat, respond: Respond): void {
 		const shard = this.context.shard(this.shardIdOf(heartbeat))
-		if (shard === undefined || this.context.membership.leadership() === 'none') return respond(RETRY_LATER)
+		if (shard === undefined || this.context.membership.leadership() === 'none') return respond(UNAVAILABLE)
 		shard.handleHeartbeat(heartbeat, (answer) => {
-			if (answer === null) return respond(RETRY_LATER)
+			if (answer === null) return respond(UNAVAILABLE)
 			respond({ status: 200, body: encodeCommands(answer.token, answer.orders) })
 		})
 	}
--- a/packages/server/src/http-routes.ts
+++ b/packages/server/src/http-routes.ts
@@ -1,6 +1,7 @@
 /** Routes of both HTTP addresses: users, machines and the load balancer; peers and operators. */
 import type { ControllerContext } from './controller-context.js'
 import type { HeartbeatRouter } from './heartbeat-router.js'
+import { UNAVAILABLE } from './http-replies.js'
 import type { HttpRequest, RequestHandler, Respond } from './http-server.js'
 import type { UserApi } from './user-api.js'
 
@@ -25,7 +26,7 @@
 		}
 		if (request.path === '/healthz') {
 			if (request.method !== 'GET') return respond({ status: 405 })
-			if (!isHealthy()) return respond({ status: 503, retryAfterS: 1 })
+			if (!isHealthy()) return respond(UNAVAILABLE)
 			return respond({ status: 200, body: { status: 'ok' } })
 		}
 		userApi.handle(request, respond)
--- a/packages/server/src/job-cancellation.ts
+++ b/packages/server/src/job-cancellation.ts
@@ -11,8 +11,8 @@
 import type { HttpReply } from '@heathroad/wire'
 import { Effect } from 'effect'
 import type { ControllerContext } from './controller-context.js'
+import { retryLater } from './http-replies.js'
 import type { JobStatusReader } from './job-status.js'
-import { retryLater } from './user-replies.js'
 
 /** Writes of one cancellation at most, where each but the last conflicts with other changes of the job. */
 const MAX_CANCEL_ATTEMPTS = 3
--- a/packages/server/src/job-status.ts
+++ b/packages/server/src/job-status.ts
@@ -4,7 +4,7 @@
 import { type HttpReply, JOB_ID_PATTERN, type JobStatusResponse } from '@heathroad/wire'
 import { Effect } from 'effect'
 import type { ControllerContext } from './controller-context.js'
-import { NO_SUCH_JOB, retryLater } from './user-replies.js'
+import { NO_SUCH_JOB, retryLater } from './http-replies.js'
 
 const archivedStatus = (uid: string, { aborted, doneCount }: ArchivedJob): HttpReply => ({
 	status: 200,
--- a/packages/server/src/job-submission.ts
+++ b/packages/server/src/job-submission.ts
@@ -1,12 +1,13 @@
 /** Accepts users' submissions: validates them, has them admitted and queues them to become durable. */
+import type { AcceptedJobRecord } from '@heathroad/cluster'
 import { canEverRun, withinLimit } from '@heathroad/policy'
 import { type HttpReply, InvalidSubmission, type JobSpec, parseSubmission } from '@heathroad/wire'
 import { Effect } from 'effect'
 import type { ControllerContext } from './controller-context.js'
+import { retryLater } from './http-replies.js'
 import type { Respond } from './http-server.js'
 import type { JobStatusReader } from './job-status.js'
-import { type NewJobRecord, type SubmissionOutcome, SubmissionQueue } from './submission-queue.js'
-import { retryLater } from './user-replies.js'
+import { type SubmissionOutcome, SubmissionQueue } from './submission-queue.js'
 
 /** A submission that could not be made durable by then is given up; users wait 5 s for an answer (protocol). */
 const SUBMISSION_TIMEOUT_MS = 3000
@@ -93,7 +94,7 @@
 	/** Queues an admitted job; `released`: checks that released it with their admission. */
 	private accept(spec: JobSpec, released: readonly string[], respond: Respond): void {
 		const requiredChecks = this.context.checks.required(spec).filter((name) => !released.includes(name))
-		const record: NewJobRecord = {
+		const record: AcceptedJobRecord = {
 			shardId: this.context.shardRouter.chooseShard(spec),
 			spec,
 			acceptedAtMs: Date.now(),
@@ -102,7 +103,11 @@
 		this.queue.enqueue(record, SUBMISSION_TIMEOUT_MS, (outcome) => this.onOutcome(record, outcome, respond))
 	}
 
-	private onOutcome({ spec, shardId }: NewJobRecord, outcome: SubmissionOutcome, respond: Respond): void {
+	private onOutcome(
+		{ spec, shardId }: AcceptedJobRecord,
+		outcome: SubmissionOutcome,
+		respond: Respond,
+	): void {
 		const { uid } = spec
 		if (outcome === 'refused') return respond(retryLater())
 		if (outcome === 'unclear')
--- a/packages/server/src/periodic-tasks.ts
+++ b/packages/server/src/periodic-tasks.ts
@@ -7,7 +7,7 @@
 const TICKS_PER_HEARTBEAT = 4
 /** Peers hear of this controller several times within a lease, so that one lost message does not count as its end. */
 const GOSSIP_LEASES = 0.15
-/** Clean-up is not urgent; its writes give up after the same time. */
+/** Clean-up is not urgent: what it removes takes memory, and is no longer read. */
 const CLEAN_UP_LEASES = 2
 /** A controller that is cut off from machines finds out within a lease whether that is over: three probes are needed. */
 const PROBE_LEASES = 0.2
--- a/packages/server/src/submission-queue.ts
+++ b/packages/server/src/submission-queue.ts
@@ -1,10 +1,9 @@
 /** Queue that makes accepted jobs durable in batches, and the batch records that it writes them to. */
-import { acceptJobs, encodeJobRecord, type JobRecord } from '@heathroad/cluster'
+import { type AcceptedJobRecord, acceptJobs, encodeJobRecord } from '@heathroad/cluster'
 import { maxValueChars } from '@heathroad/config'
 import type { ArchiveLookup } from '@heathroad/history'
 import { priorityRank } from '@heathroad/policy'
 import { type QueuedWrite, type TransactionContent, WritePriority, type WriteResult } from '@heathroad/store'
-import type { JobSpec } from '@heathroad/wire'
 import { Effect } from 'effect'
 import type { ControllerContext } from './controller-context.js'
 
@@ -16,18 +15,15 @@
 	/** certainly not accepted */
 	| 'refused'
 
-/** A job record that still has its specification, as a new one has. */
-export type NewJobRecord = JobRecord & { spec: JobSpec }
-
 /** How many of our batch records are examined for an obsolete one, for each that is written. */
 const RECORDS_EXAMINED_PER_WRITE = 4
-/** Jobs in one batch at most, as a multiple of the mutations that one transaction holds. */
+/** Jobs in one batch at most, as a multiple of the mutations that one transaction holds; each adds a condition. */
 const JOBS_PER_TRANSACTION_OPERATION = 2
 /** `PendingSubmission.provenAbsentAt` before there is any proof. */
 const UNPROVEN = -1
 
 interface PendingSubmission {
-	record: NewJobRecord
+	record: AcceptedJobRecord
 	bytes: number
 	/** steady time after which it is given up */
 	deadline: number
@@ -85,7 +81,7 @@
 	}
 
 	/** Adds a submission, which is given up after `timeoutMs`; `done` is called once with its outcome. */
-	enqueue(record: NewJobRecord, timeoutMs: number, done: (outcome: SubmissionOutcome) => void): void {
+	enqueue(record: AcceptedJobRecord, timeoutMs: number, done: (outcome: SubmissionOutcome) => void): void {
 		const submission: PendingSubmission = {
 			record,
 			bytes: JSON.stringify(encodeJobRecord(record)).length + 1,
--- a/packages/server/src/unregistered-machines.ts
+++ b/packages/server/src/unregistered-machines.ts
@@ -2,7 +2,7 @@
 import type { Shard } from '@heathroad/controller'
 import type { Heartbeat } from '@heathroad/wire'
 import type { ControllerContext } from './controller-context.js'
-import { RETRY_LATER } from './heartbeat-replies.js'
+import { UNAVAILABLE } from './http-replies.js'
 import type { Respond } from './http-server.js'
 
 /** A heartbeat that waits for its answer. */
@@ -38,7 +38,7 @@
 	/** Handles the heartbeat of a machine that has no record as far as is known here. */
 	handleHeartbeat(heartbeat: Heartbeat, respond: Respond): void {
 		this.ports.afterLinearizableRead((isCurrent) => {
-			if (!isCurrent) return respond(RETRY_LATER)
+			if (!isCurrent) return respond(UNAVAILABLE)
 			this.provenUnregistered.push({ heartbeat, respond })
 			// Heartbeats that shared the read are handled together.
 			if (this.provenUnregistered.length === 1) queueMicrotask(() => this.adoptProven())
@@ -61,7 +61,7 @@
 		if (machineGroups.groupOf(heartbeat.machineId) !== undefined)
 			return this.ports.forward(heartbeat, respond)
 		if (machineGroups.hasPendingRental(heartbeat) || this.context.shard(shardId) === undefined)
-			return respond(RETRY_LATER)
+			return respond(UNAVAILABLE)
 		const key = `${shardId}/${heartbeat.machineType}/${heartbeat.zone}/${heartbeat.spot}`
 		groups.set(key, [...(groups.get(key) ?? []), pending])
 	}
--- a/packages/server/src/user-api.ts
+++ b/packages/server/src/user-api.ts
@@ -2,11 +2,11 @@
 import type { HttpReply } from '@heathroad/wire'
 import { Effect } from 'effect'
 import type { ControllerContext } from './controller-context.js'
+import { METHOD_NOT_ALLOWED, NO_SUCH_PATH } from './http-replies.js'
 import type { HttpRequest, Respond } from './http-server.js'
 import { JobCanceller } from './job-cancellation.js'
 import { JobStatusReader } from './job-status.js'
 import { JobSubmissions } from './job-submission.js'
-import { METHOD_NOT_ALLOWED, NO_SUCH_PATH } from './user-replies.js'
 
 const JOBS_PATH = '/v2/runs'
 const CANCEL_VERB = 'withdraw'
