--- /dev/null
+++ b/packages/config/src/operator-settings.ts
@@ -0,0 +1,170 @@
+/** Settings of the operators' own, read from an INI file. Each has a default; optional features are off without one. */
+import { type IniSections, type NumericKey, readIniSections, readListenAddress, readNumbers } from './ini.js'
+import { PLUGINS_NUMBERS, type PluginsSettings, readPluginsSettings } from './plugin-settings.js'
+
+/** Settings of the scheduler. */
+export interface Tuning {
+	/** report periods after which an empty machine is returned to the cloud */
+	idleHeartbeats: number
+	/** report periods between two writes of unfinished jobs' progress */
+	progressHeartbeats: number
+	/** a job's default budget: 0 is the cheapest sequential cost, 1 the parallel cost */
+	budgetMix: number
+}
+
+/** Settings of the gRPC server and its limits; it is enabled only if the INI file has its section. */
+export interface GrpcSettings {
+	/** address on which it listens, as IP:PORT */
+	listen: string
+	/** most connections; 0: an eighth of the process's sockets */
+	connections: number
+	/** most streams in all; each team has an equal share of them */
+	streams: number
+	/** most job ids in the request of one stream */
+	uids: number
+	/** most job ids in the requests of all streams together */
+	watched: number
+	/** most streams that may open in a second */
+	opensPerS: number
+	/** most terminal states by which a reader may lag */
+	behind: number
+	/** time after which a stream whose reader receives nothing is closed, in seconds */
+	stallS: number
+	/** shortest interval between two updates of a job that is not terminal, in seconds */
+	everyS: number
+	/** terminal states kept for clients that resume a watch of their team */
+	history: number
+}
+
+/** Settings of the archive of terminal jobs; it is enabled only if the INI file has its section. */
+export interface HistorySettings {
+	/** terminal states of one shard that are archived together */
+	batch: number
+	/** share of the controller's write rate that the archive may use */
+	share: number
+	/** size of the cache of archive pages, in MB */
+	cacheMb: number
+}
+
+/** Settings of the process's start and shutdown. */
+export interface DaemonSettings {
+	/** longest duration of a drain, in seconds */
+	drainS: number
+	/** first part of a drain, until the load balancer has noticed that it must send no more users, in seconds */
+	balancerS: number
+}
+
+/** Settings of the metrics server; it is enabled only if the INI file has its section. */
+export interface MetricsSettings {
+	/** address on which it listens, as IP:PORT */
+	listen: string
+}
+
+/** Everything that an INI file sets. */
+export interface OperatorSettings {
+	tuning: Tuning
+	daemon: DaemonSettings
+	/** null: no plug-ins are loaded */
+	plugins: PluginsSettings | null
+	/** null: no metrics server */
+	metrics: MetricsSettings | null
+	/** null: no gRPC server */
+	grpc: GrpcSettings | null
+	/** null: terminal jobs stay in memory, unless the stored records are of a format that archives them already */
+	history: HistorySettings | null
+}
+
+const TUNING_NUMBERS: { [Field in keyof Tuning]: NumericKey } = {
+	idleHeartbeats: { section: 'machines', key: 'idle_reports', defaultValue: 6, min: 1, max: 10_000 },
+	progressHeartbeats: { section: 'store', key: 'progress_reports', defaultValue: 3, min: 1, max: 10_000 },
+	budgetMix: { section: 'budget', key: 'mix', defaultValue: 0.5, min: 0, max: 1 },
+}
+
+const GRPC_NUMBERS: { [Field in Exclude<keyof GrpcSettings, 'listen'>]: NumericKey } = {
+	connections: { section: 'grpc', key: 'connections', defaultValue: 0, min: 0, max: 100_000 },
+	streams: { section: 'grpc', key: 'streams', defaultValue: 500, min: 1, max: 100_000 },
+	uids: { section: 'grpc', key: 'uids', defaultValue: 1000, min: 1, max: 100_000 },
+	watched: { section: 'grpc', key: 'watched', defaultValue: 20_000, min: 1, max: 10_000_000 },
+	opensPerS: { section: 'grpc', key: 'opens_per_s', defaultValue: 50, min: 1, max: 10_000 },
+	behind: { section: 'grpc', key: 'behind', defaultValue: 10_000, min: 1, max: 10_000_000 },
+	stallS: { section: 'grpc', key: 'stall_s', defaultValue: 30, min: 1, max: 3600 },
+	everyS: { section: 'grpc', key: 'every_s', defaultValue: 0.5, min: 0.05, max: 60 },
+	history: { section: 'grpc', key: 'history', defaultValue: 20_000, min: 1, max: 1_000_000 },
+}
+
+const HISTORY_NUMBERS: { [Field in keyof HistorySettings]: NumericKey } = {
+	batch: { section: 'history', key: 'batch', defaultValue: 600, min: 1, max: 20_000 },
+	share: { section: 'history', key: 'share', defaultValue: 0.2, min: 0.01, max: 1 },
+	cacheMb: { section: 'history', key: 'cache_mb', defaultValue: 2, min: 0.1, max: 1000 },
+}
+
+const DAEMON_NUMBERS: { [Field in keyof DaemonSettings]: NumericKey } = {
+	drainS: { section: 'daemon', key: 'drain_s', defaultValue: 30, min: 1, max: 3600 },
+	balancerS: { section: 'daemon', key: 'balancer_s', defaultValue: 4, min: 0, max: 600 },
+}
+
+const NUMERIC_KEYS: readonly NumericKey[] = [
+	...Object.values(TUNING_NUMBERS),
+	...Object.values(GRPC_NUMBERS),
+	...Object.values(HISTORY_NUMBERS),
+	...Object.values(DAEMON_NUMBERS),
+	...Object.values(PLUGINS_NUMBERS),
+]
+
+/** All keys by section, except those of the sections [plugin.NAME]. */
+const knownKeysBySection = (): Map<string, Set<string>> => {
+	const knownKeys = new Map([
+		['grpc', new Set(['listen'])],
+		['metrics', new Set(['listen'])],
+		['plugins', new Set(['dir'])],
+	])
+	for (const { section, key } of NUMERIC_KEYS) {
+		const keys = knownKeys.get(section) ?? new Set<string>()
+		knownKeys.set(section, keys.add(key))
+	}
+	return knownKeys
+}
+
+const readGrpcSettings = (path: string, sections: IniSections): GrpcSettings | null => {
+	if (sections.grpc === undefined) return null
+	const listen = readListenAddress(path, sections, 'grpc')
+	return { listen, ...readNumbers(path, sections, GRPC_NUMBERS) }
+}
+
+const readMetricsSettings = (path: string, sections: IniSections): MetricsSettings | null => {
+	if (sections.metrics === undefined) return null
+	return { listen: readListenAddress(path, sections, 'metrics') }
+}
+
+const readHistorySettings = (path: string, sections: IniSections): HistorySettings | null => {
+	if (sections.history === undefined) return null
+	return readNumbers(path, sections, HISTORY_NUMBERS)
+}
+
+/**
+ * Reads the operators' settings from an INI file; without a file all are at their defaults and optional features are
+ * off. Throws a `ConfigError` for the first fault in the order in which the sections are read.
+ */
+export const readOperatorSettings = (path: string | undefined): OperatorSettings => {
+	const sections = path === undefined ? {} : readIniSections(path, knownKeysBySection(), ['plugin'])
+	const file = path ?? ''
+	const tuning = readNumbers(file, sections, TUNING_NUMBERS)
+	const history = readHistorySettings(file, sections)
+	const daemon = readNumbers(file, sections, DAEMON_NUMBERS)
+	const plugins = readPluginsSettings(file, sections)
+	const metrics = readMetricsSettings(file, sections)
+	const grpc = readGrpcSettings(file, sections)
+	return { tuning, daemon, plugins, metrics, grpc, history }
+}
+
+/** Settings in force without an INI file. */
+export const DEFAULT_OPERATOR_SETTINGS = readOperatorSettings(undefined)
+
+/** Settings of the gRPC server when its section sets nothing but `listen`. */
+export const defaultGrpcSettings = (listen: string): GrpcSettings => ({
+	listen,
+	...readNumbers('', {}, GRPC_NUMBERS),
+})
+
+/** Settings of the archive when its section is empty. */
+export const defaultHistorySettings: HistorySettings = readNumbers('', {}, HISTORY_NUMBERS)
--- a/tests/config.test.ts
+++ b/tests/config.test.ts
@@ -5,7 +5,7 @@
 import { test } from 'node:test'
 import { loadConfig } from '@heathroad/config'
 
-const good = () => ({
+const validSettings = () => ({
 	host_name: 'c-1',
 	site: 'a',
 	bind: '127.0.0.1:8080',
@@ -23,91 +23,110 @@
 	},
 })
 
-const dir = mkdtempSync(join(tmpdir(), 'heathroad-'))
-const file = (name: string, text: string): string => {
-	writeFileSync(join(dir, name), text)
-	return join(dir, name)
+const directory = mkdtempSync(join(tmpdir(), 'heathroad-'))
+const writeFile = (name: string, text: string): string => {
+	const path = join(directory, name)
+	writeFileSync(path, text)
+	return path
 }
 
-test('settings: good ones, and what is said of bad ones', () => {
-	const { limits: derived } = loadConfig(file('good.json', JSON.stringify(good())))
-	assert.deepEqual(derived.controllerNames, ['c-0', 'c-1'], 'parts are numbered by the sorted names')
+test('settings: valid settings are accepted, and errors name the field and the problem', () => {
+	const { limits } = loadConfig(writeFile('good.json', JSON.stringify(validSettings())))
+	assert.deepEqual(limits.controllerNames, ['c-0', 'c-1'], 'shards are numbered by the sorted names')
 	assert.ok(
-		derived.controllerLeaseMs + derived.takeoverPromiseMs + derived.agentLeaseMs < derived.cancelMs,
-		'the safety sum',
+		limits.controllerLeaseMs + limits.takeoverPromiseMs + limits.agentLeaseMs < limits.cancelMs,
+		'a controller lease, a takeover promise and an agent lease fit into the time of a cancellation',
 	)
-	const cases: { name: string; change: (s: ReturnType<typeof good>) => void; says: RegExp }[] = [
+	const cases: {
+		name: string
+		change: (settings: ReturnType<typeof validSettings>) => void
+		message: RegExp
+	}[] = [
 		{
 			name: 'a missing field',
-			change: (s) => Reflect.deleteProperty(s, 'bind'),
-			says: /bind.*Missing/i,
+			change: (settings) => Reflect.deleteProperty(settings, 'bind'),
+			message: /bind.*Missing/i,
+		},
+		{
+			name: 'a field of the wrong type',
+			change: (settings) => Object.assign(settings, { site: 3 }),
+			message: /site/,
 		},
-		{ name: 'a wrong type', change: (s) => Object.assign(s, { site: 3 }), says: /site/ },
 		{
 			name: 'a host name for an address',
-			change: (s) => Object.assign(s, { bind: 'localhost:1' }),
-			says: /bind: Expected an IPv4 address and a port, such as/,
+			change: (settings) => Object.assign(settings, { bind: 'localhost:1' }),
+			message: /bind: Expected an IPv4 address and a port, such as/,
 		},
 		{
-			name: 'out of range, deep down',
-			change: (s) => Object.assign(s.deployment.state, { write_rps: 0 }),
-			says: /deployment\.state\.write_rps/,
+			name: 'a nested number out of range',
+			change: (settings) => Object.assign(settings.deployment.state, { write_rps: 0 }),
+			message: /deployment\.state\.write_rps/,
 		},
 		{
 			name: 'a cancellation shorter than a lease',
-			change: (s) => Object.assign(s.deployment.workers, { cancel_s: 9 }),
-			says: /cancel_s: must be longer than lease_s/,
+			change: (settings) => Object.assign(settings.deployment.workers, { cancel_s: 9 }),
+			message: /cancel_s: must be longer than lease_s/,
 		},
 		{
-			name: 'a name used twice',
-			change: (s) => Object.assign(s, { host_name: 'c-0' }),
-			says: /share a host_name/,
+			name: 'a host name used twice',
+			change: (settings) => Object.assign(settings, { host_name: 'c-0' }),
+			message: /share a host_name/,
 		},
 	]
-	for (const c of cases) {
-		const s = good()
-		c.change(s)
-		const path = file('bad.json', JSON.stringify(s))
+	for (const { name, change, message } of cases) {
+		const settings = validSettings()
+		change(settings)
+		const path = writeFile('invalid.json', JSON.stringify(settings))
 		assert.throws(
 			() => loadConfig(path),
-			(e: Error) => c.says.test(e.message) && !e.message.includes('\n'),
-			c.name,
+			(error: Error) => message.test(error.message) && !error.message.includes('\n'),
+			name,
 		)
 	}
-	assert.throws(() => loadConfig(join(dir, 'none.json')), /cannot be read \(ENOENT\)/)
-	assert.throws(() => loadConfig(file('text.json', '{')), /is not JSON/)
+	assert.throws(() => loadConfig(join(directory, 'none.json')), /cannot be read \(ENOENT\)/)
+	assert.throws(() => loadConfig(writeFile('text.json', '{')), /is not JSON/)
 })
 
-test('INI: known keys in range, everything else is a typing error', () => {
-	const path = file('settings.json', JSON.stringify(good()))
-	const { tuning } = loadConfig(path, file('good.ini', '[machines]\nidle_reports = 9\n[budget]\nmix=0.25\n'))
+test('INI: known keys within their bounds are accepted, everything else is an error', () => {
+	const path = writeFile('settings.json', JSON.stringify(validSettings()))
+	const { tuning } = loadConfig(
+		path,
+		writeFile('good.ini', '[machines]\nidle_reports = 9\n[budget]\nmix=0.25\n'),
+	)
 	assert.deepEqual([tuning.idleHeartbeats, tuning.progressHeartbeats, tuning.budgetMix], [9, 3, 0.25])
 	assert.equal(
-		loadConfig(path, file('plain.ini', '[budget]\nmix=0.25\n')).grpc,
+		loadConfig(path, writeFile('plain.ini', '[budget]\nmix=0.25\n')).grpc,
 		null,
-		'off without its section',
+		'the gRPC server is off without its section',
 	)
-	const on = loadConfig(path, file('grpc.ini', '[grpc]\nlisten = 127.0.0.1:9090\nstreams = 7\n'))
-	assert.deepEqual([on.grpc?.listen, on.grpc?.streams, on.grpc?.uids], ['127.0.0.1:9090', 7, 1000])
-	// Hardly longer than a lease, cancellations are confirmed late, which streams cannot do.
-	const tight = good()
-	tight.deployment.workers.cancel_s = tight.deployment.workers.lease_s + 1
-	const tightPath = file('tight.json', JSON.stringify(tight))
-	assert.ok(loadConfig(tightPath).limits.cancellationConfirmDelayMs > 0)
+	const withGrpc = loadConfig(path, writeFile('grpc.ini', '[grpc]\nlisten = 127.0.0.1:9090\nstreams = 7\n'))
+	assert.deepEqual(
+		[withGrpc.grpc?.listen, withGrpc.grpc?.streams, withGrpc.grpc?.uids],
+		['127.0.0.1:9090', 7, 1000],
+	)
+	// With cancel_s hardly longer than lease_s, cancellations are confirmed late, which streams do not support.
+	const shortCancel = validSettings()
+	shortCancel.deployment.workers.cancel_s = shortCancel.deployment.workers.lease_s + 1
+	const shortCancelPath = writeFile('short-cancel.json', JSON.stringify(shortCancel))
+	assert.ok(loadConfig(shortCancelPath).limits.cancellationConfirmDelayMs > 0)
 	assert.throws(
-		() => loadConfig(tightPath, join(dir, 'grpc.ini')),
+		() => loadConfig(shortCancelPath, join(directory, 'grpc.ini')),
 		/\[grpc\]: needs a cancel_s of [0-9.]+ at least/,
 	)
-	const cases: { text: string; says: RegExp }[] = [
-		{ text: '[machines]\nidle_report = 9', says: /machines\.idle_report: no such key/ },
-		{ text: '[machine]\nidle_reports = 9', says: /machine: no such section/ },
-		{ text: 'idle_reports = 9', says: /outside a section/ },
-		{ text: '[budget]\nmix = 2', says: /budget\.mix: must be a number from 0 to 1/ },
-		{ text: '[budget]\nmix = much', says: /budget\.mix: must be a number/ },
-		{ text: '[grpc]\nstreams = 5', says: /grpc\.listen: must be an IPv4 address and a port/ },
-		{ text: '[grpc]\nlisten = localhost:9090', says: /grpc\.listen: must be an IPv4 address and a port/ },
-		{ text: '[grpc]\nlisten = 127.0.0.1:9090\nstream = 5', says: /grpc\.stream: no such key/ },
-		{ text: '[grpc]\nlisten = 127.0.0.1:9090\nstreams = 0', says: /grpc\.streams: must be a number from 1/ },
+	const cases: { text: string; message: RegExp }[] = [
+		{ text: '[machines]\nidle_report = 9', message: /machines\.idle_report: no such key/ },
+		{ text: '[machine]\nidle_reports = 9', message: /machine: no such section/ },
+		{ text: 'idle_reports = 9', message: /outside a section/ },
+		{ text: '[budget]\nmix = 2', message: /budget\.mix: must be a number from 0 to 1/ },
+		{ text: '[budget]\nmix = much', message: /budget\.mix: must be a number/ },
+		{ text: '[grpc]\nstreams = 5', message: /grpc\.listen: must be an IPv4 address and a port/ },
+		{ text: '[grpc]\nlisten = localhost:9090', message: /grpc\.listen: must be an IPv4 address and a port/ },
+		{ text: '[grpc]\nlisten = 127.0.0.1:9090\nstream = 5', message: /grpc\.stream: no such key/ },
+		{
+			text: '[grpc]\nlisten = 127.0.0.1:9090\nstreams = 0',
+			message: /grpc\.streams: must be a number from 1/,
+		},
 	]
-	for (const c of cases) assert.throws(() => loadConfig(path, file('bad.ini', c.text)), c.says, c.text)
+	for (const { text, message } of cases)
+		assert.throws(() => loadConfig(path, writeFile('invalid.ini', text)), message, text)
 })
