--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -1,43 +1,93 @@
+/**
+ * Messages of the cloud: its catalog (`GET /catalog`), rentals (`POST /hosts`) and returns (`POST /hosts/release`). On
+ * the wire a machine type is a `flavour`, a zone a `site`, a spot machine `reclaimable` and a machine a `host`.
+ */
 import { isMap } from './codec.js'
 
+/** A machine type of the catalog. */
 export interface MachineType {
 	name: string
 	cpus: number
 	gpus: number
 	ramGb: number
+	/** room for images, in GB */
 	cacheGb: number
+	/** rate at which images are fetched, in GB a second */
 	fetchGbPerS: number
+	/** price an hour of an ordinary machine */
 	price: number
+	/** price an hour of a spot machine */
 	spotPrice: number
+	/** time from the rental to the first heartbeat, in seconds */
 	bootS: number
+	/** zones that offer the type */
 	zones: string[]
 }
 
-const num = (v: unknown, fallback: number): number => (typeof v === 'number' && v >= 0 ? v : fallback)
+/** Assumed for types whose catalog entry does not say. */
+const DEFAULT_FETCH_GB_PER_S = 0.1
+const DEFAULT_BOOT_S = 60
 
+const nonNegativeOr = (value: unknown, fallback: number): number =>
+	typeof value === 'number' && value >= 0 ? value : fallback
+
+const parseMachineType = (entry: unknown): MachineType | null => {
+	if (!isMap(entry) || typeof entry.label !== 'string' || !Array.isArray(entry.sites)) return null
+	const price = nonNegativeOr(entry.hourly, 0)
+	return {
+		name: entry.label,
+		cpus: nonNegativeOr(entry.cpus, 0),
+		gpus: nonNegativeOr(entry.gpus, 0),
+		ramGb: nonNegativeOr(entry.ramGb, 0),
+		cacheGb: nonNegativeOr(entry.cacheGb, 0),
+		fetchGbPerS: nonNegativeOr(entry.fetchGbPerS, DEFAULT_FETCH_GB_PER_S),
+		price,
+		spotPrice: nonNegativeOr(entry.spotPrice, price),
+		bootS: nonNegativeOr(entry.bootS, DEFAULT_BOOT_S),
+		zones: entry.sites.filter((zone): zone is string => typeof zone === 'string'),
+	}
+}
+
+/** Reads the catalog; null: it is malformed. */
 export const parseMachineTypes = (body: unknown): MachineType[] | null => {
 	if (!isMap(body) || !Array.isArray(body.flavours)) return null
 	const types: MachineType[] = []
-	for (const f of body.flavours) {
-		if (!isMap(f) || typeof f.label !== 'string' || !Array.isArray(f.sites)) return null
-		const price = num(f.hourly, 0)
-		types.push({
-			name: f.label,
-			cpus: num(f.cpus, 0),
-			gpus: num(f.gpus, 0),
-			ramGb: num(f.ramGb, 0),
-			cacheGb: num(f.cacheGb, 0),
-			fetchGbPerS: num(f.fetchGbPerS, 0.1),
-			price,
-			spotPrice: num(f.spotPrice, price),
-			bootS: num(f.bootS, 60),
-			zones: f.sites.filter((z): z is string => typeof z === 'string'),
-		})
+	for (const entry of body.flavours) {
+		const type = parseMachineType(entry)
+		if (type === null) return null
+		types.push(type)
 	}
 	return types
 }
 
-export const parseMachineIds = (body: unknown): string[] | null =>
-	isMap(body) && Array.isArray(body.hosts)
-		? body.hosts.filter((h): h is string => typeof h === 'string')
-		: null
+/** A request for machines of one type. The same `name` sent again is the same rental. */
+export interface RentalRequest {
+	name: string
+	machineType: string
+	zone: string
+	spot: boolean
+	count: number
+}
+
+/** The body of a rental request. */
+export const encodeRentalRequest = (rental: RentalRequest): Record<string, unknown> => ({
+	rental: rental.name,
+	flavour: rental.machineType,
+	site: rental.zone,
+	reclaimable: rental.spot,
+	howMany: rental.count,
+})
+
+/** The body of a request that returns machines. */
+export const encodeReleaseRequest = (machineIds: readonly string[]): Record<string, unknown> => ({
+	hosts: machineIds,
+})
+
+/** Reads the ids of rented machines; null: the response is malformed. */
+export const parseMachineIds = (body: unknown): string[] | null => {
+	if (!isMap(body) || !Array.isArray(body.hosts)) return null
+	return body.hosts.filter((id): id is string => typeof id === 'string')
+}
+
+/** Does the body of an error response say that the cloud has no machine of the requested type? */
+export const isNoCapacity = (body: unknown): boolean => isMap(body) && body.error === 'no capacity'
--- /dev/null
+++ b/packages/wire/src/commands.ts
@@ -0,0 +1,37 @@
+/**
+ * Commands to a machine's agent, sent in responses to heartbeats (`/checkin`) and in requests of the controller
+ * (`POST /commands`), which the agent answers with a heartbeat. On the wire the commands are `orders`, the fencing token `fence`, the agent epoch `tenure`, a task `piece` and its attempt `try`.
+ */
+import { toWireInteger, type WireInteger } from './codec.js'
+
+/**
+ * A command for one attempt of a task: `start` it, `kill` it after a grace period in which it may save its progress, or
+ * `forget` its end, which has been recorded.
+ */
+export type Command =
+	| { verb: 'start'; taskName: string; attempt: WireInteger }
+	| { verb: 'kill'; taskName: string; attempt: WireInteger; gracePeriodS: number }
+	| { verb: 'forget'; taskName: string; attempt: WireInteger }
+
+const encodeCommand = (command: Command): Record<string, unknown> => {
+	const attempt = toWireInteger(command.attempt)
+	if (command.verb !== 'kill') return { verb: command.verb, piece: command.taskName, try: attempt }
+	return { verb: command.verb, piece: command.taskName, try: attempt, windDownS: command.gracePeriodS }
+}
+
+/** The message with an owner's commands; `agentEpoch` is left out where the agent knows it. */
+export const encodeCommands = (
+	fencingToken: WireInteger,
+	commands: readonly Command[],
+	agentEpoch?: WireInteger,
+): Record<string, unknown> => {
+	const message: Record<string, unknown> = {
+		fence: toWireInteger(fencingToken),
+		orders: commands.map(encodeCommand),
+	}
+	if (agentEpoch !== undefined) message.tenure = toWireInteger(agentEpoch)
+	return message
+}
+
+/** Most commands in one response: at some 60 bytes each they stay far below the body limit. */
+export const MAX_COMMANDS_PER_RESPONSE = 400
--- a/packages/wire/src/index.ts
+++ b/packages/wire/src/index.ts
@@ -1,7 +1,11 @@
+/** Messages of the service's protocols: their form on the wire and the types that they are mapped to. */
 export * from './cloud.js'
 export * from './codec.js'
-export * from './http.js'
+export * from './commands.js'
+export * from './heartbeats.js'
+export * from './http-client.js'
+export * from './http-server.js'
 export * from './jobs.js'
 export * from './state.js'
 export * from './submission.js'
-export * from './workers.js'
+export * from './submission-encoding.js'
--- a/packages/wire/src/state.ts
+++ b/packages/wire/src/state.ts
@@ -1,5 +1,6 @@
 /**
- * Messages of the state service, a consensus-backed key-value store. Its revision is called `epoch` on the wire, a key's
+ * Messages of the state service, a consensus-backed key-value store: transactions (`/txn`), watches (`/watch`) and ranges
+ * of keys. Its revision is called `epoch` on the wire, a key's
  * mod revision `stamp`, and a lease `grant`; the names are mapped here and nowhere else.
  */
 import { isMap } from './codec.js'
@@ -21,7 +22,7 @@
 	modRevision: number
 }
 
-/** Changes behind a revision, in the order in which they were applied, up to and with `revision`. */
+/** Changes after a revision, in the order in which they were applied, up to and including `revision`. */
 export interface WatchResponse {
 	revision: number
 	log: KeyValue[]
@@ -30,7 +31,7 @@
 /** A page of keys in their order, as of `revision`. */
 export interface RangeResponse {
 	entries: KeyValue[]
-	/** are there further keys behind the last one? */
+	/** whether further keys follow the last one */
 	more: boolean
 	revision: number
 }
--- a/tests/wire.test.ts
+++ b/tests/wire.test.ts
@@ -12,55 +12,67 @@
 	toWireInteger,
 } from '@heathroad/wire'
 
-const body = (more: Record<string, unknown> = {}) => ({
+const submissionBody = (fields: Record<string, unknown> = {}) => ({
 	...encodeSubmission(arrayJob('job-000412')),
-	...more,
+	...fields,
 })
 
-test('submissions', () => {
-	const read = parseSubmission(decode(encode(body({ future: 1 }))))
-	assert.deepEqual(read, arrayJob('job-000412'), 'unknown fields are ignored')
-	// What may be null may be left out; every other field has to be there.
+test('submissions are parsed, or rejected with the field and the problem', () => {
+	const parsed = parseSubmission(decode(encode(submissionBody({ future: 1 }))))
+	assert.deepEqual(parsed, arrayJob('job-000412'), 'unknown fields are ignored')
+	// Nullable fields may be absent; every other field is required.
 	const nullable = ['flavours', 'site', 'dueS']
-	for (const field of Object.keys(body()))
-		for (const [how, b] of [
-			['left out', Object.fromEntries(Object.entries(body()).filter(([k]) => k !== field))],
-			['null', body({ [field]: null })],
+	for (const field of Object.keys(submissionBody()))
+		for (const [variant, message] of [
+			['absent', Object.fromEntries(Object.entries(submissionBody()).filter(([name]) => name !== field))],
+			['null', submissionBody({ [field]: null })],
 		] as const) {
-			const read = parseSubmission(b)
-			if (nullable.includes(field)) assert.deepEqual(read, arrayJob('job-000412'), `${field} ${how}`)
-			else assert.equal(read instanceof InvalidSubmission && read.field, field, `${field} ${how}`)
+			const parsed = parseSubmission(message)
+			if (nullable.includes(field)) assert.deepEqual(parsed, arrayJob('job-000412'), `${field} ${variant}`)
+			else assert.equal(parsed instanceof InvalidSubmission && parsed.field, field, `${field} ${variant}`)
 		}
-	// What a user reads: the field as the protocol names it, and what it must be, in words.
-	const bad: [name: string, body: unknown, says: string][] = [
+	// The message that a user reads: the field by its name in the protocol, and what is expected.
+	const invalid: [name: string, body: unknown, message: string][] = [
 		['not a map', [1], 'the body is not a map'],
-		['no uid', body({ uid: undefined }), 'uid: Expected string'],
-		['a uid of another form', body({ uid: 'job-x' }), 'uid: Expected "job-" followed by 6 to 20 digits'],
-		['no tasks', body({ pieces: 0 }), 'pieces: Expected a whole number from 1 to 100000'],
-		['too many tasks', body({ pieces: 100_001 }), 'pieces: Expected a whole number from 1 to 100000'],
-		['half a task', body({ pieces: 1.5 }), 'pieces: Expected an integer'],
-		['a negative amount', body({ cpus: -1 }), 'cpus: Expected a number of 0 or more'],
-		['an infinite amount', body({ ramGb: Number.POSITIVE_INFINITY }), 'ramGb: Expected a finite number'],
-		['an unknown shape', body({ shape: 'heap' }), 'shape: Expected "sweep" | "daemon" | "gang"'],
-		['an unknown urgency', body({ urgency: 'very' }), 'urgency: Expected'],
-		['types that are no list', body({ flavours: 'g8' }), 'flavours: Expected array'],
-		['a flag that is none', body({ reclaimable: 'yes' }), 'reclaimable: Expected boolean'],
+		['no uid', submissionBody({ uid: undefined }), 'uid: Expected string'],
+		[
+			'a uid of another form',
+			submissionBody({ uid: 'job-x' }),
+			'uid: Expected "job-" followed by 6 to 20 digits',
+		],
+		['no tasks', submissionBody({ pieces: 0 }), 'pieces: Expected a whole number from 1 to 100000'],
+		[
+			'too many tasks',
+			submissionBody({ pieces: 100_001 }),
+			'pieces: Expected a whole number from 1 to 100000',
+		],
+		['half a task', submissionBody({ pieces: 1.5 }), 'pieces: Expected an integer'],
+		['a negative amount', submissionBody({ cpus: -1 }), 'cpus: Expected a number of 0 or more'],
+		[
+			'an infinite amount',
+			submissionBody({ ramGb: Number.POSITIVE_INFINITY }),
+			'ramGb: Expected a finite number',
+		],
+		['an unknown shape', submissionBody({ shape: 'heap' }), 'shape: Expected "sweep" | "daemon" | "gang"'],
+		['an unknown urgency', submissionBody({ urgency: 'very' }), 'urgency: Expected'],
+		['types that are no list', submissionBody({ flavours: 'g8' }), 'flavours: Expected array'],
+		['a flag that is none', submissionBody({ reclaimable: 'yes' }), 'reclaimable: Expected boolean'],
 		[
 			'a name with a space',
-			body({ owner: 'a b' }),
+			submissionBody({ owner: 'a b' }),
 			'owner: Expected a name of 1 to 120 characters without spaces',
 		],
 	]
-	for (const [name, b, says] of bad) {
-		const read = parseSubmission(b)
-		assert.ok(read instanceof InvalidSubmission, name)
-		assert.ok(String(read).startsWith(says), `${name}: ${read}`)
+	for (const [name, body, message] of invalid) {
+		const parsed = parseSubmission(body)
+		assert.ok(parsed instanceof InvalidSubmission, name)
+		assert.ok(String(parsed).startsWith(message), `${name}: ${parsed}`)
 	}
 })
 
-test('integers up to 2^64 survive, and nothing but plain MessagePack goes out', () => {
+test('integers up to 2^64 are kept exactly, and only plain MessagePack is sent', () => {
 	const large = 2n ** 64n - 1n
-	const report = parseHeartbeat(
+	const heartbeat = parseHeartbeat(
 		decode(
 			encode({
 				host: 'i-000001',
@@ -76,24 +88,26 @@
 			}),
 		),
 	)
-	assert.equal(report?.sequence, large)
-	assert.equal(report?.tasks[0].attempt, large)
-	const out = encode(encodeCommands(7, [{ verb: 'start', taskName: 'job-000412/3', attempt: 5 * 2 ** 40 }]))
-	assert.equal(out.includes(0xcb), false, 'a large integer is not written as a float')
-	for (const ext of [0xc7, 0xc8, 0xc9, 0xd4, 0xd5, 0xd6, 0xd7, 0xd8])
-		assert.equal(encode({ a: undefined, b: [1, null] }).includes(ext), false, 'no extension types')
+	assert.equal(heartbeat?.sequence, large)
+	assert.equal(heartbeat?.tasks[0].attempt, large)
+	const encoded = encode(
+		encodeCommands(7, [{ verb: 'start', taskName: 'job-000412/3', attempt: 5 * 2 ** 40 }]),
+	)
+	assert.equal(encoded.includes(0xcb), false, 'a large integer is not written as a float')
+	for (const extensionType of [0xc7, 0xc8, 0xc9, 0xd4, 0xd5, 0xd6, 0xd7, 0xd8])
+		assert.equal(encode({ a: undefined, b: [1, null] }).includes(extensionType), false, 'no extension types')
 	assert.equal(toWireInteger(5), 5)
 })
 
-test('reports that are none', () => {
-	const good = { host: 'i-1', addr: 'x:1', flavour: 'g', site: 'a', tenure: 1, counter: 1, fence: 0 }
-	assert.ok(parseHeartbeat(good))
-	const bad: [string, unknown][] = [
-		['no machine', { ...good, host: undefined }],
-		['a negative counter', { ...good, counter: -1 }],
-		['tasks that are no list', { ...good, pieces: {} }],
-		['a task without an attempt', { ...good, pieces: [{ piece: 'job-000001/1', status: 'running' }] }],
-		['a task without a number', { ...good, pieces: [{ piece: 'job-000001', try: 1, status: 'running' }] }],
+test('malformed heartbeats are rejected', () => {
+	const valid = { host: 'i-1', addr: 'x:1', flavour: 'g', site: 'a', tenure: 1, counter: 1, fence: 0 }
+	assert.ok(parseHeartbeat(valid))
+	const invalid: [name: string, body: unknown][] = [
+		['no machine', { ...valid, host: undefined }],
+		['a negative counter', { ...valid, counter: -1 }],
+		['tasks that are no list', { ...valid, pieces: {} }],
+		['a task without an attempt', { ...valid, pieces: [{ piece: 'job-000001/1', status: 'running' }] }],
+		['a task without a number', { ...valid, pieces: [{ piece: 'job-000001', try: 1, status: 'running' }] }],
 	]
-	for (const [name, b] of bad) assert.equal(parseHeartbeat(b), null, name)
+	for (const [name, body] of invalid) assert.equal(parseHeartbeat(body), null, name)
 })
