--- /dev/null
+++ b/packages/policy/src/team-limits.ts
@@ -0,0 +1,26 @@
+/** Limits of teams. */
+import type { Resources } from './resources.js'
+import { AMOUNT_TOLERANCE } from './tolerances.js'
+
+/** A team's guarantee and limit, with the names of the settings; a limit of 0 is none. */
+export interface TeamLimit {
+	name: string
+	/** guarantee */
+	cpus: number
+	gpus: number
+	/** limit */
+	cpus_max: number
+	gpus_max: number
+}
+
+const isWithin = (limit: number, used: number, need: number, tasks: number): boolean =>
+	limit <= 0 || used + need * tasks <= limit + AMOUNT_TOLERANCE
+
+/** Does the team stay within its limit with so many more tasks? */
+export const withinLimit = (
+	team: TeamLimit,
+	used: { cpus: number; gpus: number },
+	spec: Resources,
+	tasks = 1,
+): boolean =>
+	isWithin(team.cpus_max, used.cpus, spec.cpus, tasks) && isWithin(team.gpus_max, used.gpus, spec.gpus, tasks)
