--- a/packages/logging/src/events.ts
+++ b/packages/logging/src/events.ts
@@ -1,16 +1,17 @@
 /**
- * Every event that the service logs, with what it means and what an operator does about it. Names are stable: alerts and
- * searches rest on them. docs/operating/logs.md lists them with their former wording.
+ * Every event that the service logs, with its meaning and the action for operators. Names are stable: alerts and searches
+ * depend on them. docs/operating/logs.md lists them with their former wording.
  */
 
 /** Severity of a log line. */
 export type LogLevel = 'error' | 'info' | 'debug'
 
-/** What is known of an event. */
+/** Documentation of an event. */
 export interface LogEventInfo {
 	level: LogLevel
+	/** what happened, with the event's fields */
 	meaning: string
-	/** what an operator does about it */
+	/** what an operator should do */
 	action: string
 }
 
@@ -239,5 +240,5 @@
 /** Name of an event. */
 export type LogEvent = keyof typeof LOG_EVENTS
 
-/** Writes a log line; `fields` belong to the event. */
+/** Writes a log line; `fields` are the event's own, named in its `meaning` where they need explaining. */
 export type Log = (level: LogLevel, event: LogEvent, fields?: Record<string, unknown>) => void
