--- /dev/null
+++ b/tests/archival.test.ts
@@ -0,0 +1,198 @@
+/** When terminal states leave memory for the archive, over pages and over simulated days. */
+
+import assert from 'node:assert/strict'
+import { test } from 'node:test'
+import {
+	appendToPage,
+	decodeTerminalPage,
+	type TerminalJob,
+	toTerminalJob,
+	withRevisions,
+} from '@heathroad/cluster'
+import { archivablePages, mayAdvanceArchivalEpoch } from '@heathroad/server'
+import { KEY_PREFIX } from '@heathroad/store'
+import { arrayJob, Simulation } from '@heathroad/testkit'
+
+const terminalJob = (index: number, overrides: Partial<TerminalJob> = {}): TerminalJob => ({
+	...toTerminalJob(
+		`job-${String(index).padStart(6, '0')}`,
+		'done',
+		{ team: 'core', cpus: 1, gpus: 0, ramGb: 1, tasks: 3 },
+		3,
+	),
+	...overrides,
+})
+
+test('terminal pages: batches keep their revisions when jobs are appended and pages are closed', () => {
+	let openPage: { data: unknown; modRevision: number } | undefined
+	const closedPages: unknown[] = []
+	const revisions = new Map<string, number>()
+	for (let index = 0, revision = 10; index < 60; revision += 3) {
+		const jobs = Array.from({ length: 1 + (revision % 4) }, (_, i) => terminalJob(index + i))
+		const { changes, taken } = appendToPage(0, openPage, jobs, { maxValueChars: 700, maxJobs: 9 })
+		assert.ok(taken > 0)
+		for (const job of jobs.slice(0, taken)) revisions.set(job.uid, revision)
+		index += taken
+		for (const { key, data } of changes) {
+			assert.ok(JSON.stringify(data).length <= 700)
+			if (key === 'over/0') openPage = { data, modRevision: revision }
+			else closedPages.push(data)
+		}
+	}
+	const pages = [
+		...closedPages.map((data) => decodeTerminalPage(data)!),
+		withRevisions(decodeTerminalPage(openPage!.data)!, openPage!.modRevision),
+	]
+	const stored = pages.flatMap((page) =>
+		page.batches.flatMap((batch) => batch.jobs.map((job) => [job.uid, batch.revision] as const)),
+	)
+	assert.deepEqual(new Map(stored), revisions)
+	assert.equal(stored.length, revisions.size)
+})
+
+test('an invalid terminal page is moved aside, not overwritten, and is never archived', () => {
+	const invalid = { part: 0, over: [[1], 7] }
+	const { changes, taken } = appendToPage(0, { data: invalid, modRevision: 9 }, [terminalJob(1)], {
+		maxValueChars: 700,
+		maxJobs: 9,
+	})
+	assert.equal(taken, 1)
+	assert.deepEqual(changes[0], { key: 'over/0/9', data: invalid })
+	assert.equal(decodeTerminalPage(changes[1].data)?.batches.length, 1)
+	const pages = [{ key: 'over/0/9', modRevision: 10, jobs: [] }]
+	assert.deepEqual(archivablePages(pages, 99, new Set(), new Set(), 0), [])
+})
+
+test('which pages may be archived, and when an archival epoch begins', () => {
+	const page = (key: string, ...jobs: [uid: string, revision: number][]) => ({
+		key,
+		modRevision: 1,
+		jobs: jobs.map(([uid, revision]) => ({ uid, revision })),
+	})
+	const a = page('a', ['job-1', 5], ['job-2', 6])
+	const b = page('b', ['job-3', 7])
+	const c = page('c', ['job-4', 9])
+	for (const [description, epoch, referenced, onMachines, batch, keys] of [
+		['all are older than the archival epoch', 8, [], [], 2, ['a', 'b']],
+		['not enough for a batch', 8, [], [], 4, []],
+		['another record names one: its page stays, the next one is archived', 8, ['job-2'], [], 1, ['b']],
+		['an attempt of one may still be on a machine', 8, [], ['job-3'], 1, ['a']],
+		['one has the revision of the archival epoch', 7, [], [], 1, ['a']],
+		['before any archival epoch', 0, [], [], 1, []],
+	] as const)
+		assert.deepEqual(
+			archivablePages([a, b, c], epoch, new Set<string>(referenced), new Set<string>(onMachines), batch).map(
+				(p) => p.key,
+			),
+			keys,
+			description,
+		)
+	assert.equal(mayAdvanceArchivalEpoch([5, 6, 9], 5, 1000, 900, 3), true)
+	assert.equal(mayAdvanceArchivalEpoch([5, 6, 9], 6, 1000, 900, 3), false, 'one is older than the epoch')
+	assert.equal(mayAdvanceArchivalEpoch([5, 6, 9], 5, 800, 900, 3), false, 'too soon')
+})
+
+const jobsOfDay = (count: number, intervalS: number) =>
+	Array.from({ length: count }, (_, i) => ({
+		atS: 1 + i * intervalS,
+		spec: arrayJob(`job-${String(i * 7717 + 100_003).padStart(6 + (i % 3) * 4, '0')}`, {
+			tasks: 1 + (i % 4),
+			cpus: 0.5,
+			expectedS: 4,
+		}),
+		...(i % 7 === 3 ? { cancelAtS: 4 + i * intervalS } : {}),
+	}))
+
+test('over days of crashes, partitions and outages jobs are archived, and each is reported with its terminal state', async () => {
+	for (const [seed, faults] of [
+		[
+			71,
+			[
+				{ atS: 60, kind: 'crash', who: [0] },
+				{ atS: 130, kind: 'crash', who: [0, 1, 2] },
+			],
+		],
+		[
+			72,
+			[
+				{ atS: 70, kind: 'stateDown', forS: 12 },
+				{ atS: 120, kind: 'cut', who: [1], from: 'state', forS: 20 },
+				{ atS: 160, kind: 'freeze', who: [2], forS: 15 },
+			],
+		],
+	] as const) {
+		const jobs = jobsOfDay(150, 1)
+		const world = new Simulation({ seed, untilS: 420, capacity: 8, jobs, faults, loss: 0.01 })
+		let archived = 0
+		world.tell = (line) => {
+			if (line.includes(' jobs archived ')) archived += Number(/"jobs":(\d+)/.exec(line)?.[1])
+		}
+		await world.play()
+		assert.deepEqual(world.invariants.violations, [], `seed ${seed}`)
+		assert.deepEqual(world.invariants.unfinished(), [], `seed ${seed}`)
+		assert.ok(archived > 75, `${archived} of 150 were archived`)
+		assert.ok(world.state.count('heathroad/') < 100, `${world.state.count('heathroad/')} keys are watched`)
+		assert.ok(world.state.count('heathroad-past/') > 0)
+	}
+})
+
+test('records of the first format are migrated while the service runs and crashes, and no terminal state is lost', async () => {
+	const jobs = jobsOfDay(30, 2)
+	const world = new Simulation({
+		seed: 73,
+		untilS: 500,
+		jobs,
+		faults: [{ atS: 40, kind: 'crash', who: [0, 1] }],
+	})
+	const legacyIds = Array.from({ length: 400 }, (_, i) => `job-${String(i * 104_729 + 17).padStart(9, '0')}`)
+	for (const [i, uid] of legacyIds.entries()) {
+		const final = i % 5 === 0 ? 'aborted' : 'done'
+		const need = { team: 'core', cpus: 1, gpus: 0, ramGb: 1 }
+		world.state.put(`${KEY_PREFIX}job/${uid}`, {
+			part: i % 3,
+			final,
+			tasks: 4,
+			need,
+			...(final === 'aborted' ? { count: 2 } : {}),
+		})
+	}
+	const wrongAnswers: string[] = []
+	let answers = 0
+	const askForStatus = (atS: number) =>
+		world.clock.after(atS * 1000, () => {
+			const i = (atS * 37) % legacyIds.length
+			void world.sendRequest(atS % 3, 'GET', `/v2/runs/${legacyIds[i]}`, undefined).then((reply) => {
+				if (reply === null || reply.status === 503) return
+				answers++
+				const { status, done } = reply.body as { status?: string; done?: number }
+				if (status !== (i % 5 === 0 ? 'aborted' : 'done') || done !== (i % 5 === 0 ? 2 : 4))
+					wrongAnswers.push(`${legacyIds[i]} at ${atS}: ${reply.status} ${status} ${done}`)
+			})
+		})
+	for (let atS = 5; atS < 495; atS += 2) askForStatus(atS)
+	const jobKeysAfterStart: number[] = []
+	world.started = (_, node) => {
+		world.clock.after(5000, () => jobKeysAfterStart.push([...node.cache.withPrefix('job/')].length))
+	}
+	await world.play()
+	assert.deepEqual(world.invariants.violations, [])
+	assert.deepEqual(world.invariants.unfinished(), [])
+	assert.deepEqual(wrongAnswers, [])
+	assert.ok(answers > 150, `${answers} answers`)
+	assert.ok(Math.max(...jobKeysAfterStart) < 50, `${jobKeysAfterStart} job keys were in memory after a start`)
+	assert.equal(world.state.count(`${KEY_PREFIX}job/`), 0, 'all are migrated')
+	assert.ok(world.state.count('heathroad-past/') > 0)
+})
+
+test('records of a later format are refused', async () => {
+	const world = new Simulation({ seed: 74, untilS: 20, jobs: [], faults: [] })
+	world.state.put(`${KEY_PREFIX}history`, { form: 3, turn: 1 })
+	const reasons: string[] = []
+	world.started = (_, node) => {
+		node.onUnsupportedFormat = (reason) => reasons.push(reason)
+	}
+	world.tell = () => {}
+	await world.play()
+	assert.ok(reasons.length >= 3)
+	assert.match(reasons[0], /form 3, which this version does not know/)
+})
