--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -192,7 +192,7 @@
 reading(state.command('check'))
 	.description('say what does not fit, a line each; exit code 1 if anything does not')
 	.option('--cloud', "compare with the cloud's list of machines too")
-	.action(async (o) => (await stateTools()).check(config(o), o.cloud === true))
+	.action(async (o) => (await stateTools()).check(config(o), { withCloud: o.cloud === true }))
 
 reading(state.command('export'))
 	.description('write the whole state as of one moment to a file')
--- a/packages/inspect/src/index.ts
+++ b/packages/inspect/src/index.ts
@@ -1,5 +1,12 @@
-export * from './check.js'
-export * from './cloud.js'
-export * from './ids.js'
-export * from './snapshot.js'
-export * from './walk.js'
+/** Offline tools for operators: check, export, import and compare the service's state. */
+
+export * from './checker.js'
+export * from './cloud-machines.js'
+export type { Finding } from './finding.js'
+export * from './id-set.js'
+export * from './snapshot-diff.js'
+export * from './snapshot-export.js'
+export * from './snapshot-file.js'
+export { InvalidSnapshot } from './snapshot-format.js'
+export { type ImportLimits, importState } from './snapshot-import.js'
+export { ServiceUnavailable, type WalkLimits, walk } from './walk.js'
--- a/packages/inspect/src/walk.ts
+++ b/packages/inspect/src/walk.ts
@@ -1,13 +1,19 @@
+/** Reads all keys of the state service at a limited rate, while the service is in use. */
+
 import { RevisionCompacted, type StoreClient, type StoreFailure } from '@heathroad/store'
 import type { KeyValue } from '@heathroad/wire'
 import { Effect } from 'effect'
 
-/** All that the service keeps, the archive included, begins with this. */
-export const ALL = 'heathroad'
+/** Prefix of all keys of the service, the archive included. */
+export const ROOT_PREFIX = 'heathroad'
 
 /** Keys that one request reads. */
-const PAGE = 200
+const KEYS_PER_REQUEST = 200
+
+/** Pause before a failed request is repeated. */
+const RETRY_DELAY_MS = 1000
 
+/** How fast the state service may be asked, and how often. */
 export interface WalkLimits {
 	/** requests a second */
 	perS: number
@@ -15,68 +21,74 @@
 	tries: number
 }
 
-/** A request that goes on being refused or unanswered. */
-export class Unreadable extends Error {}
+/** A service refused a request or did not answer it, however often it was repeated. */
+export class ServiceUnavailable extends Error {}
 
-const asked = <A>(
-	effect: Effect.Effect<A, StoreFailure>,
+/** Runs a request within the rate, and repeats it when it fails. */
+const withRetries = <A>(
+	request: Effect.Effect<A, StoreFailure>,
 	limits: WalkLimits,
-): Effect.Effect<A, Unreadable> => {
-	const gap = Effect.sleep(1000 / limits.perS)
-	const once = gap.pipe(Effect.andThen(effect))
-	const again = (left: number): Effect.Effect<A, Unreadable> =>
-		once.pipe(
-			Effect.catch((e) =>
-				left > 1
-					? Effect.sleep(1000).pipe(Effect.andThen(Effect.suspend(() => again(left - 1))))
-					: Effect.fail(new Unreadable(`the state does not answer (${e._tag})`)),
+): Effect.Effect<A, ServiceUnavailable> => {
+	const pacedRequest = Effect.sleep(1000 / limits.perS).pipe(Effect.andThen(request))
+	const attempt = (triesLeft: number): Effect.Effect<A, ServiceUnavailable> =>
+		pacedRequest.pipe(
+			Effect.catch((failure) =>
+				triesLeft > 1
+					? Effect.sleep(RETRY_DELAY_MS).pipe(Effect.andThen(Effect.suspend(() => attempt(triesLeft - 1))))
+					: Effect.fail(new ServiceUnavailable(`the state does not answer (${failure._tag})`)),
 			),
 		)
-	return again(limits.tries)
+	return attempt(limits.tries)
 }
 
-/** Tells every key in order, page by page; the revision of the first page. */
+/** Reads every key in order and passes them on page by page; returns the revision of the first page. */
 export const walk = (
 	client: Pick<StoreClient, 'list'>,
 	limits: WalkLimits,
-	tell: (entries: readonly KeyValue[]) => void,
-	under = ALL,
-): Effect.Effect<number, Unreadable> =>
+	onEntries: (entries: readonly KeyValue[]) => void,
+	prefix = ROOT_PREFIX,
+): Effect.Effect<number, ServiceUnavailable> =>
 	Effect.gen(function* () {
 		let from: string | null = null
-		let first = -1
+		let firstRevision: number | null = null
 		for (;;) {
-			const page: { entries: KeyValue[]; more: boolean; revision: number } = yield* asked(
-				client.list(under, from, PAGE),
+			const page: { entries: KeyValue[]; more: boolean; revision: number } = yield* withRetries(
+				client.list(prefix, from, KEYS_PER_REQUEST),
 				limits,
 			)
-			if (first < 0) first = page.revision
-			tell(page.entries)
-			if (!page.more || page.entries.length === 0) return first
+			firstRevision ??= page.revision
+			onEntries(page.entries)
+			if (!page.more || page.entries.length === 0) return firstRevision
 			from = page.entries[page.entries.length - 1].key
 		}
 	})
 
 /**
- * What changed since an revision, to bring pages that were read one after the other to one common revision. Fails if the
- * service does not keep that much any more: the reading took too long for the rate of changes.
+ * Reads what changed since a revision, to bring pages that were read one after the other to one common revision. Fails
+ * if that revision is compacted: reading took too long for the rate of changes.
  */
-export const since = (
+export const changesSince = (
 	client: Pick<StoreClient, 'watch'>,
 	revision: number,
 	limits: WalkLimits,
-): Effect.Effect<{ revision: number; log: KeyValue[] }, Unreadable> =>
-	asked(
+): Effect.Effect<{ revision: number; log: KeyValue[] }, ServiceUnavailable> =>
+	withRetries(
 		client
-			.watch(revision, 0, ALL)
-			.pipe(Effect.catch((e) => (e instanceof RevisionCompacted ? Effect.succeed(null) : Effect.fail(e)))),
+			.watch(revision, 0, ROOT_PREFIX)
+			.pipe(
+				Effect.catch((failure) =>
+					failure instanceof RevisionCompacted ? Effect.succeed(null) : Effect.fail(failure),
+				),
+			),
 		limits,
 	).pipe(
-		Effect.flatMap((news) =>
-			news === null
+		Effect.flatMap((changes) =>
+			changes === null
 				? Effect.fail(
-						new Unreadable('the state changed more than it keeps while it was read: try at a quieter time'),
+						new ServiceUnavailable(
+							'the state changed more than it keeps while it was read: try at a quieter time',
+						),
 					)
-				: Effect.succeed(news),
+				: Effect.succeed(changes),
 		),
 	)
--- a/tests/inspect.test.ts
+++ b/tests/inspect.test.ts
@@ -1,3 +1,5 @@
+/** The operators' tools: check, export, import and diff, against a fake state service. */
+
 import assert from 'node:assert/strict'
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -6,17 +8,17 @@
 import { encodeTerminalPage, toTerminalJob } from '@heathroad/cluster'
 import { type ArchivedJob, archivePageKey, encodeArchivePage, ordinalOf, packJobs } from '@heathroad/history'
 import {
-	BadSnapshot,
 	Checker,
 	compareMachines,
 	diffStates,
 	entriesOf,
 	exportState,
 	IdSet,
+	InvalidSnapshot,
 	importState,
 	listMachines,
 	openSnapshot,
-	Unreadable,
+	ServiceUnavailable,
 	walk,
 } from '@heathroad/inspect'
 import { createStoreClient, KEY_PREFIX, type StoreClient } from '@heathroad/store'
@@ -24,128 +26,148 @@
 import { type HttpClient, type HttpResponse, NoResponse } from '@heathroad/wire'
 import { Effect } from 'effect'
 
-const dir = mkdtempSync(join(tmpdir(), 'heathroad-'))
-after(() => rmSync(dir, { recursive: true }))
+const directory = mkdtempSync(join(tmpdir(), 'heathroad-'))
+after(() => rmSync(directory, { recursive: true }))
 const LIMITS = { perS: 100_000, tries: 1 }
-const IMPORT = { ...LIMITS, changesPerS: 1e6, ops: 8, bytes: 48 * 1024 }
+const IMPORT_LIMITS = { ...LIMITS, changesPerS: 1e6, ops: 8, bytes: 48 * 1024 }
 
-const past = (uid: string, more: Partial<ArchivedJob> = {}): ArchivedJob => ({
+const archivedJob = (uid: string, overrides: Partial<ArchivedJob> = {}): ArchivedJob => ({
 	ordinal: ordinalOf(uid),
 	aborted: false,
 	taskCount: 4,
 	doneCount: 4,
 	revision: 700,
-	...more,
+	...overrides,
 })
-const leaf = (from: string, to: string, items: ArchivedJob[], more: object = {}) =>
-	encodeArchivePage({ from, to, depth: 1, deeper: false, packed: packJobs(items), modRevision: 0, ...more })
-const job = (uid: string) => ({ part: 0, spec: arrayJob(uid), at: 0 })
-const page = (...uids: string[]) =>
+const archivePage = (from: string, to: string, jobs: ArchivedJob[], overrides: object = {}) =>
+	encodeArchivePage({
+		from,
+		to,
+		depth: 1,
+		deeper: false,
+		packed: packJobs(jobs),
+		modRevision: 0,
+		...overrides,
+	})
+const storedJob = (uid: string) => ({ part: 0, spec: arrayJob(uid), at: 0 })
+const terminalPage = (...uids: string[]) =>
 	encodeTerminalPage({
 		shardId: 0,
 		batches: [
-			{ revision: null, jobs: uids.map((u) => toTerminalJob(u, 'done', arrayJob(u, { tasks: 4 }), 4)) },
+			{ revision: null, jobs: uids.map((uid) => toTerminalJob(uid, 'done', arrayJob(uid, { tasks: 4 }), 4)) },
 		],
 	})
 const MIDDLE = ordinalOf('job-500000')
 
-/** A state in which everything fits. */
-const good = (): Record<string, unknown> => ({
-	[archivePageKey(1, MIDDLE)]: leaf('', MIDDLE, [
-		past('job-100000'),
-		past('job-200000', { aborted: true, doneCount: 1 }),
+/** A state in which everything is consistent. */
+const consistentState = (): Record<string, unknown> => ({
+	[archivePageKey(1, MIDDLE)]: archivePage('', MIDDLE, [
+		archivedJob('job-100000'),
+		archivedJob('job-200000', { aborted: true, doneCount: 1 }),
 	]),
-	[archivePageKey(1, '~')]: leaf(MIDDLE, '~', [
-		past('job-00000000000000000001'),
-		past('job-99999999999999999999'),
+	[archivePageKey(1, '~')]: archivePage(MIDDLE, '~', [
+		archivedJob('job-00000000000000000001'),
+		archivedJob('job-99999999999999999999'),
 	]),
 	[`${KEY_PREFIX}history`]: { form: 2, turn: 4, legacy: false },
 	[`${KEY_PREFIX}installation`]: 'here',
-	[`${KEY_PREFIX}intake/a`]: { jobs: [job('job-300001'), job('job-300002')] },
-	[`${KEY_PREFIX}job/job-300001`]: { ...job('job-300001'), done: [0, 2] },
+	[`${KEY_PREFIX}intake/a`]: { jobs: [storedJob('job-300001'), storedJob('job-300002')] },
+	[`${KEY_PREFIX}job/job-300001`]: { ...storedJob('job-300001'), done: [0, 2] },
 	[`${KEY_PREFIX}fleet/r0`]: { part: 0, type: 't', zone: 'a', spot: false, asked: 0, hosts: { 'i-1': null } },
-	[`${KEY_PREFIX}over/0`]: page('job-400000'),
+	[`${KEY_PREFIX}over/0`]: terminalPage('job-400000'),
 	[`${KEY_PREFIX}part/0`]: { owner: 'a', life: 'b' },
 })
 
-const serve = (keys: Record<string, unknown>) => {
+const serveState = (keys: Record<string, unknown>) => {
 	const state = new FakeStateStore(new VirtualClock(1))
 	for (const [key, data] of Object.entries(keys)) state.put(key, data)
-	let refuse = Number.POSITIVE_INFINITY
-	const caller: HttpClient = {
+	let postsLeft = Number.POSITIVE_INFINITY
+	const httpClient: HttpClient = {
 		request: (_, method, path, body) => {
-			if (method === 'POST' && --refuse < 0) return Effect.fail(new NoResponse({ reason: 'cut' }))
-			let answer: HttpResponse = { status: 0, body: null, retryAfter: null }
-			state.handle(method, path, body === undefined ? undefined : JSON.parse(JSON.stringify(body)), (r) => {
-				answer = { ...r, retryAfter: null }
-			})
-			return Effect.succeed(answer)
+			if (method === 'POST' && --postsLeft < 0) return Effect.fail(new NoResponse({ reason: 'cut' }))
+			let response: HttpResponse = { status: 0, body: null, retryAfter: null }
+			state.handle(
+				method,
+				path,
+				body === undefined ? undefined : JSON.parse(JSON.stringify(body)),
+				(reply) => {
+					response = { ...reply, retryAfter: null }
+				},
+			)
+			return Effect.succeed(response)
 		},
 	}
-	const client: StoreClient = createStoreClient(caller, 'state:1', 1000, () => {})
+	const client: StoreClient = createStoreClient(httpClient, 'state:1', 1000, () => {})
 	return {
 		state,
 		client,
-		refuseAfter: (posts: number) => {
-			refuse = posts
+		failAfter: (posts: number) => {
+			postsLeft = posts
 		},
 	}
 }
 
-const examine = async (keys: Record<string, unknown>): Promise<string[]> => {
-	const { client } = serve(keys)
+const findingsIn = async (keys: Record<string, unknown>): Promise<string[]> => {
+	const { client } = serveState(keys)
 	const checker = new Checker(3, await IdSet.make())
-	await Effect.runPromise(walk(client, LIMITS, (es) => es.forEach((e) => checker.entry(e))))
+	await Effect.runPromise(walk(client, LIMITS, (entries) => entries.forEach((entry) => checker.entry(entry))))
 	checker.finish()
-	await Effect.runPromise(walk(client, LIMITS, (es) => es.forEach((e) => checker.again(e))))
-	return checker.findings.map((f) => `${f.key}: ${f.what}`)
+	await Effect.runPromise(
+		walk(client, LIMITS, (entries) => entries.forEach((entry) => checker.secondEntry(entry))),
+	)
+	return checker.findings.map(({ key, what }) => `${key}: ${what}`)
 }
 
-test('check: what does not fit is named, and nothing else is', async () => {
-	const upper = archivePageKey(1, MIDDLE)
-	const last = archivePageKey(1, '~')
-	for (const [why, change, said] of [
-		['all fits', {}, []],
+test('check: every inconsistency is reported, and nothing else', async () => {
+	const firstPage = archivePageKey(1, MIDDLE)
+	const lastPage = archivePageKey(1, '~')
+	for (const [description, change, expected] of [
+		['all is consistent', {}, []],
 		[
 			'a state in the middle of a move down is in two places',
 			{
-				[archivePageKey(2, '~')]: leaf('', '~', [past('job-100000')]),
-				[upper]: leaf('', MIDDLE, [past('job-100000'), past('job-200000', { aborted: true, doneCount: 1 })], {
-					deeper: true,
-				}),
+				[archivePageKey(2, '~')]: archivePage('', '~', [archivedJob('job-100000')]),
+				[firstPage]: archivePage(
+					'',
+					MIDDLE,
+					[archivedJob('job-100000'), archivedJob('job-200000', { aborted: true, doneCount: 1 })],
+					{
+						deeper: true,
+					},
+				),
 			},
 			[],
 		],
 		[
-			'a leaf that does not parse',
-			{ [upper]: { from: '', depth: 1, deeper: false, packed: 'AAAA' } },
+			'an invalid page',
+			{ [firstPage]: { from: '', depth: 1, deeper: false, packed: 'AAAA' } },
 			[/1\/.*: cannot be unpacked/],
 		],
-		['an overlap', { [last]: leaf(ordinalOf('job-400000'), '~', []) }, [/1\/~: overlaps/]],
-		['a gap', { [last]: leaf(ordinalOf('job-600000'), '~', []) }, [/1\/~: leaves a gap/]],
-		['no end', { [last]: undefined }, [/past\/1\/: its last record is missing/]],
+		['an overlap', { [lastPage]: archivePage(ordinalOf('job-400000'), '~', []) }, [/1\/~: overlaps/]],
+		['a gap', { [lastPage]: archivePage(ordinalOf('job-600000'), '~', []) }, [/1\/~: leaves a gap/]],
+		['no end', { [lastPage]: undefined }, [/past\/1\/: its last record is missing/]],
 		[
 			'out of range',
-			{ [upper]: leaf('', MIDDLE, [past('job-700000')]) },
+			{ [firstPage]: archivePage('', MIDDLE, [archivedJob('job-700000')]) },
 			[/job-700000, which is not of its range/],
 		],
 		[
-			'where nobody looks',
-			{ [archivePageKey(2, '~')]: leaf('', '~', [past('job-100001')]) },
+			'on a level where no look-up reaches it',
+			{ [archivePageKey(2, '~')]: archivePage('', '~', [archivedJob('job-100001')]) },
 			[/job-100001, which nobody looks for/],
 		],
 		[
-			'over twice, in two ways',
-			{ [`${KEY_PREFIX}over/1`]: { ...(page('job-200000') as object), part: 1 } },
+			'two terminal states of one job',
+			{ [`${KEY_PREFIX}over/1`]: { ...(terminalPage('job-200000') as object), part: 1 } },
 			[/over\/1: job-200000 ended another way/],
 		],
 		[
 			'archived and open',
-			{ [`${KEY_PREFIX}intake/b`]: { jobs: [job('job-100000')] } },
+			{ [`${KEY_PREFIX}intake/b`]: { jobs: [storedJob('job-100000')] } },
 			[/intake\/b: job-100000 is open there/],
 		],
 		[
-			'progress of a job that is over',
+			'progress of a terminal job',
 			{ [`${KEY_PREFIX}done/job-400000/1`]: [0, 3] },
 			[/done\/job-400000\/1: is progress/],
 		],
@@ -164,23 +186,23 @@
 			[/fleet\/r1: holds machine i-1/],
 		],
 		[
-			'a part that is not there',
+			'a shard that does not exist',
 			{ [`${KEY_PREFIX}part/7`]: { owner: 'a', life: 'b' } },
 			[/part\/7: there are 3 parts/],
 		],
-		['a later form', { [`${KEY_PREFIX}history`]: { form: 3, turn: 1 } }, [/history: is of form 3/]],
+		['a later format', { [`${KEY_PREFIX}history`]: { form: 3, turn: 1 } }, [/history: is of form 3/]],
 		[
-			'a page of another make',
+			'a page of another format',
 			{ [`${KEY_PREFIX}over/0`]: { part: 0, over: [[1], 7] } },
 			[/over\/0: does not parse/],
 		],
 		[
-			'none of ours',
+			'a key of another program',
 			{ [`${KEY_PREFIX}what`]: 1, 'heathroad.x': 1 },
 			[/heathroad\.x: is none/, /what: is of no kind/],
 		],
 		[
-			'garbage',
+			'malformed records',
 			{
 				[`${KEY_PREFIX}over/0`]: 7,
 				[`${KEY_PREFIX}intake/a`]: { jobs: 1 },
@@ -190,15 +212,15 @@
 		],
 	] as const) {
 		const keys = Object.fromEntries(
-			Object.entries({ ...good(), ...change }).filter(([, v]) => v !== undefined),
+			Object.entries({ ...consistentState(), ...change }).filter(([, data]) => data !== undefined),
 		)
-		const found = await examine(keys)
-		assert.equal(found.length, said.length, `${why}: ${found.join('; ')}`)
-		for (const [i, pattern] of said.entries()) assert.match(found[i], pattern, why)
+		const found = await findingsIn(keys)
+		assert.equal(found.length, expected.length, `${description}: ${found.join('; ')}`)
+		for (const [i, pattern] of expected.entries()) assert.match(found[i], pattern, description)
 	}
 })
 
-test('ids of every width are told apart in a set', async () => {
+test('a set tells ids of every width apart', async () => {
 	const ids = await IdSet.make()
 	const all = [
 		'job-000001',
@@ -216,25 +238,25 @@
 	ids.dispose()
 })
 
-const saved = async (name: string, keys: Record<string, unknown>): Promise<string> => {
-	const path = join(dir, name)
-	await Effect.runPromise(exportState(serve(keys).client, path, LIMITS))
+const saveSnapshot = async (name: string, keys: Record<string, unknown>): Promise<string> => {
+	const path = join(directory, name)
+	await Effect.runPromise(exportState(serveState(keys).client, path, LIMITS))
 	return path
 }
-const many = (n: number): Record<string, unknown> => ({
-	...good(),
+const largeState = (batches: number): Record<string, unknown> => ({
+	...consistentState(),
 	...Object.fromEntries(
-		Array.from({ length: n }, (_, i) => [
+		Array.from({ length: batches }, (_, i) => [
 			`${KEY_PREFIX}intake/m${String(i).padStart(4, '0')}`,
-			{ jobs: [job(`job-${800_000 + i}`)] },
+			{ jobs: [storedJob(`job-${800_000 + i}`)] },
 		]),
 	),
 })
 
-test('export is of one moment: what changes while it reads is told as it is at the end', async () => {
-	const { client, state } = serve(many(450))
+test('an export is of one revision: keys that change meanwhile are as of its end', async () => {
+	const { client, state } = serveState(largeState(450))
 	let pages = 0
-	const moving: StoreClient = {
+	const changingClient: StoreClient = {
 		...client,
 		list: (...args) =>
 			client.list(...args).pipe(
@@ -252,25 +274,25 @@
 				),
 			),
 	}
-	const path = join(dir, 'moving')
-	await Effect.runPromise(exportState(moving, path, LIMITS))
-	const got = new Map<string, unknown>()
+	const path = join(directory, 'changing')
+	await Effect.runPromise(exportState(changingClient, path, LIMITS))
+	const exported = new Map<string, unknown>()
 	for await (const { key, data } of entriesOf(await openSnapshot(path))) {
-		assert.ok(!got.has(key), key)
-		got.set(key, data)
+		assert.ok(!exported.has(key), key)
+		exported.set(key, data)
 	}
-	assert.equal(got.get(`${KEY_PREFIX}fleet/r0`), 'new')
-	assert.equal(got.get(`${KEY_PREFIX}a`), 1)
-	assert.ok(!got.has(`${KEY_PREFIX}intake/m0440`))
-	assert.equal(got.size, Object.keys(many(450)).length)
+	assert.equal(exported.get(`${KEY_PREFIX}fleet/r0`), 'new')
+	assert.equal(exported.get(`${KEY_PREFIX}a`), 1)
+	assert.ok(!exported.has(`${KEY_PREFIX}intake/m0440`))
+	assert.equal(exported.size, Object.keys(largeState(450)).length)
 })
 
-test('bad snapshots: each is named, and nothing is written', async () => {
-	const path = await saved('good', many(30))
+test('invalid snapshots are rejected with their cause, and nothing is written', async () => {
+	const path = await saveSnapshot('good', largeState(30))
 	const text = readFileSync(path, 'utf8')
-	const turned = Buffer.from(text)
-	turned[text.indexOf('"hosts"') + 10] ^= 1
-	for (const [name, content, said] of [
+	const withFlippedBit = Buffer.from(text)
+	withFlippedBit[text.indexOf('"hosts"') + 10] ^= 1
+	for (const [name, content, pattern] of [
 		['cut short', text.slice(0, text.length / 2).replace(/[^\n]*$/, ''), /is cut short/],
 		['cut in a line', text.slice(0, 900), /cannot be read/],
 		[
@@ -278,47 +300,48 @@
 			text.replace('"version":1', '"version":9'),
 			/is of version 9; this program reads version 1/,
 		],
-		['with a bit turned', turned, /checksum does not fit|cannot be read/],
+		['with a flipped bit', withFlippedBit, /checksum does not fit|cannot be read/],
 		['with a line too many', text.replace('\n{"end"', '\n{"key":"x","data":1}\n{"end"'), /lines, not/],
 		['of something else', '{"a":1}\n', /is no snapshot/],
 		['empty', '', /is cut short/],
 	] as const) {
-		const bad = join(dir, 'bad')
-		writeFileSync(bad, content)
+		const invalidPath = join(directory, 'bad')
+		writeFileSync(invalidPath, content)
 		await assert.rejects(
-			openSnapshot(bad),
-			(e: Error) => e instanceof BadSnapshot && said.test(e.message),
+			openSnapshot(invalidPath),
+			(error: Error) => error instanceof InvalidSnapshot && pattern.test(error.message),
 			name,
 		)
 	}
-	await assert.rejects(openSnapshot(join(dir, 'nowhere')), /cannot be read \(ENOENT\)/)
-	const used = serve({ [`${KEY_PREFIX}history`]: { form: 2, turn: 1 } })
-	await assert.rejects(importState(used.client, await openSnapshot(path), IMPORT), /is not empty/)
-	assert.equal(used.state.count(''), 1)
+	await assert.rejects(openSnapshot(join(directory, 'nowhere')), /cannot be read \(ENOENT\)/)
+	const inUse = serveState({ [`${KEY_PREFIX}history`]: { form: 2, turn: 1 } })
+	await assert.rejects(importState(inUse.client, await openSnapshot(path), IMPORT_LIMITS), /is not empty/)
+	assert.equal(inUse.state.count(''), 1)
 })
 
-test('import goes on where it was stopped, however often; what it brought fits and differs in nothing that counts', async () => {
-	const path = await saved('whole', many(60))
+test('a stopped import continues where it was, however often; the imported state is consistent and equivalent', async () => {
+	const path = await saveSnapshot('whole', largeState(60))
 	const snapshot = await openSnapshot(path)
-	const target = serve({})
+	const target = serveState({})
 	let stops = 0
 	for (;;) {
-		target.refuseAfter(3)
+		target.failAfter(3)
 		try {
-			await importState(target.client, snapshot, IMPORT)
+			await importState(target.client, snapshot, IMPORT_LIMITS)
 			break
-		} catch (e) {
-			assert.ok(e instanceof Unreadable, String(e))
+		} catch (error) {
+			assert.ok(error instanceof ServiceUnavailable, String(error))
 			stops++
 		}
-		const other = await openSnapshot(await saved('other', good()))
-		if (stops === 1) await assert.rejects(importState(target.client, other, IMPORT), /of another snapshot/)
+		const other = await openSnapshot(await saveSnapshot('other', consistentState()))
+		if (stops === 1)
+			await assert.rejects(importState(target.client, other, IMPORT_LIMITS), /of another snapshot/)
 	}
 	assert.ok(stops >= 2, `${stops} stops`)
-	const back = join(dir, 'back')
-	await Effect.runPromise(exportState(target.client, back, LIMITS))
-	const differences = await diffStates(snapshot, await openSnapshot(back))
-	// Epochs begin anew, owners and the installation's name stay behind.
+	const exportedAgain = join(directory, 'back')
+	await Effect.runPromise(exportState(target.client, exportedAgain, LIMITS))
+	const differences = await diffStates(snapshot, await openSnapshot(exportedAgain))
+	// Revisions begin anew; owners and the installation's name are left out.
 	assert.deepEqual(differences, [
 		`~ ${archivePageKey(1, MIDDLE)}`,
 		`~ ${archivePageKey(1, '~')}`,
@@ -327,22 +350,24 @@
 		`- ${KEY_PREFIX}part/0`,
 	])
 	const restored: Record<string, unknown> = {}
-	for await (const { key, data } of entriesOf(await openSnapshot(back))) restored[key] = data
-	assert.deepEqual(await examine(restored), [])
+	for await (const { key, data } of entriesOf(await openSnapshot(exportedAgain))) restored[key] = data
+	assert.deepEqual(await findingsIn(restored), [])
 })
 
-test("the cloud's list: pages, refusals and lag; only what two lists say is told", async () => {
-	const all = Array.from({ length: 1200 }, (_, i) => ({
+const REQUEST = { address: 'cloud:1', callsPerS: 10_000, timeoutMs: 100 }
+
+test("the cloud's list: pages, refusals and lag; only what two lists agree on is reported", async () => {
+	const machines = Array.from({ length: 1200 }, (_, i) => ({
 		uid: `i-${String(i).padStart(6, '0')}`,
 		status: i === 7 ? 'failed' : 'running',
 		heldS: i === 8 ? 2 : 600,
 	}))
 	let calls = 0
-	const caller: HttpClient = {
+	const httpClient: HttpClient = {
 		request: (_, __, path) => {
 			if (++calls % 2 === 0) return Effect.succeed({ status: 429, body: {}, retryAfter: null })
 			const from = new URLSearchParams(path.split('?')[1]).get('from') ?? ''
-			const rest = all.filter((m) => m.uid > from)
+			const rest = machines.filter((machine) => machine.uid > from)
 			return Effect.succeed({
 				status: 200,
 				body: { hosts: rest.slice(0, 500), truncated: rest.length > 500 },
@@ -350,20 +375,22 @@
 			})
 		},
 	}
-	const listed = await Effect.runPromise(listMachines(caller, 'cloud:1', 10_000, 100))
+	const listed = await Effect.runPromise(listMachines(httpClient, REQUEST))
 	assert.equal(listed.length, 1200)
-	const known = new Map(
+	const recorded = new Map(
 		listed
-			.filter((m) => !['i-000007', 'i-000008', 'i-000009', 'i-000010'].includes(m.id))
-			.map((m) => [m.id, 'fleet/x']),
+			.filter(({ id }) => !['i-000007', 'i-000008', 'i-000009', 'i-000010'].includes(id))
+			.map(({ id }) => [id, 'fleet/x']),
 	)
-	known.set('i-gone', 'fleet/y')
-	const later = listed.filter((m) => m.id !== 'i-000010')
-	const said = compareMachines([listed, later], known, 3).map((f) => `${f.key}: ${f.what}`)
-	assert.deepEqual(said, [
+	recorded.set('i-gone', 'fleet/y')
+	const later = listed.filter(({ id }) => id !== 'i-000010')
+	const findings = compareMachines([listed, later], recorded, 3).map(({ key, what }) => `${key}: ${what}`)
+	assert.deepEqual(findings, [
 		'i-000009: is charged since 600 s, and no record knows it',
 		'fleet/y: holds machine i-gone, which the cloud does not list',
 	])
-	const deaf: HttpClient = { request: () => Effect.succeed({ status: 503, body: {}, retryAfter: null }) }
-	await assert.rejects(Effect.runPromise(listMachines(deaf, 'cloud:1', 10_000, 100)), /cloud does not answer/)
+	const unavailable: HttpClient = {
+		request: () => Effect.succeed({ status: 503, body: {}, retryAfter: null }),
+	}
+	await assert.rejects(Effect.runPromise(listMachines(unavailable, REQUEST)), /cloud does not answer/)
 })
