--- a/packages/cli/src/daemon-tools.ts
+++ b/packages/cli/src/daemon-tools.ts
@@ -1,43 +1,67 @@
+/** What the commands of operators do: call running controllers, and check a plug-in's folder. */
+
 import { readManifest } from '@heathroad/plugin-api'
-import { type Loaded, type PluginInfo, type Problem, scanFolder } from '@heathroad/plugins'
-import { createHttpClient, isMap } from '@heathroad/wire'
+import { type PluginInfo, scanFolder } from '@heathroad/plugins'
+import { createHttpClient, type HttpClient, isMap } from '@heathroad/wire'
 import { Effect } from 'effect'
+import { EXIT, printError, printLine } from './output.js'
 
-/** The running controllers that a verb is for, at their internal addresses, and how to print. */
-export interface At {
-	admin: readonly string[]
+/** The controllers that a command calls, at their internal addresses, and how to print. */
+export interface AdminTarget {
+	addresses: readonly string[]
 	json: boolean
 }
 
-/** Exit codes: 0 done, 1 a controller refused or gave no answer, or a folder holds no plug-in. */
-const REFUSED = 1
-const ANSWER_MS = 10_000
+type Body = Record<string, unknown>
+
+type AdminAnswer = { kind: 'ok'; body: Body } | { kind: 'failed'; reason: string }
+
+/** How long a controller may take to answer. */
+const ANSWER_TIMEOUT_MS = 10_000
+/** Controllers are called one after the other. */
+const CONNECTIONS = 1
+/** The first status that is no success. */
+const FIRST_FAILURE_STATUS = 300
 
-const print = (line: string): void => void process.stdout.write(`${line}\n`)
+const call = async (
+	httpClient: HttpClient,
+	address: string,
+	path: string,
+	requestBody: unknown,
+): Promise<AdminAnswer> =>
+	Effect.runPromise(
+		httpClient.request(address, 'POST', path, requestBody, ANSWER_TIMEOUT_MS).pipe(
+			Effect.match({
+				onFailure: (failure): AdminAnswer => ({ kind: 'failed', reason: failure.reason }),
+				onSuccess: ({ status, body }): AdminAnswer => {
+					if (status < FIRST_FAILURE_STATUS) return { kind: 'ok', body: isMap(body) ? body : {} }
+					return { kind: 'failed', reason: String(isMap(body) ? body.error : status) }
+				},
+			}),
+		),
+	)
 
-/** Asks each controller in turn; what one cannot answer is told, and the others are asked all the same. */
-const each = async (
-	at: At,
+/** Calls each controller in turn. A failure of one is printed and sets the exit code; the others are called as well. */
+const callEach = async (
+	target: AdminTarget,
 	path: string,
-	body: unknown,
-	heard: (address: string, body: Record<string, unknown>) => void,
+	requestBody: unknown,
+	onAnswer: (address: string, body: Body) => void,
 ): Promise<void> => {
-	const httpClient = createHttpClient(1)
-	for (const address of at.admin) {
-		const asked = httpClient
-			.request(address, 'POST', path, body, ANSWER_MS)
-			.pipe(Effect.match({ onFailure: (e) => e.reason, onSuccess: (a) => a }))
-		const answer = await Effect.runPromise(asked)
-		if (typeof answer !== 'string' && answer.status < 300) {
-			heard(address, isMap(answer.body) ? answer.body : {})
-			continue
+	const httpClient = createHttpClient(CONNECTIONS)
+	try {
+		for (const address of target.addresses) {
+			const answer = await call(httpClient, address, path, requestBody)
+			if (answer.kind === 'ok') {
+				onAnswer(address, answer.body)
+				continue
+			}
+			printError(`${address}: ${answer.reason}`)
+			process.exitCode = EXIT.refused
 		}
-		const why =
-			typeof answer === 'string' ? answer : isMap(answer.body) ? String(answer.body.error) : answer.status
-		process.stderr.write(`heathroad: ${address}: ${why}\n`)
-		process.exitCode = REFUSED
+	} finally {
+		httpClient.close()
 	}
-	httpClient.close()
 }
 
 const COLUMNS = [
@@ -52,51 +76,64 @@
 	'rollbacks',
 ] as const
 
-/** Plug-ins for a person: a line each, in columns. */
-export const table = (plugins: readonly PluginInfo[]): string[] => {
-	const rows = [COLUMNS.map(String), ...plugins.map((p) => COLUMNS.map((c) => String(p[c] ?? '-')))]
-	const widths = COLUMNS.map((_, i) => Math.max(...rows.map((r) => r[i].length)))
-	return rows.map((r) =>
-		r
-			.map((cell, i) => cell.padEnd(widths[i]))
+/** Plug-ins as a table for a person: a header and a line each. */
+export const formatTable = (plugins: readonly PluginInfo[]): string[] => {
+	const rows = [
+		COLUMNS.map(String),
+		...plugins.map((plugin) => COLUMNS.map((column) => String(plugin[column] ?? '-'))),
+	]
+	const widths = COLUMNS.map((_, index) => Math.max(...rows.map((row) => row[index].length)))
+	return rows.map((row) =>
+		row
+			.map((cell, index) => cell.padEnd(widths[index]))
 			.join('  ')
 			.trimEnd(),
 	)
 }
 
-const show = (at: At, address: string, body: Record<string, unknown>): void => {
+const printPlugins = (target: AdminTarget, address: string, body: Body): void => {
 	const plugins = (body.plugins ?? []) as PluginInfo[]
-	if (at.json) return print(JSON.stringify({ controller: address, plugins }))
-	print(plugins.length === 0 ? `${address}: no plug-ins` : `${address}:`)
-	if (plugins.length > 0) for (const line of table(plugins)) print(line)
+	if (target.json) return printLine(JSON.stringify({ controller: address, plugins }))
+	if (plugins.length === 0) return printLine(`${address}: no plug-ins`)
+	printLine(`${address}:`)
+	for (const line of formatTable(plugins)) printLine(line)
 }
 
-export const list = (at: At): Promise<void> =>
-	each(at, '/admin/plugins', {}, (address, body) => show(at, address, body))
+/** Prints the plug-ins of each controller. */
+export const list = (target: AdminTarget): Promise<void> =>
+	callEach(target, '/admin/plugins', {}, (address, body) => printPlugins(target, address, body))
+
+/** Disables a plug-in on each controller, and prints the plug-ins. */
+export const disable = (target: AdminTarget, name: string): Promise<void> =>
+	callEach(target, '/admin/disable', { name }, (address, body) => printPlugins(target, address, body))
 
-export const disable = (at: At, name: string, off: boolean): Promise<void> =>
-	each(at, off ? '/admin/disable' : '/admin/enable', { name }, (address, body) => show(at, address, body))
+/** Enables a plug-in on each controller, and prints the plug-ins. */
+export const enable = (target: AdminTarget, name: string): Promise<void> =>
+	callEach(target, '/admin/enable', { name }, (address, body) => printPlugins(target, address, body))
 
-export const reload = (at: At): Promise<void> =>
-	each(at, '/admin/reload', {}, (address, { lines }) => {
-		const all = Array.isArray(lines) ? lines.map(String) : []
-		if (at.json) return print(JSON.stringify({ controller: address, lines: all }))
-		print(`${address}: reloaded`)
-		for (const line of all) print(`  ${line}`)
+/** Makes each controller read its settings again, and prints what it could not apply. */
+export const reload = (target: AdminTarget): Promise<void> =>
+	callEach(target, '/admin/reload', {}, (address, body) => {
+		const lines = Array.isArray(body.lines) ? body.lines.map(String) : []
+		if (target.json) return printLine(JSON.stringify({ controller: address, lines }))
+		printLine(`${address}: reloaded`)
+		for (const line of lines) printLine(`  ${line}`)
 	})
 
-export const drain = (at: At): Promise<void> =>
-	each(at, '/admin/drain', {}, (address) =>
-		print(at.json ? JSON.stringify({ controller: address, draining: true }) : `${address}: draining`),
+/** Makes each controller drain and end. */
+export const drain = (target: AdminTarget): Promise<void> =>
+	callEach(target, '/admin/drain', {}, (address) =>
+		printLine(target.json ? JSON.stringify({ controller: address, draining: true }) : `${address}: draining`),
 	)
 
-/** Reads one plug-in's folder as a controller would. */
-export const check = async (dir: string): Promise<void> => {
-	const read: Loaded | Problem = await scanFolder(dir, readManifest)
-	if ('manifest' in read) {
-		const { name, version, hooks } = read.manifest
-		return print(`${dir}: ${name} ${version}, ${hooks.join(' and ')}`)
+/** Reads a plug-in's folder as a controller would, and prints what it holds or what is wrong with it. */
+export const check = async (directory: string): Promise<void> => {
+	const result = await scanFolder(directory, readManifest)
+	if ('manifest' in result) {
+		const { name, version, hooks } = result.manifest
+		return printLine(`${directory}: ${name} ${version}, ${hooks.join(' and ')}`)
 	}
-	process.stderr.write(`${read.file}: ${read.field === null ? '' : `${read.field}: `}${read.why}\n`)
-	process.exitCode = REFUSED
+	const field = result.field === null ? '' : `${result.field}: `
+	process.stderr.write(`${result.file}: ${field}${result.why}\n`)
+	process.exitCode = EXIT.refused
 }
--- a/packages/cli/src/state-tools.ts
+++ b/packages/cli/src/state-tools.ts
@@ -19,7 +19,7 @@
 import { createStoreClient, type StoreClient } from '@heathroad/store'
 import { type ClosableHttpClient, createHttpClient, type HttpClient } from '@heathroad/wire'
 import { Effect } from 'effect'
-import { printLine } from './output.js'
+import { printError, printLine } from './output.js'
 
 /** Exit codes: 0 no findings, 1 findings, differences or no answer, 2 a file or settings that cannot be used. */
 const EXIT = { clean: 0, findings: 1, unusable: 2 } as const
@@ -47,7 +47,7 @@
 		process.exitCode = await command()
 	} catch (error) {
 		if (!(error instanceof InvalidSnapshot || error instanceof ServiceUnavailable)) throw error
-		process.stderr.write(`heathroad: ${error.message}\n`)
+		printError(error.message)
 		process.exitCode = error instanceof InvalidSnapshot ? EXIT.unusable : EXIT.findings
 	}
 }
--- a/packages/cli/src/verbs.ts
+++ b/packages/cli/src/verbs.ts
@@ -1,3 +1,5 @@
+/** What the commands of users do: submit, show, cancel and watch jobs. */
+
 import {
 	Client,
 	Interrupted,
@@ -7,98 +9,103 @@
 	type JobInfo,
 	type Submission,
 } from '@heathroad/client'
+import { EXIT, printError, printLine } from './output.js'
 
-/** What every verb is told: where the service is and how to print. */
-export interface Where {
-	server: readonly string[]
-	grpc: readonly string[]
-	/** null: as the standard output is a terminal or not */
+/** Where the service is and how to print. */
+export interface ClientTarget {
+	httpAddresses: readonly string[]
+	grpcAddresses: readonly string[]
+	/** null: unless the standard output is a terminal */
 	json: boolean | null
 	deadlineS?: number
 }
 
-/** Exit codes: 0 done, 1 the service said no or gave no answer, 2 wrong arguments. */
-const REFUSED = 1
+/** Which jobs to watch: by id, or all of a team's. */
+export type WatchSelection = { uids: readonly string[] } | { team: string }
+
+type PrintableJob = JobInfo & { tasks?: number }
 
-const asJson = (where: Where): boolean => where.json ?? !process.stdout.isTTY
+const wantsJson = (target: ClientTarget): boolean => target.json ?? !process.stdout.isTTY
 
-const counts = (j: JobInfo & { tasks?: number }): string => {
-	const of = j.tasks ? ` of ${j.tasks}` : ''
-	const parts = [`${j.done}${of} done`]
-	if (j.running > 0) parts.push(`${j.running} running`)
-	return parts.join(', ')
+const formatCounts = ({ tasks, done, running }: PrintableJob): string => {
+	const total = tasks ? ` of ${tasks}` : ''
+	const doneText = `${done}${total} done`
+	return running > 0 ? `${doneText}, ${running} running` : doneText
 }
 
-/** A job for a person: one line. */
-export const lineOf = (j: JobInfo & { tasks?: number }): string =>
-	`${j.uid}  ${j.state.padEnd(9)}  ${counts(j)}`
+/** A job as a line for a person. */
+export const formatJob = (job: PrintableJob): string =>
+	`${job.uid}  ${job.state.padEnd(9)}  ${formatCounts(job)}`
 
-/** The protocol's own names, for programs that read what older versions printed. */
-const printed = (j: JobInfo): Record<string, unknown> => ({
-	uid: j.uid,
-	status: j.state === 'cancelled' ? 'aborted' : j.state,
-	done: j.done,
-	running: j.running,
+/** A job by the names of the wire protocol, which programs read since the first version. */
+const jsonOf = (job: JobInfo): Record<string, unknown> => ({
+	uid: job.uid,
+	status: job.state === 'cancelled' ? 'aborted' : job.state,
+	done: job.done,
+	running: job.running,
 })
 
-const print = (where: Where, j: JobInfo & { tasks?: number }, more: Record<string, unknown> = {}): void => {
-	process.stdout.write(`${asJson(where) ? JSON.stringify({ ...printed(j), ...more }) : lineOf(j)}\n`)
+const printJob = (target: ClientTarget, job: PrintableJob, extraFields: Record<string, unknown> = {}): void =>
+	printLine(wantsJson(target) ? JSON.stringify({ ...jsonOf(job), ...extraFields }) : formatJob(job))
+
+const printEvent = (target: ClientTarget, event: JobEvent): void => {
+	const { tasks, cursor, afterGap } = event
+	printJob(target, event, { tasks, cursor, ...(afterGap ? { afterGap: true } : {}) })
 }
 
-const sentence = (e: unknown): string => {
-	if (!(e instanceof JobError)) return (e as Error).message
-	const again = e.mayBeAccepted
-		? `; it may have been accepted: ask for ${e.uid}, or submit it again under that id`
+const describeError = (error: unknown): string => {
+	if (!(error instanceof JobError)) return (error as Error).message
+	const hint = error.mayBeAccepted
+		? `; it may have been accepted: ask for ${error.uid}, or submit it again under that id`
 		: ''
-	return `${e.message}${again}`
+	return `${error.message}${hint}`
 }
 
-const withClient = async (where: Where, work: (client: Client, signal: AbortSignal) => Promise<void>) => {
+/** Runs a command with a client, until it ends or is interrupted (SIGINT), and sets the exit code. */
+const withClient = async (
+	target: ClientTarget,
+	work: (client: Client, signal: AbortSignal) => Promise<void>,
+): Promise<void> => {
 	const client = new Client({
-		grpc: where.grpc,
-		http: where.server,
-		...(where.deadlineS === undefined ? {} : { deadlineMs: where.deadlineS * 1000 }),
+		grpc: target.grpcAddresses,
+		http: target.httpAddresses,
+		...(target.deadlineS === undefined ? {} : { deadlineMs: target.deadlineS * 1000 }),
 	})
 	const interrupt = new AbortController()
 	process.once('SIGINT', () => interrupt.abort())
-	let code = 0
+	// An exit code instead of `exit`: output into a pipe may still be pending.
+	process.exitCode = 0
 	try {
 		await work(client, interrupt.signal)
-	} catch (e) {
-		if (!(e instanceof Interrupted && interrupt.signal.aborted))
-			process.stderr.write(`heathroad: ${sentence(e)}\n`)
-		code = REFUSED
+	} catch (error) {
+		const isInterrupted = error instanceof Interrupted && interrupt.signal.aborted
+		if (!isInterrupted) printError(describeError(error))
+		process.exitCode = EXIT.refused
+	} finally {
+		client.close()
 	}
-	client.close()
-	// Not `exit` at once: what was printed into a pipe may still be under way.
-	process.exitCode = code
 }
 
-const tell = (where: Where, e: JobEvent): void =>
-	print(where, e, { tasks: e.tasks, cursor: e.cursor, ...(e.afterGap ? { afterGap: true } : {}) })
-
-export const submit = (where: Where, job: Submission, wait: boolean): Promise<void> =>
-	withClient(where, async (client, signal) => {
+/** Submits a job and prints it; with `wait` prints its events until it is terminal, as JSON the last one only. */
+export const submit = (target: ClientTarget, job: Submission, { wait }: { wait: boolean }): Promise<void> =>
+	withClient(target, async (client, signal) => {
 		const accepted = await client.submit(job, { signal })
-		if (!wait) return print(where, { ...accepted, tasks: job.tasks } as JobInfo)
-		print(where, accepted)
-		for await (const e of client.watch({ uids: [accepted.uid] }, { signal }))
-			if (isFinal(e.state) || !asJson(where)) tell(where, e)
+		if (!wait) return printJob(target, { ...accepted, tasks: job.tasks })
+		printJob(target, accepted)
+		for await (const event of client.watch({ uids: [accepted.uid] }, { signal }))
+			if (isFinal(event.state) || !wantsJson(target)) printEvent(target, event)
 	})
 
-export const status = (where: Where, uid: string): Promise<void> =>
-	withClient(where, async (client, signal) => print(where, await client.get(uid, { signal })))
-
-export const cancel = (where: Where, uid: string): Promise<void> =>
-	withClient(where, async (client, signal) => print(where, await client.cancel(uid, { signal })))
-
-export const watch = (
-	where: Where,
-	uids: readonly string[],
-	team: string | undefined,
-	cursor?: string,
-): Promise<void> =>
-	withClient(where, async (client, signal) => {
-		const selection = team === undefined ? { uids } : { team }
-		for await (const e of client.watch(selection, { signal, cursor })) tell(where, e)
+/** Prints a job. */
+export const status = (target: ClientTarget, uid: string): Promise<void> =>
+	withClient(target, async (client, signal) => printJob(target, await client.get(uid, { signal })))
+
+/** Cancels a job and prints it. */
+export const cancel = (target: ClientTarget, uid: string): Promise<void> =>
+	withClient(target, async (client, signal) => printJob(target, await client.cancel(uid, { signal })))
+
+/** Prints the events of jobs, from after the cursor if there is one. */
+export const watch = (target: ClientTarget, selection: WatchSelection, cursor?: string): Promise<void> =>
+	withClient(target, async (client, signal) => {
+		for await (const event of client.watch(selection, { signal, cursor })) printEvent(target, event)
 	})
--- a/packages/daemon/src/admin.ts
+++ b/packages/daemon/src/admin.ts
@@ -1,41 +1,52 @@
+/** Operators' calls to a running controller, at its internal address. */
+
 import type { PluginHost } from '@heathroad/plugins'
 import type { Respond } from '@heathroad/server'
-import { isMap } from '@heathroad/wire'
+import { type HttpReply, isMap } from '@heathroad/wire'
 import type { Drain } from './drain.js'
 
-/** What operators may ask of a running daemon, at its internal address. */
+/** What operators may ask of a running controller. */
 export interface Daemon {
+	/** null: no plug-ins are loaded */
 	readonly plugins: PluginHost | null
 	readonly drain: Drain
-	/** Reads the INI file and the directory of plug-ins again; what could not be taken over, a line each. */
+	/** Reads the INI file and the plug-in directory again; returns what could not be applied, a line each. */
 	reload(): Promise<string[]>
-	/** Begins the drain; the process ends with it. */
+	/** Begins the drain; the process ends after it. */
 	end(): void
 }
 
-const refusal = (status: number, error: string) => ({ status, body: { error } })
+const refuse = (status: number, error: string): HttpReply => ({ status, body: { error } })
 
-const named = (host: PluginHost | null, body: unknown, off: boolean) => {
+const setPluginDisabled = (host: PluginHost | null, body: unknown, disabled: boolean): HttpReply => {
+	if (host === null) return refuse(409, 'no plug-ins are loaded: the settings have no section [plugins]')
 	const name = isMap(body) && typeof body.name === 'string' ? body.name : null
-	if (host === null) return refusal(409, 'no plug-ins are loaded: the settings have no section [plugins]')
-	if (name === null) return refusal(400, 'name: Expected the name of a plug-in')
-	if (!host.disable(name, off)) return refusal(404, `no plug-in ${name}: it has no section [plugin.${name}]`)
+	if (name === null) return refuse(400, 'name: Expected the name of a plug-in')
+	if (!host.disable(name, disabled))
+		return refuse(404, `no plug-in ${name}: it has no section [plugin.${name}]`)
 	return { status: 200, body: { plugins: host.list() } }
 }
 
-/** Answers one call; nothing here waits but a reload. */
+/** Answers one call, synchronously except for a reload. */
 export const answerAdmin = (daemon: Daemon, path: string, body: unknown, respond: Respond): void => {
 	const host = daemon.plugins
-	if (path === '/admin/plugins') respond({ status: 200, body: { plugins: host?.list() ?? [] } })
-	else if (path === '/admin/disable') respond(named(host, body, true))
-	else if (path === '/admin/enable') respond(named(host, body, false))
-	else if (path === '/admin/reload')
-		void daemon.reload().then(
-			(lines) => respond({ status: 200, body: { lines } }),
-			(e) => respond(refusal(409, (e as Error).message)),
-		)
-	else if (path === '/admin/drain') {
-		daemon.end()
-		respond({ status: 202, body: { phase: daemon.drain.phase } })
-	} else respond(refusal(404, 'no such path'))
+	switch (path) {
+		case '/admin/plugins':
+			return respond({ status: 200, body: { plugins: host?.list() ?? [] } })
+		case '/admin/disable':
+			return respond(setPluginDisabled(host, body, true))
+		case '/admin/enable':
+			return respond(setPluginDisabled(host, body, false))
+		case '/admin/reload':
+			void daemon.reload().then(
+				(lines) => respond({ status: 200, body: { lines } }),
+				(error) => respond(refuse(409, (error as Error).message)),
+			)
+			return
+		case '/admin/drain':
+			daemon.end()
+			return respond({ status: 202, body: { phase: daemon.drain.phase } })
+		default:
+			return respond(refuse(404, 'no such path'))
+	}
 }
--- a/packages/daemon/src/drain.ts
+++ b/packages/daemon/src/drain.ts
@@ -1,41 +1,58 @@
+/** Drains a controller: ends its work so that neither users nor machines notice. */
+
 import type { DaemonSettings } from '@heathroad/config'
 import type { Log } from '@heathroad/logging'
 import type { Service } from '@heathroad/server'
 
-/** `leaving`: the balancer is told. `handing`: no new jobs, parts go to others. `over`: nobody depends on us any more. */
-export type Phase = 'serving' | 'leaving' | 'handing' | 'over'
+/**
+ * `serving`: no drain. `leaving`: the load balancer is notified. `handing`: no new jobs, shards are handed off. `over`:
+ * nothing depends on this controller any more. The names appear in answers and in the log.
+ */
+export type DrainPhase = 'serving' | 'leaving' | 'handing' | 'over'
 
+/** What the next phase depends on. */
 export interface DrainState {
-	phase: Phase
+	phase: DrainPhase
 	/** since the drain began, in ms */
 	sinceMs: number
-	parts: number
+	/** shards that this controller owns */
+	shards: number
+	/** submissions that wait for their answer */
 	submissions: number
-	/** are there other controllers at all? */
-	alone: boolean
+	/** are there other controllers to hand shards to? */
+	hasPeers: boolean
 }
 
-/** Of the time for a drain, the share after which parts go that are not quiet; what comes after is for their hand-over. */
-const AT_ONCE = 0.7
+/** Interval of the drain's steps, in ms. */
+const STEP_INTERVAL_MS = 100
+
+/**
+ * Share of the drain's time after which shards are handed off even if they are busy; the rest of the time is for that
+ * handoff.
+ */
+const FORCED_HANDOFF_SHARE = 0.7
 
 /**
- * What comes next. Each phase waits for what it is for, and not longer: the balancer's time until it sends nobody here,
- * then the parts and the submissions that wait. When the time for all of it is over it ends whatever is left; the
- * grant's end then frees the parts, as a crash would.
+ * The next phase. Each phase lasts until its condition is met: the time that the load balancer needs to stop sending
+ * requests, then the handoff of all shards and the answers to pending submissions. At the end of the drain's time it
+ * ends with whatever is left; the shards are then freed when the controller lease ends, as after a crash.
  */
-export const nextPhase = (s: DrainState, { drainS, balancerS }: DaemonSettings): Phase => {
-	if (s.sinceMs >= drainS * 1000) return 'over'
-	if (s.phase === 'serving') return 'leaving'
-	if (s.phase === 'leaving' && s.sinceMs < balancerS * 1000) return 'leaving'
-	if (s.submissions > 0) return 'handing'
-	return s.parts > 0 && !s.alone ? 'handing' : 'over'
+export const nextPhase = (
+	{ phase, sinceMs, shards, submissions, hasPeers }: DrainState,
+	{ drainS, balancerS }: DaemonSettings,
+): DrainPhase => {
+	if (sinceMs >= drainS * 1000) return 'over'
+	if (phase === 'serving') return 'leaving'
+	if (phase === 'leaving' && sinceMs < balancerS * 1000) return 'leaving'
+	if (submissions > 0) return 'handing'
+	return shards > 0 && hasPeers ? 'handing' : 'over'
 }
 
-/** Ends a controller so that neither users nor machines notice: asked for twice it does no more than once. */
+/** The drain of one controller; it happens at most once. */
 export class Drain {
-	private state: Phase = 'serving'
-	private begunAt = 0
-	private readonly over: Promise<void>
+	private currentPhase: DrainPhase = 'serving'
+	private startedAtMs = 0
+	private readonly finished: Promise<void>
 	private finish: () => void = () => {}
 
 	constructor(
@@ -43,43 +60,54 @@
 		private readonly settings: DaemonSettings,
 		private readonly log: Log,
 	) {
-		this.over = new Promise((done) => {
-			this.finish = done
+		this.finished = new Promise((resolve) => {
+			this.finish = resolve
 		})
 	}
 
-	get phase(): Phase {
-		return this.state
+	/** The current phase. */
+	get phase(): DrainPhase {
+		return this.currentPhase
 	}
 
-	/** Resolves when the process may end. */
+	/** Begins the drain, if it has not begun; resolves when the process may end. */
 	begin(): Promise<void> {
-		if (this.state !== 'serving') return this.over
-		this.begunAt = this.service.now()
+		if (this.currentPhase !== 'serving') return this.finished
+		this.startedAtMs = this.service.now()
 		this.step()
 		const timer = setInterval(() => {
 			this.step()
-			if (this.state === 'over') clearInterval(timer)
-		}, 100)
-		return this.over
+			if (this.currentPhase === 'over') clearInterval(timer)
+		}, STEP_INTERVAL_MS)
+		return this.finished
 	}
 
 	private step(): void {
-		if (this.state === 'over') return
-		const { parts, submissions } = this.service.pendingWork
-		const sinceMs = this.service.now() - this.begunAt
-		const alone = this.service.config.limits.peers.length === 0
-		const next = nextPhase({ phase: this.state, sinceMs, parts, submissions, alone }, this.settings)
-		if (next !== this.state)
+		if (this.currentPhase === 'over') return
+		const { parts: shards, submissions } = this.service.pendingWork
+		const sinceMs = this.service.now() - this.startedAtMs
+		const hasPeers = this.service.config.limits.peers.length > 0
+		const phase = nextPhase(
+			{ phase: this.currentPhase, sinceMs, shards, submissions, hasPeers },
+			this.settings,
+		)
+		if (phase !== this.currentPhase)
 			this.log('info', 'drain phase changed', {
-				phase: next,
+				phase,
 				sinceMs: Math.round(sinceMs),
-				parts,
+				parts: shards,
 				submissions,
 			})
-		this.state = next
-		if (next === 'leaving') this.service.beginDrain()
-		else if (next === 'handing') this.service.handOffShards(sinceMs > this.settings.drainS * 1000 * AT_ONCE)
-		else if (next === 'over') this.finish()
+		this.currentPhase = phase
+		this.enter(phase, sinceMs)
+	}
+
+	/** Applies a phase; also when it has not changed, since a forced handoff begins within its phase. */
+	private enter(phase: DrainPhase, sinceMs: number): void {
+		if (phase === 'leaving') this.service.beginDrain()
+		else if (phase === 'handing') {
+			const atOnce = sinceMs > this.settings.drainS * 1000 * FORCED_HANDOFF_SHARE
+			this.service.handOffShards(atOnce)
+		} else if (phase === 'over') this.finish()
 	}
 }
--- a/packages/metrics/src/index.ts
+++ b/packages/metrics/src/index.ts
@@ -1,85 +1,46 @@
+/** The metrics page for Prometheus, at an address of its own. */
+
 import * as http from 'node:http'
-import type { PluginInfo } from '@heathroad/plugins'
-import { Gauge, Registry } from 'prom-client'
+import type { AddressInfo } from 'node:net'
+import { ControllerGauges, type MetricsSource } from './gauges.js'
 
-/** What is told, counted when somebody asks. */
-export interface Figures {
-	figures(): Record<string, number | string | boolean>
-	plugins(): readonly PluginInfo[]
-}
+export type { MetricsSource } from './gauges.js'
+
+const PATH = '/metrics'
 
-const NAMES: Record<string, [name: string, help: string]> = {
-	parts: ['parts', 'parts that this controller owns'],
-	openJobs: ['open_jobs', 'jobs of the service that are not over, as known here'],
-	ownJobs: ['own_jobs', 'jobs of the parts that this controller owns, held ones left out'],
-	heldJobs: ['held_jobs', 'jobs of those parts that wait for their checks'],
-	machines: ['machines', 'machines of those parts'],
-	endedInMemory: ['ended_jobs_in_memory', 'final states held in memory'],
-	epoch: ['state_epoch', 'epoch of the state up to which records are known; -1: none yet'],
-	healthy: ['healthy', '1: users can be served'],
+/** A scraper needs one connection; a few more allow for others. */
+const MAX_CONNECTIONS = 8
+
+const listenAt = (server: http.Server, address: string): Promise<void> => {
+	const colon = address.lastIndexOf(':')
+	return new Promise((resolve, reject) => {
+		server.once('error', reject)
+		server.listen(Number(address.slice(colon + 1)), address.slice(0, colon), () => resolve())
+	})
 }
-const PLUGIN = ['queued', 'asked', 'answered', 'unsure', 'upgrades', 'rollbacks'] as const
 
-/** A page for Prometheus at an address of its own; nothing is counted between two requests for it. */
+/**
+ * Serves the page at an address, as IP:PORT; nothing is computed between two requests for it. Rejects if the address
+ * cannot be listened at. The server does not keep the process alive.
+ */
 export const serveMetrics = async (
 	listen: string,
-	from: Figures,
+	source: MetricsSource,
 ): Promise<{ close(): void; port: number }> => {
-	const registers = [new Registry()]
-	const [registry] = registers
-	const gauges = new Map(
-		Object.entries(NAMES).map(([key, [name, help]]) => [
-			key,
-			new Gauge({ name: `heathroad_${name}`, help, registers }),
-		]),
-	)
-	const memory = new Gauge({
-		name: 'heathroad_memory_bytes',
-		help: 'resident memory of the process',
-		registers,
-	})
-	const right = new Gauge({
-		name: 'heathroad_right',
-		help: '1 for what this controller may act by: grant, promise, none',
-		labelNames: ['right'],
-		registers,
-	})
-	const plugins = new Map(
-		PLUGIN.map((key) => [
-			key,
-			new Gauge({
-				name: `heathroad_plugin_${key}`,
-				help: key === 'queued' ? 'questions that wait' : `${key} since the start`,
-				labelNames: ['plugin'],
-				registers,
-			}),
-		]),
-	)
+	const gauges = new ControllerGauges(source)
 	const server = http.createServer((request, response) => {
-		if (request.method !== 'GET' || request.url?.split('?', 1)[0] !== '/metrics') {
+		if (request.method !== 'GET' || request.url?.split('?', 1)[0] !== PATH) {
 			response.writeHead(404).end()
 			return
 		}
-		const figures = from.figures()
-		for (const [key, gauge] of gauges) gauge.set(Number(figures[key] ?? 0))
-		for (const one of ['grant', 'promise', 'none']) right.set({ right: one }, Number(figures.right === one))
-		memory.set(process.memoryUsage.rss())
-		for (const [key, gauge] of plugins) {
-			gauge.reset()
-			for (const p of from.plugins()) gauge.set({ plugin: p.name }, p[key])
-		}
-		void registry.metrics().then((text) => {
-			response.writeHead(200, { 'content-type': registry.contentType }).end(text)
+		void gauges.render().then((text) => {
+			response.writeHead(200, { 'content-type': gauges.contentType }).end(text)
 		})
 	})
-	server.maxConnections = 8
+	server.maxConnections = MAX_CONNECTIONS
 	server.unref()
-	const colon = listen.lastIndexOf(':')
-	await new Promise<void>((resolve, reject) => {
-		server.once('error', reject)
-		server.listen(Number(listen.slice(colon + 1)), listen.slice(0, colon), () => resolve())
-	})
-	const { port } = server.address() as { port: number }
+	await listenAt(server, listen)
+	const { port } = server.address() as AddressInfo
 	return {
 		port,
 		close: () => {
--- a/tests/daemon.test.ts
+++ b/tests/daemon.test.ts
@@ -1,3 +1,5 @@
+/** Drains, reloads, admin calls and the metrics page of a controller process. */
+
 import assert from 'node:assert/strict'
 import { mkdtemp, rm, writeFile } from 'node:fs/promises'
 import { tmpdir } from 'node:os'
@@ -9,43 +11,46 @@
 	type Daemon,
 	type Drain,
 	type DrainState,
-	needRestart,
 	nextPhase,
+	sectionsNeedingRestart,
 } from '@heathroad/daemon'
 import { serveMetrics } from '@heathroad/metrics'
 import type { PluginHost } from '@heathroad/plugins'
 import { arrayJob, Simulation } from '@heathroad/testkit'
 import type { HttpReply } from '@heathroad/wire'
 
-test('what a drain does next', () => {
-	const state = (more: Partial<DrainState>): DrainState => ({
+test('the next phase of a drain', () => {
+	const drainState = (overrides: Partial<DrainState>): DrainState => ({
 		phase: 'leaving',
 		sinceMs: 5000,
-		parts: 1,
+		shards: 1,
 		submissions: 0,
-		alone: false,
-		...more,
+		hasPeers: true,
+		...overrides,
 	})
-	const rows: [name: string, at: Partial<DrainState>, next: string][] = [
+	const rows: [name: string, overrides: Partial<DrainState>, expectedPhase: string][] = [
 		['begins', { phase: 'serving', sinceMs: 0 }, 'leaving'],
 		['the balancer has not noticed yet', { sinceMs: 3900 }, 'leaving'],
-		['it has', {}, 'handing'],
-		['a part is still here', { phase: 'handing' }, 'handing'],
-		['a submission waits for its answer', { phase: 'handing', parts: 0, submissions: 1 }, 'handing'],
-		['nothing is left', { phase: 'handing', parts: 0 }, 'over'],
-		['nobody else could have its parts', { alone: true }, 'over'],
+		['the balancer has noticed', {}, 'handing'],
+		['a shard is still owned', { phase: 'handing' }, 'handing'],
+		['a submission waits for its answer', { phase: 'handing', shards: 0, submissions: 1 }, 'handing'],
+		['nothing is left', { phase: 'handing', shards: 0 }, 'over'],
+		['no other controller can take its shards', { hasPeers: false }, 'over'],
 		['its time is over', { phase: 'handing', sinceMs: 30_000, submissions: 3 }, 'over'],
 	]
-	for (const [name, at, next] of rows)
-		assert.equal(nextPhase(state(at), { drainS: 30, balancerS: 4 }), next, name)
+	for (const [name, overrides, expectedPhase] of rows)
+		assert.equal(nextPhase(drainState(overrides), { drainS: 30, balancerS: 4 }), expectedPhase, name)
 })
 
-const submissions = (world: Simulation) => ({
-	refused: [...world.workload.submissions].reduce((n, [status, count]) => n + (status >= 429 ? count : 0), 0),
+const failedSubmissions = (world: Simulation) => ({
+	refused: [...world.workload.submissions].reduce(
+		(sum, [status, count]) => sum + (status >= 429 ? count : 0),
+		0,
+	),
 	unanswered: world.workload.submissions.get(0) ?? 0,
 })
 
-test('all controllers drained one after the other: no submission is refused or lost, no lease runs out', async () => {
+test('all controllers drained one after the other: no submission is refused or lost, no agent lease expires', async () => {
 	const run = async (kind: 'drain' | 'crash') => {
 		const world = new Simulation({
 			seed: 61,
@@ -58,52 +63,52 @@
 			})),
 			faults: [0, 1, 2].map((i) => ({ atS: 30 + i * 40, kind, who: [i], forS: 4 })),
 		})
-		let leases = 0
+		let expiredLeases = 0
 		let drained = 0
 		world.tell = (line) => {
-			if (/ agent lease expired /.test(line)) leases++
+			if (/ agent lease expired /.test(line)) expiredLeases++
 			if (/ drain phase changed .*"over"/.test(line)) drained++
 		}
 		await world.play()
 		assert.deepEqual(world.invariants.violations, [])
 		assert.deepEqual(world.invariants.unfinished(), [])
-		return { ...submissions(world), leases, drained }
+		return { ...failedSubmissions(world), expiredLeases, drained }
 	}
 	const drain = await run('drain')
-	assert.deepEqual(drain, { refused: 0, unanswered: 0, leases: 0, drained: 3 })
+	assert.deepEqual(drain, { refused: 0, unanswered: 0, expiredLeases: 0, drained: 3 })
 	const crash = await run('crash')
 	assert.ok(crash.unanswered > 0, 'what a crash loses, which a drain must not')
 })
 
-test('a drain while the state is down, or while others are gone, ends in its time and loses nothing', async () => {
-	const rows: { name: string; troubles: ConstructorParameters<typeof Simulation>[0]['faults'] }[] = [
+test('a drain while the state service or other controllers are down ends in time and loses nothing', async () => {
+	const rows: { name: string; faults: ConstructorParameters<typeof Simulation>[0]['faults'] }[] = [
 		{
-			name: 'the state goes down as parts are handed over',
-			troubles: [
+			name: 'the state service goes down during the handoff of shards',
+			faults: [
 				{ atS: 30, kind: 'drain', who: [1] },
 				{ atS: 34, kind: 'stateDown', forS: 20 },
 			],
 		},
 		{
 			name: 'all others have crashed',
-			troubles: [
+			faults: [
 				{ atS: 30, kind: 'drain', who: [1] },
 				{ atS: 31, kind: 'crash', who: [0, 2], forS: 45 },
 			],
 		},
 		{
-			name: 'all at once',
-			troubles: [{ atS: 30, kind: 'drain', who: [0, 1, 2] }],
+			name: 'all controllers drain at once',
+			faults: [{ atS: 30, kind: 'drain', who: [0, 1, 2] }],
 		},
 		{
-			name: 'killed half way',
-			troubles: [
+			name: 'killed during the drain',
+			faults: [
 				{ atS: 30, kind: 'drain', who: [1] },
 				{ atS: 35, kind: 'crash', who: [1] },
 			],
 		},
 	]
-	for (const { name, troubles } of rows) {
+	for (const { name, faults } of rows) {
 		const jobs = Array.from({ length: 30 }, (_, i) => ({
 			atS: 2 + i * 2,
 			spec: arrayJob(`job-0070${String(i).padStart(2, '0')}`, { tasks: 6, expectedS: 8 }),
@@ -112,38 +117,38 @@
 			seed: 62,
 			untilS: 300,
 			jobs,
-			faults: troubles,
+			faults,
 			loss: 0.01,
 			lossUntilS: 200,
 		})
-		const over: number[] = []
+		const drainedAtMs: number[] = []
 		world.tell = (line) => {
-			const at = /^(\d+) \S+ drain phase changed .*"phase":"over"/.exec(line)
-			if (at !== null) over.push(Number(at[1]))
+			const match = /^(\d+) \S+ drain phase changed .*"phase":"over"/.exec(line)
+			if (match !== null) drainedAtMs.push(Number(match[1]))
 		}
 		await world.play()
 		assert.deepEqual(world.invariants.violations, [], name)
 		assert.deepEqual(world.invariants.unfinished(), [], name)
 		assert.ok(
-			over.every((ms) => ms <= 30_000 + 30_500),
-			`${name}: ${over}`,
+			drainedAtMs.every((ms) => ms <= 30_000 + 30_500),
+			`${name}: ${drainedAtMs}`,
 		)
-		assert.ok(over.length > 0 || name === 'killed half way', name)
+		assert.ok(drainedAtMs.length > 0 || name === 'killed during the drain', name)
 	}
 })
 
 const withIni = async <A>(text: string, work: (path: string) => A): Promise<A> => {
-	const dir = await mkdtemp(join(tmpdir(), 'ini-'))
+	const directory = await mkdtemp(join(tmpdir(), 'ini-'))
 	try {
-		const path = join(dir, 'a.ini')
+		const path = join(directory, 'a.ini')
 		await writeFile(path, text)
 		return work(path)
 	} finally {
-		await rm(dir, { recursive: true })
+		await rm(directory, { recursive: true })
 	}
 }
 
-test('INI: plug-ins, and what is wrong with them', async () => {
+test('INI: sections of plug-ins, and what is reported of invalid ones', async () => {
 	const full = `[plugins]
 dir = /etc/plugins
 [plugin.payout-check]
@@ -151,8 +156,8 @@
 when_unsure = hold-until-limit
 classes = merchant-payout, payout-2
 grant = team-jobs`
-	const read = await withIni(full, readOperatorSettings)
-	assert.deepEqual(read.plugins, {
+	const settings = await withIni(full, readOperatorSettings)
+	assert.deepEqual(settings.plugins, {
 		dir: '/etc/plugins',
 		lookS: 5,
 		plugins: {
@@ -168,52 +173,52 @@
 			},
 		},
 	})
-	const rows: [name: string, text: string, what: RegExp][] = [
-		['a plug-in without the section of all', '[plugin.a]\n', /\[plugin\.a\]: needs a section \[plugins\]/],
+	const rows: [name: string, text: string, message: RegExp][] = [
+		['a plug-in without the section [plugins]', '[plugin.a]\n', /\[plugin\.a\]: needs a section \[plugins\]/],
 		['no directory', '[plugins]\n', /plugins\.dir: must be a directory/],
-		['a key that nobody knows', '[plugins]\ndir = x\n[plugin.a]\nhold = 3', /plugin\.a\.hold: no such key/],
+		['an unknown key', '[plugins]\ndir = x\n[plugin.a]\nhold = 3', /plugin\.a\.hold: no such key/],
 		['out of range', '[plugins]\ndir = x\n[plugin.a]\ncall_ms = 1', /plugin\.a\.call_ms: must be a number/],
-		['neither of two', '[plugins]\ndir = x\n[plugin.a]\nwhen_unsure = maybe', /when_unsure: must be/],
-		['a grant that nobody knows', '[plugins]\ndir = x\n[plugin.a]\ngrant = root', /grant: root is none of/],
-		['a bad name', '[plugins]\ndir = x\n[plugin.A B]\n', /the name is small letters/],
+		['an unknown choice', '[plugins]\ndir = x\n[plugin.a]\nwhen_unsure = maybe', /when_unsure: must be/],
+		['an unknown permission', '[plugins]\ndir = x\n[plugin.a]\ngrant = root', /grant: root is none of/],
+		['an invalid name', '[plugins]\ndir = x\n[plugin.A B]\n', /the name is small letters/],
 		['metrics without an address', '[metrics]\n', /metrics\.listen: must be an IPv4 address/],
 		['a drain of no time', '[daemon]\ndrain_s = 0', /daemon\.drain_s: must be a number from 1/],
 	]
-	for (const [name, text, what] of rows)
+	for (const [name, text, message] of rows)
 		await withIni(text, (path) =>
 			assert.throws(
 				() => readOperatorSettings(path),
-				(e) => e instanceof ConfigError && what.test(e.message),
+				(error) => error instanceof ConfigError && message.test(error.message),
 				name,
 			),
 		)
 })
 
-test('a reload says what it cannot take over', () => {
-	const before = { ...DEFAULT_OPERATOR_SETTINGS } as Parameters<typeof needRestart>[0]
-	assert.deepEqual(needRestart(before, DEFAULT_OPERATOR_SETTINGS), [])
+test('a reload names the sections that need a restart', () => {
+	const before = { ...DEFAULT_OPERATOR_SETTINGS } as Parameters<typeof sectionsNeedingRestart>[0]
+	assert.deepEqual(sectionsNeedingRestart(before, DEFAULT_OPERATOR_SETTINGS), [])
 	const after = {
 		...DEFAULT_OPERATOR_SETTINGS,
 		tuning: { ...DEFAULT_OPERATOR_SETTINGS.tuning, idleReports: 9 },
 		metrics: { listen: '127.0.0.1:1' },
 	}
-	assert.deepEqual(needRestart(before, after), ['metrics'])
+	assert.deepEqual(sectionsNeedingRestart(before, after), ['metrics'])
 })
 
 test("operators' calls", async () => {
-	const told: string[] = []
+	const calls: string[] = []
 	const host = {
 		list: () => [{ name: 'one' }],
-		disable: (name: string, off: boolean) => told.push(`${name} ${off}`) > 0 && name === 'one',
+		disable: (name: string, disabled: boolean) => calls.push(`${name} ${disabled}`) > 0 && name === 'one',
 	} as unknown as PluginHost
-	const daemon = (plugins: PluginHost | null): Daemon => ({
+	const makeDaemon = (plugins: PluginHost | null): Daemon => ({
 		plugins,
 		drain: { phase: 'leaving' } as Drain,
 		reload: () => (plugins === null ? Promise.reject(new Error('a.ini: no')) : Promise.resolve(['a line'])),
-		end: () => told.push('end'),
+		end: () => calls.push('end'),
 	})
-	const ask = (d: Daemon, path: string, body: unknown = {}) =>
-		new Promise<HttpReply>((done) => answerAdmin(d, path, body, done))
+	const call = (daemon: Daemon, path: string, body: unknown = {}) =>
+		new Promise<HttpReply>((done) => answerAdmin(daemon, path, body, done))
 	const rows: [path: string, body: unknown, plugins: PluginHost | null, status: number][] = [
 		['/admin/plugins', {}, host, 200],
 		['/admin/plugins', {}, null, 200],
@@ -228,14 +233,18 @@
 		['/admin/else', {}, host, 404],
 	]
 	for (const [path, body, plugins, status] of rows)
-		assert.equal((await ask(daemon(plugins), path, body)).status, status, `${path} ${JSON.stringify(body)}`)
-	assert.deepEqual(told, ['one true', 'one false', 'two true', 'end'])
+		assert.equal(
+			(await call(makeDaemon(plugins), path, body)).status,
+			status,
+			`${path} ${JSON.stringify(body)}`,
+		)
+	assert.deepEqual(calls, ['one true', 'one false', 'two true', 'end'])
 })
 
-test('metrics: figures of the moment, one page, nothing else', async () => {
-	let open = 3
+test('metrics: one page with the values of the moment, no other path', async () => {
+	let openJobs = 3
 	const { port, close } = await serveMetrics('127.0.0.1:0', {
-		figures: () => ({ openJobs: open, right: 'grant', healthy: true }),
+		figures: () => ({ openJobs, right: 'grant', healthy: true }),
 		plugins: () => [
 			{
 				name: 'one',
@@ -250,16 +259,16 @@
 			},
 		],
 	})
-	const page = async (path: string) => {
-		const r = await fetch(`http://127.0.0.1:${port}${path}`)
-		return { status: r.status, text: await r.text() }
+	const getPage = async (path: string) => {
+		const response = await fetch(`http://127.0.0.1:${port}${path}`)
+		return { status: response.status, text: await response.text() }
 	}
-	assert.match((await page('/metrics')).text, /^heathroad_open_jobs 3$/m)
-	open = 4
-	const { text } = await page('/metrics')
+	assert.match((await getPage('/metrics')).text, /^heathroad_open_jobs 3$/m)
+	openJobs = 4
+	const { text } = await getPage('/metrics')
 	for (const line of ['heathroad_open_jobs 4', 'heathroad_healthy 1', 'heathroad_right{right="grant"} 1'])
 		assert.ok(text.includes(`\n${line}\n`), line)
 	assert.ok(text.includes('heathroad_plugin_queued{plugin="one"} 2'))
-	assert.equal((await page('/else')).status, 404)
+	assert.equal((await getPage('/else')).status, 404)
 	close()
 })
--- a/tests/statecli.test.ts
+++ b/tests/statecli.test.ts
@@ -1,3 +1,5 @@
+/** The commands below `heathroad state`, run as processes against fake services over sockets. */
+
 import assert from 'node:assert/strict'
 import { spawn } from 'node:child_process'
 import { existsSync, mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs'
@@ -9,34 +11,34 @@
 import { FakeStateStore, plainSettings, RealClock } from '@heathroad/testkit'
 
 const MAIN = 'target/main.cjs'
-const dir = mkdtempSync(join(tmpdir(), 'heathroad-state-'))
+const directory = mkdtempSync(join(tmpdir(), 'heathroad-state-'))
 const clock = new RealClock(1)
 after(() => {
 	clock.stop()
-	rmSync(dir, { recursive: true })
+	rmSync(directory, { recursive: true })
 })
 
-/** The verbs as operators call them; what they printed, and how they ended. */
-const verb = (...args: string[]): Promise<{ code: number | null; out: string; err: string }> =>
+/** Runs a command below `state` as operators do; what it printed, and its exit code. */
+const runState = (...args: string[]): Promise<{ code: number | null; out: string; err: string }> =>
 	new Promise((done) => {
 		const child = spawn(process.execPath, [MAIN, 'state', ...args])
 		let [out, err] = ['', '']
-		child.stdout.on('data', (c) => {
-			out += c
+		child.stdout.on('data', (chunk) => {
+			out += chunk
 		})
-		child.stderr.on('data', (c) => {
-			err += c
+		child.stderr.on('data', (chunk) => {
+			err += chunk
 		})
 		child.on('exit', (code) => done({ code, out, err }))
 	})
 
-const settingsFor = (name: string, state: number, cloud: number): string => {
-	const path = join(dir, `${name}.json`)
+const settingsFor = (name: string, statePort: number, cloudPort: number): string => {
+	const path = join(directory, `${name}.json`)
 	const plain = plainSettings('ctl-0', ['ctl-1', 'ctl-2'])
 	const { deployment } = plain
 	const settings = {
 		...plain,
-		services: { state: `127.0.0.1:${state}`, cloud: `127.0.0.1:${cloud}` },
+		services: { state: `127.0.0.1:${statePort}`, cloud: `127.0.0.1:${cloudPort}` },
 		deployment: {
 			...deployment,
 			cloud: { rps: 300, list_lag_s: 0.1 },
@@ -59,68 +61,70 @@
 		asked: 0,
 		hosts: { 'i-1': null, 'i-2': null },
 	})
-	const faces = [await serveState(full, null), await serveState(empty, null)]
+	const stateServers = [await serveState(full, null), await serveState(empty, null)]
 	const listed = ['i-1', 'i-7'].map((uid) => ({ uid, status: 'running', heldS: 900 }))
 	const cloud = await listenHere((_, reply) =>
 		reply({ status: 200, body: { hosts: listed, truncated: false } }),
 	)
 	t.after(() => {
-		for (const f of [...faces, cloud]) f.close()
+		for (const server of [...stateServers, cloud]) server.close()
 	})
-	const [a, b] = faces.map((f, i) => settingsFor(`s${i}`, f.port, cloud.port))
-	const file = join(dir, 'saved')
+	const [fullConfig, emptyConfig] = stateServers.map((server, i) =>
+		settingsFor(`s${i}`, server.port, cloud.port),
+	)
+	const snapshot = join(directory, 'saved')
 
-	const fits = await verb('check', '--config', a)
-	assert.equal(fits.code, 0, fits.out + fits.err)
-	const withCloud = await verb('check', '--cloud', '--config', a)
+	const consistent = await runState('check', '--config', fullConfig)
+	assert.equal(consistent.code, 0, consistent.out + consistent.err)
+	const withCloud = await runState('check', '--cloud', '--config', fullConfig)
 	assert.equal(withCloud.code, 1)
 	assert.deepEqual(withCloud.out.trim().split('\n'), [
 		'i-7: is charged since 900 s, and no record knows it',
 		`${KEY_PREFIX}fleet/r0: holds machine i-2, which the cloud does not list`,
 	])
 
-	const saved = await verb('export', file, '--config', a)
+	const saved = await runState('export', snapshot, '--config', fullConfig)
 	assert.equal(saved.code, 0, saved.err)
 	assert.match(saved.out, /keys as of epoch \d+/)
-	assert.ok(!existsSync(`${file}.partial`))
-	const restored = await verb('import', file, '--config', b)
+	assert.ok(!existsSync(`${snapshot}.partial`))
+	const restored = await runState('import', snapshot, '--config', emptyConfig)
 	assert.equal(restored.code, 0, restored.err)
-	const again = await verb('import', file, '--config', b)
-	assert.equal(again.code, 2)
-	assert.match(again.err, /is not empty \(.*\): nothing was written/)
-	const fitsToo = await verb('check', '--config', b)
-	assert.equal(fitsToo.code, 0, fitsToo.out)
-	const back = join(dir, 'back')
-	await verb('export', back, '--config', b)
-	const same = await verb('diff', back, back)
+	const importedTwice = await runState('import', snapshot, '--config', emptyConfig)
+	assert.equal(importedTwice.code, 2)
+	assert.match(importedTwice.err, /is not empty \(.*\): nothing was written/)
+	const consistentToo = await runState('check', '--config', emptyConfig)
+	assert.equal(consistentToo.code, 0, consistentToo.out)
+	const exportedAgain = join(directory, 'back')
+	await runState('export', exportedAgain, '--config', emptyConfig)
+	const same = await runState('diff', exportedAgain, exportedAgain)
 	assert.deepEqual([same.code, same.out], [0, ''])
 	// Only the revisions in the archive's records differ.
-	const differs = await verb('diff', file, back)
+	const differs = await runState('diff', snapshot, exportedAgain)
 	assert.equal(differs.code, 1)
 	assert.ok(
 		differs.out
 			.trim()
 			.split('\n')
-			.every((l) => /^~ heathroad-past\//.test(l)),
+			.every((line) => /^~ heathroad-past\//.test(line)),
 		differs.out,
 	)
 
-	const text = readFileSync(file)
-	text[Math.floor(text.length / 2)] ^= 1
-	writeFileSync(file, text)
-	const damaged = await verb('diff', file, back)
+	const bytes = readFileSync(snapshot)
+	bytes[Math.floor(bytes.length / 2)] ^= 1
+	writeFileSync(snapshot, bytes)
+	const damaged = await runState('diff', snapshot, exportedAgain)
 	assert.equal(damaged.code, 2)
 	assert.match(damaged.err, /checksum does not fit|cannot be read/)
 
 	full.put(`${KEY_PREFIX}over/0`, 7)
-	const found = await verb('check', '--config', a)
+	const found = await runState('check', '--config', fullConfig)
 	assert.equal(found.code, 1)
 	assert.equal(found.out, `${KEY_PREFIX}over/0: does not parse\n`)
 	full.down = true
-	const deaf = verb('export', join(dir, 'never'), '--config', a)
-	// It asks again for a while; the file never appears under its name.
-	const first = await Promise.race([deaf, new Promise((done) => setTimeout(done, 1500))])
-	assert.equal(first, undefined)
+	const delayed = runState('export', join(directory, 'never'), '--config', fullConfig)
+	// It repeats its request for a while, and writes nothing under the file's name meanwhile.
+	const earlyResult = await Promise.race([delayed, new Promise((done) => setTimeout(done, 1500))])
+	assert.equal(earlyResult, undefined)
 	full.recover()
-	assert.equal((await deaf).code, 0)
+	assert.equal((await delayed).code, 0)
 })
