--- a/packages/lab/src/run.ts
+++ b/packages/lab/src/run.ts
@@ -114,7 +114,7 @@
 					new FakeWorker(
 						{
 							clock,
-							rules,
+							invariants: rules,
 							reportMs: TIMES.reportS * 1000,
 							leaseMs: TIMES.leaseS * 1000,
 							controllers: controllers.map((_, i) => `ctl-${i}`),
@@ -169,14 +169,14 @@
 	let accepted = 0
 	const user = async (spec: JobSpec) => {
 		specs.set(spec.uid, spec)
-		rules.submitted(spec)
+		rules.jobSubmitted(spec)
 		const tell = (a: { status: number; body: unknown } | null, known: string | null) => {
 			const status = isMap(a?.body) ? ((a.body.status as string) ?? null) : null
-			if (a !== null) rules.told(spec.uid, a.status, status, known)
+			if (a !== null) rules.observeStatus(spec.uid, a.status, status, known)
 		}
 		for (;;) {
 			if (nowS() > e.forS) return
-			const known = rules.state(spec.uid)
+			const known = rules.observedState(spec.uid)
 			const a = await call('submit', any(), 'POST', '/v2/runs', encodeSubmission(spec), 5000)
 			tell(a, known)
 			if (a?.status === 200 || a?.status === 201) break
@@ -187,7 +187,7 @@
 		for (;;) {
 			await wait(plugins === null ? 2000 : 500)
 			if (nowS() > e.forS) return
-			const known = rules.state(spec.uid)
+			const known = rules.observedState(spec.uid)
 			if (known === 'done') {
 				classes[spec.jobClass] ??= histogram({
 					highestTrackableValue: 600_000,
@@ -260,7 +260,7 @@
 		})
 		second = { answered: zero(), failed: zero() }
 		before = seen
-		rules.check()
+		rules.checkCancelledTasks()
 	}
 	for (const c of controllers) c.kill()
 	for (const w of byHost.values()) w.dead = true
--- a/packages/testkit/src/demo.ts
+++ b/packages/testkit/src/demo.ts
@@ -1,7 +1,7 @@
 import { defaultGrpcSettings } from '@heathroad/config'
 import { startHttpServer } from '@heathroad/server'
 import { RealClock } from './clock.js'
-import { Simulation } from './world.js'
+import { Simulation } from './simulation.js'
 
 /** Three controllers among stand-ins, in real time, for trying out the client verbs, over HTTP and gRPC. */
 const simulation = new Simulation({ seed: 1, untilS: 0, jobs: [], faults: [] }, new RealClock())
--- a/packages/testkit/src/gap.ts
+++ b/packages/testkit/src/double-outage.ts
@@ -1,5 +1,5 @@
-import { draws } from './chances.js'
-import { arrayJob, type Fault, type SimulatedDay } from './world.js'
+import { draws } from './random-faults.js'
+import { arrayJob, type Fault, type SimulatedDay } from './simulated-day.js'
 
 /**
  * The state refuses leaders alone, other controllers confirm cancellations, then the state is down for all while
--- a/packages/testkit/src/month.ts
+++ b/packages/testkit/src/history-growth.ts
@@ -1,4 +1,5 @@
-import { arrayJob, type Fault, Simulation } from './world.js'
+import { arrayJob, type Fault } from './simulated-day.js'
+import { Simulation } from './simulation.js'
 
 /** What a history has cost at one moment of it. */
 export interface MonthSample {
--- a/packages/testkit/src/ports.ts
+++ b/packages/testkit/src/idle-ports.ts
@@ -1,5 +1,5 @@
 import { NO_CHECKS, OfferAvailability, type ShardPorts } from '@heathroad/controller'
-import { BOX_MACHINE_TYPE } from './world.js'
+import { BOX_MACHINE_TYPE } from './simulated-day.js'
 
 /** What one part alone needs where nothing happens: no machine is rented, no write answered. `more`: what a test is about. */
 export const idlePorts = (more: Partial<ShardPorts>): ShardPorts => ({
--- a/packages/testkit/src/plugindays.ts
+++ b/packages/testkit/src/plugin-days.ts
@@ -1,8 +1,9 @@
 import type { PluginSettings } from '@heathroad/config'
 import type { PluginHost } from '@heathroad/plugins'
-import { type FakeCall, type FakeDirectory, type FakeVersion, fakePlugins } from './plugins.js'
+import { type FakeCall, type FakeDirectory, type FakeVersion, fakePlugins } from './fake-plugins.js'
+import type { SimulatedDay } from './simulated-day.js'
+import { Simulation } from './simulation.js'
 import type { TracedMessage } from './trace.js'
-import { type SimulatedDay, Simulation } from './world.js'
 
 /** What came of a day with plug-ins. */
 export interface PluginDayResult {
@@ -114,8 +115,8 @@
 	const grouped = Object.values(day.directory).some((v) => v?.ask === 'class')
 	const { mayWait } = simulation.invariants
 	simulation.invariants.mayWait = (spec) => spec.jobClass === CHECKED || mayWait(spec)
-	const placed = simulation.invariants.placed.bind(simulation.invariants)
-	simulation.invariants.placed = (task, machine, type, zone, spot) => {
+	const placed = simulation.invariants.taskPlaced.bind(simulation.invariants)
+	simulation.invariants.taskPlaced = (task, machine, type, zone, spot) => {
 		const uid = task.split('/')[0]
 		const job = submitted.get(uid)
 		const first = !out.firstStart.has(uid)
--- a/packages/testkit/src/hunt.ts
+++ b/packages/testkit/src/random-days.ts
@@ -1,9 +1,10 @@
-import { draws } from './chances.js'
-import { randomDoubleOutageDay } from './gap.js'
-import { CHECKED, type PluginDay, playPluginDay } from './plugindays.js'
-import { type FakeVersion, PLUGIN } from './plugins.js'
+import { randomDoubleOutageDay } from './double-outage.js'
+import { type FakeVersion, PLUGIN } from './fake-plugins.js'
+import { CHECKED, type PluginDay, playPluginDay } from './plugin-days.js'
+import { draws } from './random-faults.js'
+import { arrayJob, type Fault, type SimulatedDay } from './simulated-day.js'
+import { Simulation } from './simulation.js'
 import type { TracedMessage } from './trace.js'
-import { arrayJob, type Fault, type SimulatedDay, Simulation } from './world.js'
 
 const KINDS: readonly Fault['kind'][] = [
 	'crash',
--- a/packages/testkit/src/prove.ts
+++ b/packages/testkit/src/stream-checks.ts
@@ -2,8 +2,9 @@
 import { defaultGrpcSettings } from '@heathroad/config'
 import { GrpcFace } from '@heathroad/grpc'
 import { RealClock } from './clock.js'
-import { FlakyProxy } from './proxy.js'
-import { arrayJob, Simulation } from './world.js'
+import { FlakyProxy } from './flaky-proxy.js'
+import { arrayJob } from './simulated-day.js'
+import { Simulation } from './simulation.js'
 
 export interface StreamCheckOptions {
 	seed: number
--- a/packages/testkit/src/streamdays.ts
+++ b/packages/testkit/src/stream-days.ts
@@ -6,8 +6,8 @@
 import { eventMessage, ServiceRecords } from '@heathroad/grpc'
 import { jobsPackage, jobsService } from '@heathroad/proto'
 import type { Service } from '@heathroad/server'
-import { type DayObservers, randomDay } from './hunt.js'
-import { Simulation } from './world.js'
+import { type DayObservers, randomDay } from './random-days.js'
+import { Simulation } from './simulation.js'
 
 /** How often a hub looks at what changed. */
 const LOOK_MS = 500
--- a/packages/testkit/src/measure.ts
+++ b/packages/testkit/src/stream-measurement.ts
@@ -6,7 +6,8 @@
 import { startHttpServer } from '@heathroad/server'
 import { build, type Histogram } from 'hdr-histogram-js'
 import { RealClock } from './clock.js'
-import { arrayJob, Simulation } from './world.js'
+import { arrayJob } from './simulated-day.js'
+import { Simulation } from './simulation.js'
 
 export interface StreamMeasurement {
 	streams: number
--- a/packages/testkit/src/trace.ts
+++ b/packages/testkit/src/trace.ts
@@ -4,8 +4,8 @@
  */
 import { createHash } from 'node:crypto'
 import { decode, encode } from '@heathroad/wire'
-import { type HuntKind, playHuntDay } from './hunt.js'
-import { playStreamDay } from './streamdays.js'
+import { type HuntKind, playHuntDay } from './random-days.js'
+import { playStreamDay } from './stream-days.js'
 
 /** One message that crosses the boundary of a controller. */
 export interface TracedMessage {
--- a/scripts/hunt-days.mjs
+++ b/scripts/hunt-days.mjs
@@ -24,7 +24,7 @@
 			count: { type: 'string', multiple: true, default: ['job migrating'] },
 		},
 	})
-	await build({ ...shared, entryPoints: { hunt: 'packages/testkit/src/hunt.ts' }, outdir: 'target' })
+	await build({ ...shared, entryPoints: { hunt: 'packages/testkit/src/random-days.ts' }, outdir: 'target' })
 	const sum = { days: 0, started: 0, wrong: 0, said: {} }
 	let next = Number(values.from)
 	const say = (seed, what) => {
--- a/scripts/measure-history.mjs
+++ b/scripts/measure-history.mjs
@@ -11,7 +11,7 @@
 		'per-s': { type: 'string', default: '2' },
 	},
 })
-await build({ ...shared, entryPoints: { month: 'packages/testkit/src/month.ts' }, outdir: 'target' })
+await build({ ...shared, entryPoints: { month: 'packages/testkit/src/history-growth.ts' }, outdir: 'target' })
 const { playMonth } = await import(new URL('../target/month.cjs', import.meta.url).href)
 const month = await playMonth(
 	Number(values.jobs),
--- a/scripts/measure-streams.mjs
+++ b/scripts/measure-streams.mjs
@@ -6,7 +6,7 @@
 const { values } = parseArgs({ options: { jobs: { type: 'string', default: '200' } } })
 await build({
 	...shared,
-	entryPoints: { measure: 'packages/testkit/src/measure.ts' },
+	entryPoints: { measure: 'packages/testkit/src/stream-measurement.ts' },
 	outdir: 'target',
 })
 const { measureStreams } = await import(new URL('../target/measure.cjs', import.meta.url).href)
--- a/scripts/prove-streams.mjs
+++ b/scripts/prove-streams.mjs
@@ -13,7 +13,7 @@
 })
 await build({
 	...shared,
-	entryPoints: { prove: 'packages/testkit/src/prove.ts' },
+	entryPoints: { prove: 'packages/testkit/src/stream-checks.ts' },
 	outdir: 'target',
 })
 const { proveStreams } = await import(new URL('../target/prove.cjs', import.meta.url).href)
--- a/tests/meetings.test.ts
+++ b/tests/compound-faults.test.ts
@@ -422,7 +422,7 @@
 	const records: number[] = []
 	let longest = 0
 	const asked = new Map(ones.map((j) => [j.spec.uid, j.atS * 1000]))
-	world.invariants.news = (uid, state) => {
+	world.invariants.onNewState = (uid, state) => {
 		if (state === 'pending') longest = Math.max(longest, world.clock.nowMs - asked.get(uid)!)
 	}
 	for (let s = 45; s < 15 + forS; s += 5)
--- a/tests/gap.test.ts
+++ b/tests/double-outage.test.ts
@@ -88,11 +88,11 @@
 				durable.set(uid, world.clock.nowMs)
 		}
 		const waited: number[] = []
-		const { told } = world.invariants
-		world.invariants.told = (uid, status, state, known) => {
-			if (status === 200 && state === 'aborted' && world.invariants.state(uid) !== 'aborted')
+		const { observeStatus } = world.invariants
+		world.invariants.observeStatus = (uid, status, state, known) => {
+			if (status === 200 && state === 'aborted' && world.invariants.observedState(uid) !== 'aborted')
 				waited.push(world.clock.nowMs - durable.get(uid)!)
-			told.call(world.invariants, uid, status, state, known)
+			observeStatus.call(world.invariants, uid, status, state, known)
 		}
 		await world.play()
 		assert.deepEqual(world.invariants.violations, [])
--- a/tests/rules.test.ts
+++ b/tests/invariant-checker.test.ts
@@ -1,54 +1,54 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { arrayJob, InvariantChecker, type Room } from '@heathroad/testkit'
+import { arrayJob, InvariantChecker, type MachineCapacity } from '@heathroad/testkit'
 
 /** A checker with a clock of its own, one accepted job of two tasks, and troubles that end after 100 s. */
 const watch = () => {
 	let now = 0
-	const rules = new InvariantChecker(() => now, 30_000, new Map([['core', 4]]))
-	rules.calmFromMs = 100_000
-	rules.submitted(arrayJob('job-000001', { tasks: 2, zone: 'a', cpus: 2 }))
-	rules.told('job-000001', 201, 'pending', null)
-	return { rules, at: (s: number) => (now = s * 1000) }
+	const invariants = new InvariantChecker(() => now, 30_000, new Map([['core', 4]]))
+	invariants.faultsEndMs = 100_000
+	invariants.jobSubmitted(arrayJob('job-000001', { tasks: 2, zone: 'a', cpus: 2 }))
+	invariants.observeStatus('job-000001', 201, 'pending', null)
+	return { invariants, at: (s: number) => (now = s * 1000) }
 }
 const UID = 'job-000001'
 type Watch = ReturnType<typeof watch>
-const place = ({ rules }: Watch, task = `${UID}/0`, machine = 'i-1', zone = 'a') =>
-	rules.placed(task, machine, 'box', zone, false)
+const place = ({ invariants }: Watch, task = `${UID}/0`, machine = 'i-1', zone = 'a') =>
+	invariants.taskPlaced(task, machine, 'box', zone, false)
 const cancel = (w: Watch) => {
-	w.rules.cancelAsked(UID)
-	w.rules.told(UID, 200, 'aborted', 'pending')
+	w.invariants.cancelRequested(UID)
+	w.invariants.observeStatus(UID, 200, 'aborted', 'pending')
 }
 const silent = (w: Watch, fromS: number, toS: number) => {
 	for (let s = fromS; s <= toS; s += 3) {
 		w.at(s)
-		w.rules.asked(UID, false)
+		w.invariants.observeQuery(UID, false)
 	}
 }
 
-const finish = ({ rules }: Watch, n: number) => rules.completed(`${UID}/${n}`)
-const count = ({ rules }: Watch, now: number, before: number) =>
-	rules.told(UID, 200, 'running', 'running', { now, before })
+const finish = ({ invariants }: Watch, n: number) => invariants.taskCompleted(`${UID}/${n}`)
+const count = ({ invariants }: Watch, now: number, before: number) =>
+	invariants.observeStatus(UID, 200, 'running', 'running', { now, before })
 const ODD = 'job-800001'
-const odd = ({ rules }: Watch, status: number, right: number) => {
-	rules.mustRefuse(ODD)
-	rules.submitted(arrayJob(ODD))
-	rules.refusedAs(ODD, status, right)
+const odd = ({ invariants }: Watch, status: number, right: number) => {
+	invariants.expectRejection(ODD)
+	invariants.jobSubmitted(arrayJob(ODD))
+	invariants.checkRejection(ODD, status, right)
 }
-const wait = (w: Watch, fromS: number, toS: number, more: Partial<Room> = {}) => {
+const wait = (w: Watch, fromS: number, toS: number, more: Partial<MachineCapacity> = {}) => {
 	for (let s = fromS; s <= toS; s++) {
 		w.at(s)
-		w.rules.look([{ id: 'i-1', type: 'box', zone: 'a', spot: true, cpus: 8, ...more }], 3)
+		w.invariants.checkWaitingJobs([{ id: 'i-1', type: 'box', zone: 'a', spot: true, cpus: 8, ...more }], 3)
 	}
 }
 /** Another job of the team takes what its limit leaves. */
 const others = (w: Watch) => {
-	w.rules.submitted(arrayJob('job-000002', { tasks: 1, cpus: 3 }))
-	w.rules.told('job-000002', 201, 'pending', null)
+	w.invariants.jobSubmitted(arrayJob('job-000002', { tasks: 1, cpus: 3 }))
+	w.invariants.observeStatus('job-000002', 201, 'pending', null)
 	return [place(w, 'job-000002/0', 'i-2')]
 }
 
-test("the rules' checker finds every fault that is planted, and none where there is none", () => {
+test("the invariants' checker finds every fault that is planted, and none where there is none", () => {
 	const cases: [name: string, play: (w: Watch) => void, rule: string | null][] = [
 		['a task on one machine', (w) => place(w), null],
 		['on two', (w) => [place(w), place(w, `${UID}/0`, 'i-2')], 'ran_twice'],
@@ -56,31 +56,60 @@
 		['over the limit', (w) => [0, 1, 2].map((n) => place(w, `${UID}/${n}`)), 'quota'],
 		[
 			'gone in time',
-			(w) => [place(w), cancel(w), w.rules.gone(`${UID}/0`, 'i-1'), w.at(31), w.rules.check()],
+			(w) => [
+				place(w),
+				cancel(w),
+				w.invariants.taskGone(`${UID}/0`, 'i-1'),
+				w.at(31),
+				w.invariants.checkCancelledTasks(),
+			],
 			null,
 		],
-		['there too long', (w) => [place(w), cancel(w), w.at(31), w.rules.check()], 'ran_cancelled'],
+		[
+			'there too long',
+			(w) => [place(w), cancel(w), w.at(31), w.invariants.checkCancelledTasks()],
+			'ran_cancelled',
+		],
 		['started too late', (w) => [cancel(w), w.at(31), place(w)], 'ran_cancelled'],
-		['404', (w) => w.rules.told(UID, 404, null, 'pending'), 'forgotten'],
-		['refused later', (w) => w.rules.refused(UID), 'forgotten'],
+		['404', (w) => w.invariants.observeStatus(UID, 404, null, 'pending'), 'forgotten'],
+		['refused later', (w) => w.invariants.observeRejection(UID), 'forgotten'],
 		['no answer while there are troubles', (w) => silent(w, 1, 99), null],
 		['no answer for a minute afterwards', (w) => silent(w, 90, 172), null],
 		[
 			'an answer in between',
-			(w) => [silent(w, 101, 170), w.rules.asked(UID, true), silent(w, 173, 240)],
+			(w) => [silent(w, 101, 170), w.invariants.observeQuery(UID, true), silent(w, 173, 240)],
 			null,
 		],
 		['no answer for 75 s afterwards', (w) => silent(w, 90, 180), 'forgotten'],
-		['nobody submitted it', (w) => w.rules.told('job-000009', 200, 'pending', null), 'invented'],
+		[
+			'nobody submitted it',
+			(w) => w.invariants.observeStatus('job-000009', 200, 'pending', null),
+			'invented',
+		],
 		[
 			'done too early',
-			(w) => [w.rules.completed(`${UID}/0`), w.rules.told(UID, 200, 'done', 'pending')],
+			(w) => [
+				w.invariants.taskCompleted(`${UID}/0`),
+				w.invariants.observeStatus(UID, 200, 'done', 'pending'),
+			],
 			'not_done',
 		],
-		['cancelled, nobody asked', (w) => w.rules.told(UID, 200, 'aborted', 'pending'), 'went_back'],
-		['an older answer', (w) => [cancel(w), w.rules.told(UID, 200, 'running', 'aborted')], 'went_back'],
-		['known already', (w) => w.rules.told(UID, 200, 'pending', 'pending'), null],
-		['accepted as if it were new', (w) => w.rules.told(UID, 201, 'pending', 'pending'), 'accepted_again'],
+		[
+			'cancelled, nobody asked',
+			(w) => w.invariants.observeStatus(UID, 200, 'aborted', 'pending'),
+			'went_back',
+		],
+		[
+			'an older answer',
+			(w) => [cancel(w), w.invariants.observeStatus(UID, 200, 'running', 'aborted')],
+			'went_back',
+		],
+		['known already', (w) => w.invariants.observeStatus(UID, 200, 'pending', 'pending'), null],
+		[
+			'accepted as if it were new',
+			(w) => w.invariants.observeStatus(UID, 201, 'pending', 'pending'),
+			'accepted_again',
+		],
 		['done tasks counted up', (w) => [finish(w, 0), count(w, 1, 0), finish(w, 1), count(w, 2, 1)], null],
 		['done tasks counted down', (w) => [finish(w, 0), count(w, 1, 0), count(w, 0, 1)], 'went_back'],
 		['more than were done', (w) => [finish(w, 0), count(w, 2, 0)], 'not_done'],
@@ -91,7 +120,7 @@
 		['accepted although it can never run', (w) => odd(w, 201, 422), 'accepted_invalid'],
 		[
 			'known although it must not be',
-			(w) => [odd(w, 503, 422), w.rules.told(ODD, 200, 'pending', null)],
+			(w) => [odd(w, 503, 422), w.invariants.observeStatus(ODD, 200, 'pending', null)],
 			'accepted_invalid',
 		],
 		['waiting while there are troubles', (w) => wait(w, 1, 99), null],
@@ -108,8 +137,8 @@
 		['no room', (w) => wait(w, 101, 200, { cpus: 1 }), null],
 		['room in another zone', (w) => wait(w, 101, 200, { zone: 'b' }), null],
 		['the team at its limit', (w) => [...others(w), wait(w, 101, 200)], null],
-		['its user called it off', (w) => [w.rules.cancelAsked(UID), wait(w, 101, 200)], null],
-		['it may wait', (w) => [Object.assign(w.rules, { mayWait: () => true }), wait(w, 101, 200)], null],
+		['its user called it off', (w) => [w.invariants.cancelRequested(UID), wait(w, 101, 200)], null],
+		['it may wait', (w) => [Object.assign(w.invariants, { mayWait: () => true }), wait(w, 101, 200)], null],
 		['waiting beside room', (w) => wait(w, 101, 195), 'left_waiting'],
 		['its last task beside room', (w) => [place(w), wait(w, 101, 195)], 'left_waiting'],
 	]
@@ -117,7 +146,7 @@
 		const w = watch()
 		play(w)
 		assert.deepEqual(
-			[...new Set(w.rules.violations.map((b) => b.split(' ')[0]))],
+			[...new Set(w.invariants.violations.map((b) => b.split(' ')[0]))],
 			rule === null ? [] : [rule],
 			name,
 		)
@@ -134,20 +163,20 @@
 	]
 	for (const [name, served, largestBeginsS, failed] of cases) {
 		let now = 0
-		const rules = new InvariantChecker(() => now, 30_000, new Map())
+		const invariants = new InvariantChecker(() => now, 30_000, new Map())
 		for (let i = 0; i < 20; i++) {
 			const uid = `job-${String(i).padStart(6, '0')}`
 			now = 0
-			rules.submitted(arrayJob(uid, { tasks: i >= 18 ? 9 : 1 }))
-			rules.told(uid, 201, 'pending', null)
+			invariants.jobSubmitted(arrayJob(uid, { tasks: i >= 18 ? 9 : 1 }))
+			invariants.observeStatus(uid, 201, 'pending', null)
 			now = (i >= 18 ? largestBeginsS : 5) * 1000
 			if (!Number.isFinite(now)) continue
-			rules.placed(`${uid}/0`, 'i-1', 'box', 'a', false)
-			for (let n = 0; n < 9; n++) rules.completed(`${uid}/${n}`)
+			invariants.taskPlaced(`${uid}/0`, 'i-1', 'box', 'a', false)
+			for (let n = 0; n < 9; n++) invariants.taskCompleted(`${uid}/${n}`)
 			// The largest are served whenever that is not what is tried.
-			if (i >= 18 || i < served - 2) rules.told(uid, 200, 'done', 'pending')
+			if (i >= 18 || i < served - 2) invariants.observeStatus(uid, 200, 'done', 'pending')
 		}
-		const found = rules.failures()
+		const found = invariants.failures()
 		assert.equal(found.length, failed.length, `${name}: ${found}`)
 		for (const what of failed)
 			assert.ok(
@@ -160,13 +189,13 @@
 test('starts after a confirmed cancellation are counted, and what users are told first is news', () => {
 	const w = watch()
 	const news: string[] = []
-	w.rules.news = (_, state) => news.push(state)
+	w.invariants.onNewState = (_, state) => news.push(state)
 	place(w)
 	cancel(w)
 	w.at(5)
 	place(w, `${UID}/1`)
-	w.rules.told(UID, 200, 'aborted', 'aborted')
-	assert.equal(w.rules.startedCancelled, 1)
-	assert.deepEqual(w.rules.violations, [])
+	w.invariants.observeStatus(UID, 200, 'aborted', 'aborted')
+	assert.equal(w.invariants.startedCancelled, 1)
+	assert.deepEqual(w.invariants.violations, [])
 	assert.deepEqual(news, ['aborted'])
 })
--- a/tests/streamdays.test.ts
+++ b/tests/stream-days.test.ts
@@ -43,7 +43,7 @@
 			const finals = new Map<string, string>()
 			const done = new Map<string, number>()
 			const hear = (e: JobEvent) => {
-				const known = world.invariants.state(e.uid)
+				const known = world.invariants.observedState(e.uid)
 				const status = e.state === 'cancelled' ? 'aborted' : e.state
 				if (finals.has(e.uid)) wrong.push(`${n}: ${e.uid} told ${e.state} after ${finals.get(e.uid)}`)
 				if (e.done < (done.get(e.uid) ?? 0)) wrong.push(`${n}: ${e.uid} went back to ${e.done}`)
@@ -51,7 +51,7 @@
 				if (status === 'done' || status === 'aborted') {
 					finals.set(e.uid, e.state)
 					// A state that is not final may be told a moment after another user heard the end; a final one never differs.
-					world.invariants.told(e.uid, 200, status, known)
+					world.invariants.observeStatus(e.uid, 200, status, known)
 				}
 			}
 			new StreamReader(world, streams, CONTROLLERS, selection, {
