--- /dev/null
+++ b/packages/events/src/change-log.ts
@@ -0,0 +1,58 @@
+/** Log of changed jobs of one team, compacted to the latest change of each job. */
+
+/** One change of a job. */
+export interface ChangeEntry {
+	/** position in the hub's order of changes */
+	sequence: number
+	uid: string
+}
+
+/** Entries that may be superseded before the log is compacted, beside twice the number of jobs in it. */
+const COMPACTION_SLACK = 64
+
+/**
+ * Holds each changed job once, as of its latest change, in the order of these changes. Every reader keeps a sequence
+ * number of its own, so the cost of recording a change depends neither on the number of readers nor on their lag.
+ */
+export class ChangeLog {
+	private readonly latestSequence = new Map<string, number>()
+	private entries: ChangeEntry[] = []
+
+	/** Appends a change; `sequence` must be greater than that of every earlier one. */
+	record(uid: string, sequence: number): void {
+		this.latestSequence.set(uid, sequence)
+		this.entries.push({ sequence, uid })
+		if (this.entries.length > COMPACTION_SLACK + this.latestSequence.size * 2)
+			this.entries = this.entries.filter((entry) => this.isLatest(entry))
+	}
+
+	/** Removes a job, whose further changes are not delivered from this log. */
+	forget(uid: string): void {
+		this.latestSequence.delete(uid)
+	}
+
+	/** The next change after a sequence number that is still the latest one of its job; null: there is none. */
+	nextAfter(sequence: number): ChangeEntry | null {
+		for (let i = this.firstIndexAfter(sequence); i < this.entries.length; i++) {
+			const entry = this.entries[i]
+			if (this.isLatest(entry)) return entry
+		}
+		return null
+	}
+
+	private isLatest(entry: ChangeEntry): boolean {
+		return this.latestSequence.get(entry.uid) === entry.sequence
+	}
+
+	/** Binary search, as the entries are ordered by sequence number. */
+	private firstIndexAfter(sequence: number): number {
+		let low = 0
+		let high = this.entries.length
+		while (low < high) {
+			const middle = (low + high) >> 1
+			if (this.entries[middle].sequence > sequence) high = middle
+			else low = middle + 1
+		}
+		return low
+	}
+}
--- a/packages/events/src/cursor.ts
+++ b/packages/events/src/cursor.ts
@@ -1,22 +1,27 @@
+/** Resume tokens (cursors) of event streams. */
 import { createHash, createHmac, timingSafeEqual } from 'node:crypto'
 import type { LogPosition } from '@heathroad/cluster'
 
-/** What a stream tells: some jobs, or all of a team. */
+/** What a stream delivers: the named jobs, or all jobs of a team. */
 export type Selection = { uids: readonly string[] } | { team: string }
 
 /**
- * Where a stream stands. `present`: the present state is being told, in the order of ids, and everything up to
- * `uid` has been; final states later than `revision` are told afterwards. `live`: every final state up to this place
- * has been told.
+ * Position of a stream. `present`: the stream is delivering the initial snapshot in the order of ids, and has delivered
+ * it up to and including `uid`; terminal states later than `revision` follow after it. `live`: every terminal state up
+ * to this position has been delivered. The first letter of the phase is part of the cursor's text.
  */
 export interface Place extends LogPosition {
 	phase: 'present' | 'live'
 }
 
-const FORM = /^1\.([pl])\.([0-9a-z]{1,11})\.([^.\s]{0,40})\.([\w-]{16})$/
+/** Version, phase, revision in base 36, id, and signature. */
+const CURSOR_FORMAT = /^1\.([pl])\.([0-9a-z]{1,11})\.([^.\s]{0,40})\.([\w-]{16})$/
+const REVISION_RADIX = 36
+/** Characters of the signature, base64url: 96 bits. */
+const SIGNATURE_LENGTH = 16
 
-/** The same for every order in which the ids are given. */
-const digest = (selection: Selection): string => {
+/** Digest of a selection; it does not depend on the order of the ids. */
+const selectionDigest = (selection: Selection): string => {
 	if ('team' in selection) return `t:${selection.team}`
 	const hash = createHash('sha256')
 	for (const uid of [...selection.uids].sort()) hash.update(`${uid} `)
@@ -24,37 +29,43 @@
 }
 
 /**
- * Cursors as text. Each is signed with the installation's id, together with the selection that it belongs to: one
- * that was made up, damaged, or given by another installation or for other jobs must not be taken for a place here,
- * since final states before it would never be told.
+ * Encodes positions as cursors and back. A cursor is signed with the installation's id and the selection: a forged or
+ * damaged one, or one of another installation or selection, must not be taken for a position in this stream, or terminal
+ * states before it would never be delivered.
  */
 export class Cursors {
-	private readonly selected: string
+	private readonly digest: string
 
 	constructor(
 		private readonly installation: string,
 		selection: Selection,
 	) {
-		this.selected = digest(selection)
+		this.digest = selectionDigest(selection)
 	}
 
-	private sign(body: string): string {
-		const sum = createHmac('sha256', this.installation).update(`${body} ${this.selected}`)
-		return sum.digest('base64url').slice(0, 16)
+	/** Encodes a position. */
+	write(position: Place): string {
+		const body = `1.${position.phase[0]}.${position.revision.toString(REVISION_RADIX)}.${position.uid}`
+		return `${body}.${this.sign(body)}`
 	}
 
-	write(place: Place): string {
-		const body = `1.${place.phase[0]}.${place.revision.toString(36)}.${place.uid}`
-		return `${body}.${this.sign(body)}`
+	/** Decodes a cursor; null: it is malformed, or not one of this installation and selection. */
+	read(cursor: string): Place | null {
+		const match = CURSOR_FORMAT.exec(cursor)
+		if (match === null) return null
+		const [, phase, revision, uid, signature] = match
+		const body = cursor.slice(0, -signature.length - 1)
+		const expected = Buffer.from(this.sign(body))
+		if (!timingSafeEqual(Buffer.from(signature), expected)) return null
+		return {
+			phase: phase === 'p' ? 'present' : 'live',
+			revision: Number.parseInt(revision, REVISION_RADIX),
+			uid,
+		}
 	}
 
-	/** The place that a cursor stands for; null: it is not one of this installation and selection. */
-	read(text: string): Place | null {
-		const parts = FORM.exec(text)
-		if (parts === null) return null
-		const [, phase, revision, uid, sum] = parts
-		const right = Buffer.from(this.sign(text.slice(0, -sum.length - 1)))
-		if (!timingSafeEqual(Buffer.from(sum), right)) return null
-		return { phase: phase === 'p' ? 'present' : 'live', revision: Number.parseInt(revision, 36), uid }
+	private sign(body: string): string {
+		const hmac = createHmac('sha256', this.installation).update(`${body} ${this.digest}`)
+		return hmac.digest('base64url').slice(0, SIGNATURE_LENGTH)
 	}
 }
--- a/packages/events/src/hub.ts
+++ b/packages/events/src/hub.ts
@@ -1,250 +1,256 @@
+/** Distributes changes of the job records to the subscriptions of one controller. */
 import type { LogPosition, TerminalState } from '@heathroad/cluster'
-import { REVISION_END } from '@heathroad/cluster'
-import { Changes } from './changes.js'
+import { type ChangeEntry, ChangeLog } from './change-log.js'
 import { Cursors, type Place, type Selection } from './cursor.js'
-import type { JobState, Records } from './records.js'
-import { type End, type Snapshot, type Source, Subscription } from './subscription.js'
+import type { JobRecords, JobState } from './job-records.js'
+import type { SubscriptionSource, TeamSnapshot } from './selection-feed.js'
+import { livePosition, type StreamEndReason, Subscription } from './subscription.js'
+import { SubscriptionIndex } from './subscription-index.js'
 
 /** Why a stream cannot begin at its cursor. */
-export type NotHere =
+export type SubscribeError =
 	/** not a cursor of this installation and selection */
 	| 'invalid cursor'
-	/** from a later revision than the records are at, or from before what is kept */
+	/** of a later revision than the records, or from before what is retained */
 	| 'out of range'
 
-export interface Reader {
+/** Callbacks of whoever reads a subscription. */
+export interface Subscriber {
+	/** new events may be there */
 	wake(): void
-	ended(why: End): void
+	/** the stream ended before it delivered everything */
+	ended(reason: StreamEndReason): void
 }
 
+/** A published state with its team, which events do not hold. */
+type PublishedState = JobState & { team: string }
+
+const isSameState = (first: JobState, second: JobState): boolean =>
+	first.state === second.state && first.done === second.done && first.running === second.running
+
 /**
- * From changes of the records to what subscriptions tell. What is watched by nobody costs nothing; what is watched
- * is worked out once for all who watch it, at most once in `everyMs`; final states need no work at all, each stream
- * finds its place in their order.
+ * Computes what subscriptions deliver. A job without subscribers costs nothing; one with subscribers is computed once
+ * for all of them, at most once per publish interval; terminal states need no computation, as every stream finds its
+ * position in their order.
  */
-export class Hub implements Source {
-	private readonly all = new Set<Subscription>()
-	private readonly byUid = new Map<string, Set<Subscription>>()
-	private readonly byTeam = new Map<string, Set<Subscription>>()
-	private readonly teams = new Map<string, Changes>()
-	private readonly snapshots = new Map<string, Snapshot>()
-	/** watched jobs that are not over, as they are told at present */
-	private readonly told = new Map<string, JobState & { team: string }>()
-	private readonly dirty = new Set<string>()
-	private runs = new Map<string, number>()
-	/** final states seen that lie behind what all records are known up to */
-	private coming: TerminalState[] = []
-	private seq = 0
+export class Hub implements SubscriptionSource {
+	private readonly subscriptions = new SubscriptionIndex()
+	/** change logs of the teams that have subscribers */
+	private readonly changeLogs = new Map<string, ChangeLog>()
+	private readonly snapshots = new Map<string, TeamSnapshot>()
+	/** the latest published state of each open job with subscribers */
+	private readonly published = new Map<string, PublishedState>()
+	/** jobs that changed since the latest publication */
+	private readonly changedJobs = new Set<string>()
+	/** numbers of running tasks at the latest publication */
+	private runningTasks = new Map<string, number>()
+	/** recorded terminal states of later revisions than the one up to which all records are visible */
+	private pendingTerminalStates: TerminalState[] = []
+	private sequence = 0
 
+	/** `installation`: its id, which signs cursors; `publishIntervalMs`: between two calls of `look`; `now`: steady ms. */
 	constructor(
-		private readonly records: Records,
+		private readonly records: JobRecords,
 		private readonly installation: string,
-		private readonly everyMs: number,
+		private readonly publishIntervalMs: number,
 		private readonly now: () => number,
 	) {}
 
-	// ---- what happens ----
+	// ---- changes of the records ----
 
-	/** A job's records changed. */
+	/** To be called when a job's records changed. */
 	jobChanged(uid: string): void {
-		if (this.all.size === 0) return
-		this.dirty.add(uid)
-		const final = this.records.finals.get(uid)
-		if (final === undefined) return
-		for (const s of this.byUid.get(uid) ?? []) s.arrived(final)
-		this.coming.push(final)
+		if (this.subscriptions.isEmpty) return
+		this.changedJobs.add(uid)
+		const terminal = this.records.terminalStates.get(uid)
+		if (terminal === undefined) return
+		for (const subscription of this.subscriptions.ofJob(uid)) subscription.terminalStateRecorded(terminal)
+		this.pendingTerminalStates.push(terminal)
 	}
 
-	/** The records are known up to a later revision. */
-	advanced(): void {
-		if (this.coming.length === 0) return
+	/** To be called when the records are visible up to a later revision. */
+	revisionAdvanced(): void {
+		if (this.pendingTerminalStates.length === 0) return
 		const revision = this.revision()
-		const woken = new Set<Subscription>()
-		const still: TerminalState[] = []
-		for (const f of this.coming) {
-			if (f.revision > revision) {
-				still.push(f)
+		const toNotify = new Set<Subscription>()
+		const stillPending: TerminalState[] = []
+		for (const terminal of this.pendingTerminalStates) {
+			if (terminal.revision > revision) {
+				stillPending.push(terminal)
 				continue
 			}
-			for (const s of this.byUid.get(f.uid) ?? []) woken.add(s)
-			for (const s of this.byTeam.get(f.team) ?? []) woken.add(s)
+			for (const subscription of this.subscriptions.ofJob(terminal.uid)) toNotify.add(subscription)
+			for (const subscription of this.subscriptions.ofTeam(terminal.team)) toNotify.add(subscription)
 		}
-		this.coming = still
-		for (const s of woken) s.wake()
+		this.pendingTerminalStates = stillPending
+		for (const subscription of toNotify) subscription.notify()
 	}
 
-	/** The regular look at what changed since the last one, `everyMs` apart. */
+	/** Publishes the jobs that changed since the call before; to be called once per publish interval. */
 	look(): void {
-		if (this.all.size === 0) return
-		const runs = new Map<string, number>()
-		for (const [uid, n] of this.records.running()) {
-			runs.set(uid, n)
-			if (this.runs.get(uid) !== n) this.dirty.add(uid)
-			this.runs.delete(uid)
+		if (this.subscriptions.isEmpty) return
+		this.findChangedRunningTasks()
+		const toNotify = new Set<Subscription>()
+		for (const uid of this.changedJobs) this.publish(uid, toNotify)
+		this.changedJobs.clear()
+		for (const subscription of toNotify) subscription.notify()
+	}
+
+	private findChangedRunningTasks(): void {
+		const current = new Map<string, number>()
+		for (const [uid, count] of this.records.runningTasks()) {
+			current.set(uid, count)
+			if (this.runningTasks.get(uid) !== count) this.changedJobs.add(uid)
+			this.runningTasks.delete(uid)
 		}
-		for (const uid of this.runs.keys()) this.dirty.add(uid)
-		this.runs = runs
-		const woken = new Set<Subscription>()
-		for (const uid of this.dirty) this.publish(uid, woken)
-		this.dirty.clear()
-		for (const s of woken) s.wake()
-	}
-
-	/** Nobody listens: nothing is kept. */
-	private rest(): void {
-		this.dirty.clear()
-		this.told.clear()
-		this.runs.clear()
-		this.teams.clear()
-		this.snapshots.clear()
-		this.coming = []
+		// The rest of the earlier map had running tasks before and has none now.
+		for (const uid of this.runningTasks.keys()) this.changedJobs.add(uid)
+		this.runningTasks = current
 	}
 
-	private publish(uid: string, woken: Set<Subscription>): void {
-		const before = this.told.get(uid)
-		const now = this.compute(uid)
-		if (now === null) {
-			this.told.delete(uid)
-			if (before !== undefined) this.teams.get(before.team)?.drop(uid)
+	private publish(uid: string, toNotify: Set<Subscription>): void {
+		const previous = this.published.get(uid)
+		const current = this.computeState(uid)
+		if (current === null) {
+			this.published.delete(uid)
+			if (previous !== undefined) this.changeLogs.get(previous.team)?.forget(uid)
 			return
 		}
-		const named = this.byUid.get(uid)
-		const team = this.byTeam.get(now.team)
-		if (named === undefined && team === undefined) return
-		const same =
-			before !== undefined &&
-			before.state === now.state &&
-			before.done === now.done &&
-			before.running === now.running
-		if (same) return
-		this.told.set(uid, now)
-		this.seq++
-		for (const s of named ?? []) {
-			s.touched(uid)
-			woken.add(s)
+		const ofJob = this.subscriptions.ofJob(uid)
+		const ofTeam = this.subscriptions.ofTeam(current.team)
+		if (ofJob.size === 0 && ofTeam.size === 0) return
+		if (previous !== undefined && isSameState(previous, current)) return
+		this.published.set(uid, current)
+		this.sequence++
+		for (const subscription of ofJob) {
+			subscription.jobChanged(uid)
+			toNotify.add(subscription)
 		}
-		if (team === undefined) return
-		this.teams.get(now.team)?.touch(uid, this.seq)
-		for (const s of team) woken.add(s)
+		if (ofTeam.size === 0) return
+		this.changeLogs.get(current.team)?.record(uid, this.sequence)
+		for (const subscription of ofTeam) toNotify.add(subscription)
 	}
 
 	/**
-	 * A job that is not over as it is to be told. Where nobody knows whether tasks run, after a takeover say, what
-	 * was told last stands: ignorance is no news.
+	 * The state of a job that is not terminal; null: it is terminal or unknown. While the number of running tasks is
+	 * unknown, after a takeover for instance, the published number stays in force.
 	 */
-	private compute(uid: string): (JobState & { team: string }) | null {
-		const job = this.records.open(uid)
+	private computeState(uid: string): PublishedState | null {
+		const job = this.records.openJob(uid)
 		if (job === undefined) return null
-		const running = job.running ?? this.told.get(uid)?.running ?? 0
-		const { team, tasks, done } = job
+		const running = job.runningCount ?? this.published.get(uid)?.running ?? 0
+		const { team, taskCount: tasks, doneCount: done } = job
 		return { uid, team, state: running > 0 ? 'running' : 'pending', done, running, tasks }
 	}
 
-	// ---- streams ----
+	// ---- subscriptions ----
 
 	/**
-	 * Begins a stream. The caller has made sure, by a read begun after the request came, that nothing older is told
-	 * than anybody was told before.
+	 * Opens a subscription at a cursor, or at the present state if the cursor is empty. The caller must have done a
+	 * linearizable read that began after the request, so that nothing older is delivered than was delivered before.
 	 */
-	subscribe(selection: Selection, cursor: string, reader: Reader): Subscription | NotHere {
+	subscribe(selection: Selection, cursor: string, subscriber: Subscriber): Subscription | SubscribeError {
 		const cursors = new Cursors(this.installation, selection)
-		let place: Place = { phase: 'present', revision: this.revision(), uid: '' }
+		let position: Place = { phase: 'present', revision: this.revision(), uid: '' }
 		if (cursor !== '') {
-			const read = cursors.read(cursor)
-			if (read === null) return 'invalid cursor'
-			// After a fresh read nothing that was ever told lies ahead of us, unless the state is another one by now.
-			if (read.revision > this.revision()) return 'out of range'
-			place = read
+			const decoded = cursors.read(cursor)
+			if (decoded === null) return 'invalid cursor'
+			// After the linearizable read no valid cursor is ahead of the records, unless the state was replaced.
+			if (decoded.revision > this.revision()) return 'out of range'
+			position = decoded
+		}
+		if ('team' in selection) {
+			const { team } = selection
+			if (!this.retainsAllAfter(team, livePosition(position))) return 'out of range'
+			if (!this.changeLogs.has(team)) this.changeLogs.set(team, new ChangeLog())
 		}
-		const behind = place.phase === 'live' ? place : { revision: place.revision, uid: REVISION_END }
-		if ('team' in selection && !this.keeps(selection.team, behind)) return 'out of range'
-		if ('team' in selection && !this.teams.has(selection.team)) this.teams.set(selection.team, new Changes())
 		const subscription = new Subscription(
 			this,
-			cursors,
-			selection,
-			place,
-			() => reader.wake(),
-			(why) => reader.ended(why),
+			{ selection, position, cursors },
+			{
+				onEventsAvailable: () => subscriber.wake(),
+				onEnd: (reason) => subscriber.ended(reason),
+				onClose: (closed) => this.unsubscribe(closed),
+			},
 		)
-		this.all.add(subscription)
-		for (const [index, key] of this.keysOf(selection)) {
-			const set = index.get(key) ?? new Set()
-			index.set(key, set.add(subscription))
-		}
+		this.subscriptions.add(subscription)
 		return subscription
 	}
 
-	private *keysOf(selection: Selection): Iterable<[Map<string, Set<Subscription>>, string]> {
-		if ('team' in selection) yield [this.byTeam, selection.team]
-		else for (const uid of selection.uids) yield [this.byUid, uid]
+	/** Ends every subscription; the readers resume at other controllers. */
+	endAll(reason: StreamEndReason): void {
+		for (const subscription of this.subscriptions.list()) subscription.end(reason)
 	}
 
-	left(subscription: Subscription): void {
-		this.all.delete(subscription)
-		// Changes are not followed for nobody: what was told would be old for the next one.
-		if (this.all.size === 0) this.rest()
-		for (const [index, key] of this.keysOf(subscription.selection)) {
-			const set = index.get(key)
-			if (set?.delete(subscription) && set.size === 0) index.delete(key)
-		}
+	private unsubscribe(subscription: Subscription): void {
+		this.subscriptions.remove(subscription)
+		// Without subscribers no changes are followed: what was published would be outdated for the next subscriber.
+		if (this.subscriptions.isEmpty) this.clear()
 		const { selection } = subscription
-		if ('team' in selection && !this.byTeam.has(selection.team)) {
-			this.teams.delete(selection.team)
+		if ('team' in selection && this.subscriptions.ofTeam(selection.team).size === 0) {
+			this.changeLogs.delete(selection.team)
 			this.snapshots.delete(selection.team)
 		}
 	}
 
-	/** Ends every stream: their readers go on elsewhere. */
-	endAll(why: End): void {
-		for (const s of [...this.all]) s.end(why)
+	private clear(): void {
+		this.changedJobs.clear()
+		this.published.clear()
+		this.runningTasks.clear()
+		this.changeLogs.clear()
+		this.snapshots.clear()
+		this.pendingTerminalStates = []
 	}
 
-	// ---- what streams read ----
+	// ---- what subscriptions read ----
 
 	revision(): number {
 		return this.records.revision()
 	}
 
-	current(uid: string): JobState | null {
-		// Over since the last look: only its final state is told from now on.
-		if (this.records.open(uid) === undefined) return null
-		// What changed since the last look is told as it is now: a stream that goes on here may have heard of it
-		// elsewhere. For the others it stays news, which the look tells.
-		const dirty = this.dirty.has(uid)
-		const known = dirty ? undefined : this.told.get(uid)
-		const now = known ?? this.compute(uid)
-		if (now === null) return null
-		if (known === undefined && !dirty) this.told.set(uid, now)
-		const { team: _, ...state } = now
+	currentState(uid: string): JobState | null {
+		// Terminal since the latest publication: only its terminal state is delivered from now on.
+		if (this.records.openJob(uid) === undefined) return null
+		// A job that changed since the latest publication is delivered as it is now, since a resumed stream may have
+		// delivered this state elsewhere. It stays marked as changed, so the publication delivers it to all others.
+		const isChanged = this.changedJobs.has(uid)
+		const known = isChanged ? undefined : this.published.get(uid)
+		const current = known ?? this.computeState(uid)
+		if (current === null) return null
+		if (known === undefined && !isChanged) this.published.set(uid, current)
+		const { team: _, ...state } = current
 		return state
 	}
 
-	final(uid: string): TerminalState | undefined {
-		return this.records.finals.get(uid)
+	terminalState(uid: string): TerminalState | undefined {
+		return this.records.terminalStates.get(uid)
 	}
 
-	nextFinal(team: string, after: LogPosition): TerminalState | null {
-		return this.records.finals.next(team, after, this.revision())
+	nextTerminalState(team: string, after: LogPosition): TerminalState | null {
+		return this.records.terminalStates.next(team, after, this.revision())
 	}
 
-	behind(team: string, after: LogPosition): number {
-		return this.records.finals.countAfter(team, after)
+	countTerminalStatesAfter(team: string, after: LogPosition): number {
+		return this.records.terminalStates.countAfter(team, after)
 	}
 
-	keeps(team: string, after: LogPosition): boolean {
-		return this.records.finals.retainsAllAfter(team, after)
+	retainsAllAfter(team: string, after: LogPosition): boolean {
+		return this.records.terminalStates.retainsAllAfter(team, after)
 	}
 
-	snapshot(team: string): Snapshot {
+	snapshotTeam(team: string): TeamSnapshot {
 		const known = this.snapshots.get(team)
-		if (known !== undefined && this.now() - known.at < this.everyMs) return known
-		const fresh = { at: this.now(), seq: this.seq, uids: [...this.records.openOf(team)].sort() }
-		this.snapshots.set(team, fresh)
-		return fresh
+		if (known !== undefined && this.now() - known.takenAt < this.publishIntervalMs) return known
+		const snapshot = {
+			takenAt: this.now(),
+			sequence: this.sequence,
+			uids: [...this.records.openJobsOfTeam(team)].sort(),
+		}
+		this.snapshots.set(team, snapshot)
+		return snapshot
 	}
 
-	change(team: string, after: number): { seq: number; uid: string } | null {
-		return this.teams.get(team)?.after(after) ?? null
+	nextChange(team: string, after: number): ChangeEntry | null {
+		return this.changeLogs.get(team)?.nextAfter(after) ?? null
 	}
 }
--- a/packages/events/src/index.ts
+++ b/packages/events/src/index.ts
@@ -1,6 +1,7 @@
-export * from './admission.js'
+/** Event streams of jobs: who may open one, what it delivers, in which order, and where it resumes. */
 export * from './cursor.js'
 export * from './hub.js'
-export * from './pump.js'
-export * from './records.js'
+export * from './job-records.js'
+export * from './send-scheduler.js'
+export * from './stream-admission.js'
 export * from './subscription.js'
--- /dev/null
+++ b/packages/events/src/selection-feed.ts
@@ -0,0 +1,184 @@
+/** What a subscription reads for its selection: for named jobs, and for the jobs of a team. */
+import { comparePositions, type LogPosition, type TerminalState } from '@heathroad/cluster'
+import type { ChangeEntry } from './change-log.js'
+import type { Place } from './cursor.js'
+import type { JobState } from './job-records.js'
+
+/** The open jobs of a team at one moment, shared by all streams that begin at about that moment. */
+export interface TeamSnapshot {
+	/** steady time in ms */
+	takenAt: number
+	/** changes after this sequence number are not part of it */
+	sequence: number
+	/** ids, sorted */
+	uids: readonly string[]
+}
+
+/** What subscriptions read of their hub. */
+export interface SubscriptionSource {
+	/** every terminal state up to this revision may be delivered */
+	revision(): number
+	/** the state of a job that is not terminal, as it is delivered to all subscribers; null: there is none */
+	currentState(uid: string): JobState | null
+	terminalState(uid: string): TerminalState | undefined
+	/** a team's next terminal state after a position that may be delivered; null: there is none yet */
+	nextTerminalState(team: string, after: LogPosition): TerminalState | null
+	/** number of a team's terminal states after a position */
+	countTerminalStatesAfter(team: string, after: LogPosition): number
+	/** whether every terminal state of a team after a position is still retained */
+	retainsAllAfter(team: string, after: LogPosition): boolean
+	snapshotTeam(team: string): TeamSnapshot
+	/** the next changed job of a team after a sequence number; null: there is none */
+	nextChange(team: string, after: number): ChangeEntry | null
+}
+
+/** What one subscription delivers beside its position; it differs by the kind of selection. */
+export interface SelectionFeed {
+	/** ids of the initial snapshot, sorted */
+	readonly initialJobIds: readonly string[]
+	/** whether the initial snapshot includes jobs that are terminal already */
+	readonly snapshotHasTerminalStates: boolean
+	/** every terminal state that could be delivered was */
+	readonly isComplete: boolean
+	/** whether every terminal state after a position can still be delivered */
+	retainsAllAfter(position: LogPosition): boolean
+	/** number of terminal states that wait for the reader */
+	backlogAfter(position: LogPosition): number
+	/** the next terminal state after a position, in the order in which they became durable; null: none for now */
+	takeTerminalState(after: LogPosition): TerminalState | null
+	/** id of the next changed job; null: none changed */
+	takeChangedJob(): string | null
+	/** a job of the initial snapshot was delivered in its terminal state */
+	deliveredInSnapshot(): void
+	/** a terminal state of a selected job was recorded */
+	terminalStateRecorded(state: TerminalState): void
+	/** a selected job changed and is not terminal */
+	jobChanged(uid: string): void
+}
+
+/** Feed of a team. The hub keeps its terminal states and changes; the feed keeps a sequence number only. */
+export class TeamFeed implements SelectionFeed {
+	readonly initialJobIds: readonly string[]
+	readonly snapshotHasTerminalStates = false
+	readonly isComplete = false
+	private sequence: number
+
+	constructor(
+		private readonly source: SubscriptionSource,
+		private readonly team: string,
+	) {
+		const snapshot = source.snapshotTeam(team)
+		this.sequence = snapshot.sequence
+		this.initialJobIds = snapshot.uids
+	}
+
+	retainsAllAfter(position: LogPosition): boolean {
+		return this.source.retainsAllAfter(this.team, position)
+	}
+
+	backlogAfter(position: LogPosition): number {
+		return this.source.countTerminalStatesAfter(this.team, position)
+	}
+
+	takeTerminalState(after: LogPosition): TerminalState | null {
+		return this.source.nextTerminalState(this.team, after)
+	}
+
+	takeChangedJob(): string | null {
+		const change = this.source.nextChange(this.team, this.sequence)
+		if (change === null) return null
+		this.sequence = change.sequence
+		return change.uid
+	}
+
+	/** Not called: the snapshot of a team holds open jobs only. */
+	deliveredInSnapshot(): void {}
+
+	/** Read from the hub instead. */
+	terminalStateRecorded(): void {}
+
+	/** Read from the hub's change log instead. */
+	jobChanged(): void {}
+}
+
+/** Feed of named jobs. It holds their undelivered terminal states and the ids of those that changed. */
+export class NamedJobsFeed implements SelectionFeed {
+	readonly initialJobIds: readonly string[]
+	readonly snapshotHasTerminalStates = true
+	/** undelivered terminal states that follow the initial snapshot, in order */
+	private readonly terminalStates: TerminalState[] = []
+	/** jobs that changed and were not terminal at that time */
+	private readonly changedJobs = new Set<string>()
+	/** jobs whose terminal state was not delivered yet */
+	private undeliveredCount = 0
+
+	constructor(
+		private readonly source: SubscriptionSource,
+		uids: readonly string[],
+		start: Place,
+	) {
+		this.initialJobIds = [...new Set(uids)].sort()
+		for (const uid of this.initialJobIds) {
+			const terminal = source.terminalState(uid)
+			if (terminal !== undefined && wasDeliveredBefore(start, terminal)) continue
+			this.undeliveredCount++
+			if (terminal !== undefined && !isInSnapshot(start, terminal)) this.terminalStateRecorded(terminal)
+		}
+	}
+
+	get isComplete(): boolean {
+		return this.undeliveredCount === 0
+	}
+
+	/** The records keep the terminal state of a job that is named, however old it is. */
+	retainsAllAfter(): boolean {
+		return true
+	}
+
+	backlogAfter(): number {
+		return this.terminalStates.length
+	}
+
+	takeTerminalState(): TerminalState | null {
+		const [first] = this.terminalStates
+		if (first === undefined || first.revision > this.source.revision()) return null
+		this.terminalStates.shift()
+		this.undeliveredCount--
+		return first
+	}
+
+	takeChangedJob(): string | null {
+		for (const uid of this.changedJobs) {
+			this.changedJobs.delete(uid)
+			return uid
+		}
+		return null
+	}
+
+	deliveredInSnapshot(): void {
+		this.undeliveredCount--
+	}
+
+	/** Inserts the state at its position in the order; a state that is in the list already is not added again. */
+	terminalStateRecorded(state: TerminalState): void {
+		let index = this.terminalStates.length
+		while (index > 0 && comparePositions(this.terminalStates[index - 1], state) > 0) index--
+		if (index > 0 && this.terminalStates[index - 1].uid === state.uid) return
+		this.terminalStates.splice(index, 0, state)
+		this.changedJobs.delete(state.uid)
+	}
+
+	jobChanged(uid: string): void {
+		this.changedJobs.add(uid)
+	}
+}
+
+/** Whether an earlier stream delivered the terminal state before the position at which this one starts. */
+const wasDeliveredBefore = (start: Place, terminal: TerminalState): boolean => {
+	if (start.phase === 'live') return comparePositions(terminal, start) <= 0
+	return terminal.revision <= start.revision && terminal.uid <= start.uid
+}
+
+/** Whether the terminal state is delivered as part of the initial snapshot. */
+const isInSnapshot = (start: Place, terminal: TerminalState): boolean =>
+	start.phase === 'present' && terminal.revision <= start.revision
--- a/packages/events/src/subscription.ts
+++ b/packages/events/src/subscription.ts
@@ -1,226 +1,190 @@
-import { comparePositions, type LogPosition, REVISION_END, type TerminalState } from '@heathroad/cluster'
+/** One reader's position in the events of its selection. */
+import { type LogPosition, REVISION_END, type TerminalState } from '@heathroad/cluster'
 import type { Cursors, Place, Selection } from './cursor.js'
-import type { JobState } from './records.js'
+import type { JobState } from './job-records.js'
+import { NamedJobsFeed, type SelectionFeed, type SubscriptionSource, TeamFeed } from './selection-feed.js'
 
+/** A state of a job with the cursor at which a stream resumes after it. */
 export interface JobEvent extends JobState {
 	cursor: string
 }
 
-/** Why a stream ended without having told everything. Its reader may go on elsewhere, from its cursor. */
-export type End =
-	/** this controller cannot tell any more */
+/** Why a stream ended before it delivered everything. Its reader may resume at another controller, at its cursor. */
+export type StreamEndReason =
+	/** this controller cannot answer users any more */
 	| 'not serving'
-	/** the reader took less than came, for too long */
+	/** the reader was slower than the events for too long */
 	| 'too slow'
-	/** what lies between the reader and the present is not kept any more */
+	/** terminal states between the reader's position and the present are not retained any more */
 	| 'too far behind'
 
-/** A team's open jobs as they were at one moment, for all streams that begin at about that moment. */
-export interface Snapshot {
-	at: number
-	/** changes behind this sequence number are not in it */
-	seq: number
-	/** sorted */
-	uids: readonly string[]
+/** What a subscription reports to whoever opened it. */
+export interface SubscriptionListener {
+	/** new events may be there */
+	onEventsAvailable(): void
+	/** called once, unless the subscription ended without a reason */
+	onEnd(reason: StreamEndReason): void
+	/** called once, on every end, before `onEnd` */
+	onClose(subscription: Subscription): void
 }
 
-/** What a subscription asks of its hub. */
-export interface Source {
-	revision(): number
-	/** the state of a job that is not over, as it is told to everybody at present */
-	current(uid: string): JobState | null
-	final(uid: string): TerminalState | undefined
-	/** a team's next final state behind a place that may be told by now */
-	nextFinal(team: string, after: LogPosition): TerminalState | null
-	behind(team: string, after: LogPosition): number
-	keeps(team: string, after: LogPosition): boolean
-	/** a team's jobs that are not over, as of a moment ago */
-	snapshot(team: string): Snapshot
-	/** the next changed job of a team behind a sequence number */
-	change(team: string, after: number): { seq: number; uid: string } | null
-	left(subscription: Subscription): void
+/** Where a subscription begins and how its cursors are encoded. */
+export interface SubscriptionStart {
+	selection: Selection
+	position: Place
+	cursors: Cursors
 }
 
-const told = (f: TerminalState): JobState => ({
-	uid: f.uid,
-	state: f.state === 'done' ? 'done' : 'cancelled',
-	done: f.doneCount,
+/** The position after which live events follow: for a snapshot, the end of its revision. */
+export const livePosition = (position: Place): LogPosition =>
+	position.phase === 'live' ? position : { revision: position.revision, uid: REVISION_END }
+
+const toJobState = (terminal: TerminalState): JobState => ({
+	uid: terminal.uid,
+	state: terminal.state === 'done' ? 'done' : 'cancelled',
+	done: terminal.doneCount,
 	running: 0,
-	tasks: f.taskCount,
+	tasks: terminal.taskCount,
 })
 
+const createFeed = (source: SubscriptionSource, { selection, position }: SubscriptionStart): SelectionFeed =>
+	'team' in selection
+		? new TeamFeed(source, selection.team)
+		: new NamedJobsFeed(source, selection.uids, position)
+
 /**
- * One reader's place in what happens. It holds no events: what to tell next is looked up when the reader takes it, so
- * one that takes nothing costs no more than one that keeps up, and states that it missed are told as the latest.
+ * A reader's position. It buffers no events: the next one is looked up when the reader takes it, so a stalled reader
+ * costs no more than one that keeps up, and of the states that it missed only the latest is delivered.
  *
- * Final states are told in the order in which they became durable, each exactly once over a stream and its
- * continuations: the cursor of an event says how far along that order the stream is.
+ * Terminal states are delivered in the order in which they became durable, each exactly once over a stream and all that
+ * resume it: the cursor of an event is the position in that order.
  */
 export class Subscription {
-	ended: End | null = null
-	private readonly uids: readonly string[] | null
-	private readonly team: string | null
-	/** for the present phase, or for the states of open jobs after a resume: where in `present` we are */
-	private at = 0
-	private readonly present: readonly string[]
-	/** final states of the named jobs that lie behind our place, in order */
-	private readonly ready: TerminalState[] = []
-	/** named jobs that changed, none of them over when it did */
-	private readonly changed = new Set<string>()
-	private seq: number
-	/** named jobs whose final state was not told yet */
-	private open = 0
-	private written: { place: Place; text: string } | null = null
+	/** why it ended; null while it is open */
+	ended: StreamEndReason | null = null
+	readonly selection: Selection
+	private readonly feed: SelectionFeed
+	private readonly cursors: Cursors
+	private position: Place
+	/** the next id of the feed's initial jobs, for the snapshot or for the states of open jobs after a resume */
+	private nextInitialJob = 0
+	private encodedCursor: { position: Place; text: string } | null = null
 
 	constructor(
-		private readonly source: Source,
-		private readonly cursors: Cursors,
-		readonly selection: Selection,
-		private place: Place,
-		private readonly onWake: () => void,
-		private readonly onEnd: (why: End) => void,
+		private readonly source: SubscriptionSource,
+		start: SubscriptionStart,
+		private readonly listener: SubscriptionListener,
 	) {
-		this.uids = 'uids' in selection ? [...new Set(selection.uids)].sort() : null
-		this.team = 'team' in selection ? selection.team : null
-		const snapshot = this.team === null ? null : source.snapshot(this.team)
-		this.seq = snapshot?.seq ?? 0
-		this.present = this.uids ?? snapshot!.uids
-		for (const uid of this.uids ?? []) {
-			const final = source.final(uid)
-			if (this.passed(uid, final)) continue
-			this.open++
-			if (final !== undefined && !this.inPresent(final)) this.arrived(final)
-		}
-	}
-
-	/** Was the job's final state told before our place? */
-	private passed(uid: string, final: TerminalState | undefined): boolean {
-		if (final === undefined) return false
-		if (this.place.phase === 'live') return comparePositions(final, this.place) <= 0
-		return final.revision <= this.place.revision && uid <= this.place.uid
+		this.selection = start.selection
+		this.cursors = start.cursors
+		this.position = start.position
+		this.feed = createFeed(source, start)
 	}
 
-	/** Is it told as part of the present state? */
-	private inPresent(final: TerminalState): boolean {
-		return this.place.phase === 'present' && final.revision <= this.place.revision
+	/** Called by the hub when a terminal state of a named job was recorded. */
+	terminalStateRecorded(state: TerminalState): void {
+		this.feed.terminalStateRecorded(state)
 	}
 
-	/** A final state of a named job. */
-	arrived(final: TerminalState): void {
-		let i = this.ready.length
-		while (i > 0 && comparePositions(this.ready[i - 1], final) > 0) i--
-		if (i > 0 && this.ready[i - 1].uid === final.uid) return
-		this.ready.splice(i, 0, final)
-		this.changed.delete(final.uid)
+	/** Called by the hub when a named job changed that is not terminal. */
+	jobChanged(uid: string): void {
+		this.feed.jobChanged(uid)
 	}
 
-	/** A named job that is not over changed. */
-	touched(uid: string): void {
-		this.changed.add(uid)
+	/** Called by the hub when new events may be there. */
+	notify(): void {
+		if (this.ended === null) this.listener.onEventsAvailable()
 	}
 
-	wake(): void {
-		if (this.ended === null) this.onWake()
+	/** No event can follow: the terminal state of every named job was delivered. */
+	get isComplete(): boolean {
+		return this.feed.isComplete
 	}
 
-	/** Nothing is left that could ever be told: every named job's final state was. */
-	get finished(): boolean {
-		return this.uids !== null && this.open === 0
+	/** Number of terminal states that wait for the reader. */
+	backlog(): number {
+		return this.feed.backlogAfter(livePosition(this.position))
 	}
 
-	/** Final states that wait for the reader. */
-	behind(): number {
-		return this.team !== null ? this.source.behind(this.team, this.livePlace()) : this.ready.length
-	}
-
-	private livePlace(): LogPosition {
-		return this.place.phase === 'live' ? this.place : { revision: this.place.revision, uid: REVISION_END }
-	}
-
-	/** Where a continuation begins. */
+	/** The cursor at which a later stream resumes this one. */
 	cursor(): string {
-		if (this.written === null || this.written.place !== this.place)
-			this.written = { place: this.place, text: this.cursors.write(this.place) }
-		return this.written.text
+		if (this.encodedCursor === null || this.encodedCursor.position !== this.position)
+			this.encodedCursor = { position: this.position, text: this.cursors.write(this.position) }
+		return this.encodedCursor.text
 	}
 
-	/** The next event; null: nothing for now. */
+	/** The next event; null: there is none for now, or the subscription has ended. */
 	next(): JobEvent | null {
 		if (this.ended !== null) return null
-		if (this.team !== null && !this.source.keeps(this.team, this.livePlace())) {
+		if (!this.feed.retainsAllAfter(livePosition(this.position))) {
 			this.end('too far behind')
 			return null
 		}
-		const state = this.nextPresent() ?? this.nextFinal() ?? this.nextChange()
+		const state = this.nextOfSnapshot() ?? this.nextTerminalState() ?? this.nextOpenState()
 		return state === null ? null : { ...state, cursor: this.cursor() }
 	}
 
-	private nextPresent(): JobState | null {
-		if (this.place.phase !== 'present') return null
-		const { revision, uid: from } = this.place
-		while (this.at < this.present.length) {
-			const uid = this.present[this.at++]
-			if (uid <= from) continue
-			const final = this.source.final(uid)
-			// What became final later is told in its place in the order.
-			if (final !== undefined && (this.team !== null || final.revision > revision)) continue
-			const state = final !== undefined ? told(final) : this.source.current(uid)
+	/** Ends the subscription; `reason`: null if its reader needs no word of it. */
+	end(reason: StreamEndReason | null): void {
+		if (this.ended !== null) return
+		this.ended = reason ?? 'not serving'
+		this.listener.onClose(this)
+		if (reason !== null) this.listener.onEnd(reason)
+	}
+
+	/** The next state of the initial snapshot; afterwards the position becomes a live one. */
+	private nextOfSnapshot(): JobState | null {
+		if (this.position.phase !== 'present') return null
+		const { revision, uid: deliveredUpTo } = this.position
+		const { initialJobIds } = this.feed
+		while (this.nextInitialJob < initialJobIds.length) {
+			const uid = initialJobIds[this.nextInitialJob++]
+			if (uid <= deliveredUpTo) continue
+			const state = this.snapshotState(uid, revision)
 			if (state === null) continue
-			this.place = { phase: 'present', revision, uid }
-			if (final !== undefined) this.open--
+			this.position = { phase: 'present', revision, uid }
 			return state
 		}
-		this.place = { phase: 'live', revision, uid: REVISION_END }
+		this.position = { phase: 'live', revision, uid: REVISION_END }
 		return null
 	}
 
-	private nextFinal(): JobState | null {
-		let final: TerminalState | null
-		if (this.team !== null) final = this.source.nextFinal(this.team, this.place)
-		else {
-			const [first] = this.ready
-			final = first !== undefined && first.revision <= this.source.revision() ? first : null
-			if (final !== null) {
-				this.ready.shift()
-				this.open--
-			}
-		}
-		if (final !== null) {
-			this.place = { phase: 'live', revision: final.revision, uid: final.uid }
-			return told(final)
+	/** A job's state in the snapshot; null: it is not part of it. */
+	private snapshotState(uid: string, snapshotRevision: number): JobState | null {
+		const terminal = this.source.terminalState(uid)
+		if (terminal === undefined) return this.source.currentState(uid)
+		// A state that became terminal later is delivered at its position in the order.
+		if (!this.feed.snapshotHasTerminalStates || terminal.revision > snapshotRevision) return null
+		this.feed.deliveredInSnapshot()
+		return toJobState(terminal)
+	}
+
+	private nextTerminalState(): JobState | null {
+		const terminal = this.feed.takeTerminalState(this.position)
+		if (terminal !== null) {
+			this.position = { phase: 'live', revision: terminal.revision, uid: terminal.uid }
+			return toJobState(terminal)
 		}
-		// All up to here is told: the cursor moves on, so that it does not grow old on a quiet team.
+		// Everything up to the present revision is delivered: the cursor advances, so that it does not become too old to
+		// resume while the selected jobs are quiet.
 		const revision = this.source.revision()
-		if (revision > this.place.revision) this.place = { phase: 'live', revision, uid: REVISION_END }
+		if (revision > this.position.revision) this.position = { phase: 'live', revision, uid: REVISION_END }
 		return null
 	}
 
-	private nextChange(): JobState | null {
-		// After a resume: what is not over is told once, as it is now.
-		while (this.at < this.present.length) {
-			const state = this.source.current(this.present[this.at++])
+	/** The next state of a job that is not terminal. */
+	private nextOpenState(): JobState | null {
+		const { initialJobIds } = this.feed
+		// After a resume every open job is delivered once in its present state.
+		while (this.nextInitialJob < initialJobIds.length) {
+			const state = this.source.currentState(initialJobIds[this.nextInitialJob++])
 			if (state !== null) return state
 		}
-		for (const uid of this.changed) {
-			this.changed.delete(uid)
-			const state = this.source.current(uid)
-			if (state !== null) return state
-		}
-		if (this.team === null) return null
 		for (;;) {
-			const change = this.source.change(this.team, this.seq)
-			if (change === null) return null
-			this.seq = change.seq
-			const state = this.source.current(change.uid)
+			const uid = this.feed.takeChangedJob()
+			if (uid === null) return null
+			const state = this.source.currentState(uid)
 			if (state !== null) return state
 		}
 	}
-
-	/** The stream is over; `why`: without having told everything. */
-	end(why: End | null): void {
-		if (this.ended !== null) return
-		this.ended = why ?? 'not serving'
-		this.source.left(this)
-		if (why !== null) this.onEnd(why)
-	}
 }
--- a/packages/grpc/src/face.ts
+++ b/packages/grpc/src/face.ts
@@ -9,7 +9,7 @@
 } from '@grpc/grpc-js'
 import { ReflectionService } from '@grpc/reflection'
 import type { GrpcSettings } from '@heathroad/config'
-import { Admission, Hub, type JobEvent, Pump, type Selection } from '@heathroad/events'
+import { StreamAdmission, Hub, type JobEvent, SendScheduler, type Selection } from '@heathroad/events'
 import {
 	type EventMessage,
 	fieldName,
@@ -68,8 +68,8 @@
 	private readonly injector: ConnectionInjector
 	private readonly sockets: Sockets
 	private readonly records: ServiceRecords
-	private readonly admission: Admission
-	private readonly pump: Pump
+	private readonly admission: StreamAdmission
+	private readonly pump: SendScheduler
 	private readonly health = new HealthImplementation({ '': 'NOT_SERVING', [JOBS]: 'NOT_SERVING' })
 	private readonly streams = new Set<Stream>()
 	private hub: Hub | null = null
@@ -87,17 +87,17 @@
 		const { deployment } = s.config.settings
 		const { maxSockets: sockets, heartbeatMs: reportMs } = s.config.limits
 		this.records = new ServiceRecords(s, settings.history)
-		this.admission = new Admission(
+		this.admission = new StreamAdmission(
 			{
 				streams: settings.streams,
-				teamStreams: Math.ceil(settings.streams / Math.max(1, deployment.teams.length)),
-				uids: settings.uids,
-				watched: settings.watched,
-				opensPerS: settings.opensPerS,
+				streamsPerTeam: Math.ceil(settings.streams / Math.max(1, deployment.teams.length)),
+				jobIdsPerStream: settings.uids,
+				jobIds: settings.watched,
+				opensPerSecond: settings.opensPerS,
 			},
 			s.now,
 		)
-		this.pump = new Pump(PER_TURN, setImmediate)
+		this.pump = new SendScheduler(PER_TURN, setImmediate)
 		this.awakeSince = s.membership.runningSince
 		const connections = settings.connections || Math.max(4, Math.floor(sockets / 8))
 		this.server = new Server({
@@ -154,7 +154,7 @@
 
 	/** Streams that are open, for logs and tests. */
 	get open(): number {
-		return this.admission.count
+		return this.admission.openCount
 	}
 
 	// ---- jobs ----
@@ -238,11 +238,11 @@
 			return void refuse(failure(status.UNAVAILABLE, 'this controller cannot tell now', 1000))
 		const counted = 'team' in selection ? 0 : selection.uids.length
 		const share = this.teamOf(selection)
-		const refusal = this.admission.enter(share, counted)
+		const refusal = this.admission.admit(share, counted)
 		if (refusal !== null) return void refuse(refusalFailure(refusal))
 		const stream = new Stream(call, this.pump, this.s.now, eventMessage, () => {
 			this.streams.delete(stream)
-			this.admission.leave(share, counted)
+			this.admission.release(share, counted)
 		})
 		this.streams.add(stream)
 		// Nothing older may be told than anybody was told before the call, and nothing from before its cursor.
--- a/packages/grpc/src/records.ts
+++ b/packages/grpc/src/records.ts
@@ -5,14 +5,14 @@
 	TerminalStateLog,
 	toTerminalState,
 } from '@heathroad/cluster'
-import type { Hub, OpenJob, Records } from '@heathroad/events'
+import type { Hub, OpenJob, JobRecords } from '@heathroad/events'
 import { type ArchivedJob, jobIdOf } from '@heathroad/history'
 import type { RecordObserver, Service } from '@heathroad/server'
 import { KEY_PREFIX, WritePriority } from '@heathroad/store'
 
 /** The service's records as streams read them. */
-export class ServiceRecords implements Records, RecordObserver {
-	readonly finals: TerminalStateLog
+export class ServiceRecords implements JobRecords, RecordObserver {
+	readonly terminalStates: TerminalStateLog
 	/** parts that changed hands lately: what their owners tell of running tasks may not be complete, until when */
 	private readonly unsure = new Map<number, number>()
 	private readonly recalled = new Map<string, TerminalState>()
@@ -22,7 +22,7 @@
 		private readonly s: Service,
 		private readonly history: number,
 	) {
-		this.finals = new TerminalStateLog(history, (uid) => this.recorded(uid) ?? this.recalled.get(uid))
+		this.terminalStates = new TerminalStateLog(history, (uid) => this.recorded(uid) ?? this.recalled.get(uid))
 		for (const uid of s.jobs.knownIds()) this.noteFinal(uid)
 		s.recordObserver = this
 	}
@@ -39,12 +39,12 @@
 	}
 
 	onRevisionAdvanced(): void {
-		this.hub?.advanced()
+		this.hub?.revisionAdvanced()
 	}
 
 	private noteFinal(uid: string): void {
 		const final = this.recorded(uid)
-		if (final !== undefined) this.finals.add(final)
+		if (final !== undefined) this.terminalStates.add(final)
 	}
 
 	private recorded(uid: string): TerminalState | undefined {
@@ -77,12 +77,12 @@
 		return this.s.cache.revision
 	}
 
-	open(uid: string): OpenJob | undefined {
+	openJob(uid: string): OpenJob | undefined {
 		const record = this.s.jobs.get(uid)?.record
 		if (record?.spec === undefined || record.finalState !== undefined) return undefined
 		const { team, tasks } = record.spec
 		const done = countRecordedDone(uid, record, (key) => this.s.cache.get(key)?.data)
-		return { team, tasks, done, running: this.runningOf(uid, record.shardId) }
+		return { team, taskCount: tasks, doneCount: done, runningCount: this.runningOf(uid, record.shardId) }
 	}
 
 	private runningOf(uid: string, shardId: number): number | null {
@@ -94,11 +94,11 @@
 		return news === null || news === undefined ? null : Number(news.runningTasks[uid] ?? 0)
 	}
 
-	*openOf(team: string): Iterable<string> {
+	*openJobsOfTeam(team: string): Iterable<string> {
 		for (const uid of this.s.jobs.openJobs) if (this.s.jobs.get(uid)?.record.spec?.team === team) yield uid
 	}
 
-	*running(): Iterable<[string, number]> {
+	*runningTasks(): Iterable<[string, number]> {
 		for (const [uid, tasks] of Object.entries(this.s.localRunningTasks())) yield [uid, tasks]
 		for (const peer of this.s.membership.peers)
 			if (peer.status !== null && this.s.membership.isAlive(peer.name))
--- a/packages/grpc/src/status.ts
+++ b/packages/grpc/src/status.ts
@@ -1,5 +1,5 @@
 import { Metadata, status } from '@grpc/grpc-js'
-import type { Refusal } from '@heathroad/events'
+import type { StreamRefusal } from '@heathroad/events'
 import type { HttpReply } from '@heathroad/wire'
 import protobuf from 'protobufjs'
 
@@ -56,7 +56,7 @@
 	return failure(code, text, again ? (reply.retryAfterS ?? 1) * 1000 : undefined)
 }
 
-export const refusalFailure = (r: Refusal): Failure =>
-	r.why === 'too many begin'
+export const refusalFailure = (r: StreamRefusal): Failure =>
+	r.reason === 'too many begin'
 		? failure(status.UNAVAILABLE, 'too many streams begin at once', r.retryAfterMs)
-		: failure(status.RESOURCE_EXHAUSTED, r.why, r.retryAfterMs)
+		: failure(status.RESOURCE_EXHAUSTED, r.reason, r.retryAfterMs)
--- a/packages/grpc/src/stream.ts
+++ b/packages/grpc/src/stream.ts
@@ -1,11 +1,11 @@
 import { Metadata, type ServerWritableStream, status } from '@grpc/grpc-js'
-import type { End, JobEvent, Pump, Sender, Subscription } from '@heathroad/events'
+import type { StreamEndReason, JobEvent, SendScheduler, Sender, Subscription } from '@heathroad/events'
 import type { EventMessage, WatchMessage } from '@heathroad/proto'
 import { type Failure, failure } from './status.js'
 
 export type WatchCall = ServerWritableStream<WatchMessage, Partial<EventMessage>>
 
-const ENDS: Readonly<Record<End, () => Failure>> = {
+const ENDS: Readonly<Record<StreamEndReason, () => Failure>> = {
 	// At once, but not all of them at the same moment: the client's own jitter spreads them further.
 	'not serving': () => failure(status.UNAVAILABLE, 'this controller cannot tell any more', 100),
 	'too slow': () => failure(status.RESOURCE_EXHAUSTED, 'the reader takes less than comes', 1000),
@@ -23,7 +23,7 @@
 
 	constructor(
 		private readonly call: WatchCall,
-		private readonly pump: Pump,
+		private readonly pump: SendScheduler,
 		private readonly now: () => number,
 		private readonly message: (e: JobEvent) => Partial<EventMessage>,
 		private readonly closed: () => void,
@@ -53,7 +53,7 @@
 	}
 
 	wake(): void {
-		if (!this.over && this.blockedAt === null) this.pump.wake(this)
+		if (!this.over && this.blockedAt === null) this.pump.enqueue(this)
 	}
 
 	send(): boolean {
@@ -61,7 +61,7 @@
 		if (this.over || s === null || this.blockedAt !== null) return false
 		const event = s.next()
 		if (event === null) {
-			if (s.finished && !this.over) this.finish()
+			if (s.isComplete && !this.over) this.finish()
 			return false
 		}
 		if (this.call.write(this.message(event))) return true
@@ -82,10 +82,10 @@
 	/** True: its reader has taken nothing for too long, or is further behind than is borne. */
 	stalled(stallMs: number, most: number): boolean {
 		if (this.over || this.blockedAt === null) return false
-		return this.now() - this.blockedAt > stallMs || (this.subscription?.behind() ?? 0) > most
+		return this.now() - this.blockedAt > stallMs || (this.subscription?.backlog() ?? 0) > most
 	}
 
-	ended(why: End): void {
+	ended(why: StreamEndReason): void {
 		if (this.over) return
 		const cursor = this.subscription?.cursor() ?? ''
 		const f = ENDS[why]()
@@ -95,7 +95,7 @@
 	}
 
 	/** Lets the reader go; it may come back with its cursor. */
-	letGo(why: End): void {
+	letGo(why: StreamEndReason): void {
 		this.subscription?.end(why)
 	}
 
@@ -108,7 +108,7 @@
 	private close(): void {
 		if (this.over) return
 		this.over = true
-		this.pump.drop(this)
+		this.pump.remove(this)
 		this.subscription?.end(null)
 		this.closed()
 	}
