--- /dev/null
+++ b/packages/grpc/src/grpc-server.ts
@@ -0,0 +1,133 @@
+/** Life cycle of the gRPC server of one controller: listening, health, regular work, and shutdown. */
+import { type ConnectionInjector, Server, ServerCredentials } from '@grpc/grpc-js'
+import { ReflectionService } from '@grpc/reflection'
+import type { GrpcSettings } from '@heathroad/config'
+import { JOBS, jobsPackage, jobsService } from '@heathroad/proto'
+import type { Service } from '@heathroad/server'
+import { MAX_BODY_BYTES } from '@heathroad/wire'
+import { HealthImplementation } from 'grpc-health-check'
+import { Connections } from './connections.js'
+import { ServiceRecords } from './service-records.js'
+import { UnaryCalls } from './unary-calls.js'
+import { WatchCalls } from './watch-calls.js'
+
+/** A connection must send the preface of HTTP/2 within this time, in ms. */
+const PREFACE_TIMEOUT_MS = 5000
+/** Unary calls that one connection may have open beside its streams. */
+const UNARY_CALLS_PER_CONNECTION = 100
+/** An idle connection is closed after so many stall times, to make room for others. */
+const IDLE_STALL_TIMES = 10
+/** The least time for the answer to a keepalive ping, in ms. */
+const MIN_KEEPALIVE_TIMEOUT_MS = 4000
+/** Memory of one HTTP/2 session, in MB. */
+const SESSION_MEMORY_MB = 1
+/** Without a setting the server may have one of so many sockets of the process, and at least a few. */
+const SOCKETS_PER_CONNECTION = 8
+const MIN_CONNECTIONS = 4
+/** The longest wait for the last statuses to be sent at a shutdown, in ms. */
+const FLUSH_MS = 200
+
+const createServer = (settings: GrpcSettings, heartbeatMs: number): Server =>
+	new Server({
+		'grpc.max_receive_message_length': MAX_BODY_BYTES,
+		'grpc.max_send_message_length': MAX_BODY_BYTES,
+		// One connection may carry all streams of the controller, and unary calls beside them.
+		'grpc.max_concurrent_streams': settings.streams + UNARY_CALLS_PER_CONNECTION,
+		// Detects peers that vanished without closing their connection.
+		'grpc.keepalive_time_ms': settings.stallS * 1000,
+		'grpc.keepalive_timeout_ms': Math.max(MIN_KEEPALIVE_TIMEOUT_MS, heartbeatMs * 2),
+		'grpc.keepalive_permit_without_calls': 1,
+		'grpc.max_connection_idle_ms': settings.stallS * 1000 * IDLE_STALL_TIMES,
+		'grpc-node.max_session_memory': SESSION_MEMORY_MB,
+	})
+
+/**
+ * The gRPC server of one controller. Submissions, queries and cancellations go through the same code as over HTTP;
+ * streams deliver the records, and only while this controller may answer its users.
+ */
+export class GrpcFace {
+	private readonly server: Server
+	private readonly injector: ConnectionInjector
+	private readonly connections: Connections
+	private readonly records: ServiceRecords
+	private readonly watchCalls: WatchCalls
+	private readonly health = new HealthImplementation({ '': 'NOT_SERVING', [JOBS]: 'NOT_SERVING' })
+	private timer: ReturnType<typeof setInterval> | null = null
+	private isServing = false
+	private isDraining = false
+
+	constructor(
+		private readonly service: Service,
+		private readonly settings: GrpcSettings,
+	) {
+		const { maxSockets, heartbeatMs } = service.config.limits
+		const isDraining = () => this.isDraining
+		this.records = new ServiceRecords(service, settings.history)
+		this.watchCalls = new WatchCalls(service, this.records, settings, {
+			isDraining,
+			disconnect: (peer) => this.connections.disconnect(peer),
+		})
+		this.server = createServer(settings, heartbeatMs)
+		this.addServices(new UnaryCalls(service, isDraining))
+		this.injector = this.server.createConnectionInjector(ServerCredentials.createInsecure())
+		const share = Math.max(MIN_CONNECTIONS, Math.floor(maxSockets / SOCKETS_PER_CONNECTION))
+		this.connections = new Connections(
+			{ maxConnections: settings.connections || share, prefaceTimeoutMs: PREFACE_TIMEOUT_MS },
+			(socket) => this.injector.injectConnection(socket),
+		)
+	}
+
+	/** Listens at the address of the settings; answers with the port, which the system chooses if the setting is 0. */
+	async start(): Promise<number> {
+		const { port } = await this.connections.listen(this.settings.listen)
+		this.timer = setInterval(() => this.runPeriodicWork(), this.settings.everyS * 1000)
+		this.service.log('info', 'gRPC server listening', { listen: this.settings.listen, port })
+		return port
+	}
+
+	/** Ends all streams, accepts no more calls, and ends those under way within `graceMs`; 0: at once, as a crash does. */
+	async stop(graceMs = 1000): Promise<void> {
+		this.isDraining = true
+		if (this.timer !== null) clearInterval(this.timer)
+		if (this.service.recordObserver === this.records) this.service.recordObserver = null
+		this.connections.close()
+		if (graceMs > 0) {
+			this.setHealth(false)
+			this.watchCalls.endAll()
+			this.injector.drain(graceMs)
+			// Lets the last events and statuses leave before the connections close.
+			await new Promise((done) => setTimeout(done, Math.min(graceMs, FLUSH_MS)))
+		}
+		this.connections.destroy()
+		this.server.forceShutdown()
+	}
+
+	/** Number of open streams, for logs and tests. */
+	get open(): number {
+		return this.watchCalls.openCount
+	}
+
+	private addServices(unaryCalls: UnaryCalls): void {
+		const definition = jobsPackage()
+		this.server.addService(jobsService(definition), {
+			Submit: unaryCalls.submit,
+			Get: unaryCalls.get,
+			Cancel: unaryCalls.cancel,
+			Watch: this.watchCalls.watch,
+		})
+		new ReflectionService(definition).addToServer(this.server)
+		this.health.addToServer(this.server)
+	}
+
+	private runPeriodicWork(): void {
+		this.watchCalls.openHub()
+		const isReady = this.watchCalls.isReady()
+		if (isReady !== this.isServing) this.setHealth(isReady)
+		this.watchCalls.publish()
+	}
+
+	private setHealth(isServing: boolean): void {
+		this.isServing = isServing
+		for (const name of ['', JOBS]) this.health.setStatus(name, isServing ? 'SERVING' : 'NOT_SERVING')
+	}
+}
--- /dev/null
+++ b/packages/grpc/src/service-records.ts
@@ -0,0 +1,150 @@
+/** The service's records as event streams read them, and the id of the installation. */
+import {
+	countRecordedDone,
+	INSTALLATION_KEY,
+	type TerminalState,
+	TerminalStateLog,
+	toTerminalState,
+} from '@heathroad/cluster'
+import type { Hub, JobRecords, OpenJob } from '@heathroad/events'
+import { type ArchivedJob, jobIdOf } from '@heathroad/history'
+import type { RecordObserver, Service } from '@heathroad/server'
+import { KEY_PREFIX, WritePriority } from '@heathroad/store'
+
+/** A shard's new owner has complete numbers of running tasks after so many heartbeat intervals. */
+const HEARTBEATS_AFTER_TAKEOVER = 2
+
+/** Observes the records of a service from its construction on, and passes changes to the hub. */
+export class ServiceRecords implements JobRecords, RecordObserver {
+	readonly terminalStates: TerminalStateLog
+	/** set once the installation's id is known */
+	hub: Hub | null = null
+	/** shards with a new owner, whose numbers of running tasks may be incomplete until this time, steady ms */
+	private readonly incompleteUntil = new Map<number, number>()
+	/** terminal states from the archive, the latest ones that streams asked for */
+	private readonly archivedStates = new Map<string, TerminalState>()
+
+	/** `retained`: terminal states that are kept for streams, of all teams together and from the archive. */
+	constructor(
+		private readonly service: Service,
+		private readonly retained: number,
+	) {
+		this.terminalStates = new TerminalStateLog(
+			retained,
+			(uid) => this.recordedState(uid) ?? this.archivedStates.get(uid),
+		)
+		for (const uid of service.jobs.knownIds()) this.addTerminalState(uid)
+		service.recordObserver = this
+	}
+
+	// ---- observer of the service ----
+
+	onJobChanged(uid: string): void {
+		this.addTerminalState(uid)
+		this.hub?.jobChanged(uid)
+	}
+
+	onShardChanged(shardId: number): void {
+		const { heartbeatMs } = this.service.config.limits
+		this.incompleteUntil.set(shardId, this.service.now() + heartbeatMs * HEARTBEATS_AFTER_TAKEOVER)
+	}
+
+	onRevisionAdvanced(): void {
+		this.hub?.revisionAdvanced()
+	}
+
+	private addTerminalState(uid: string): void {
+		const state = this.recordedState(uid)
+		if (state !== undefined) this.terminalStates.add(state)
+	}
+
+	private recordedState(uid: string): TerminalState | undefined {
+		const terminal = this.service.jobs.terminalRecord(uid)
+		if (terminal === undefined) return undefined
+		return toTerminalState(uid, terminal.record, terminal.revision) ?? undefined
+	}
+
+	/** Keeps the terminal state of an archived job that a stream names; the longest kept ones are dropped. */
+	retainArchived(job: ArchivedJob): void {
+		const uid = jobIdOf(job.ordinal)
+		const { aborted, taskCount, doneCount, revision } = job
+		// Deleted first, so that it becomes the latest in the order of the map.
+		this.archivedStates.delete(uid)
+		this.archivedStates.set(uid, {
+			uid,
+			team: '',
+			state: aborted ? 'aborted' : 'done',
+			revision,
+			taskCount,
+			doneCount,
+		})
+		for (const oldest of this.archivedStates.keys()) {
+			if (this.archivedStates.size <= this.retained) break
+			this.archivedStates.delete(oldest)
+		}
+	}
+
+	// ---- records for streams ----
+
+	revision(): number {
+		return this.service.cache.revision
+	}
+
+	openJob(uid: string): OpenJob | undefined {
+		const record = this.service.jobs.get(uid)?.record
+		if (record?.spec === undefined || record.finalState !== undefined) return undefined
+		const { team, tasks: taskCount } = record.spec
+		const doneCount = countRecordedDone(uid, record, (key) => this.service.cache.get(key)?.data)
+		return { team, taskCount, doneCount, runningCount: this.runningCountOf(uid, record.shardId) }
+	}
+
+	private runningCountOf(uid: string, shardId: number): number | null {
+		const shard = this.service.shard(shardId)
+		if (shard !== undefined) {
+			if (!shard.isReconciled) return null
+			return shard.jobs.get(uid)?.runningCount() ?? 0
+		}
+		const { membership } = this.service
+		const owner = membership.ownerOf(shardId)
+		if (owner?.alive !== true || this.service.now() < (this.incompleteUntil.get(shardId) ?? 0)) return null
+		const status = membership.peers.find((peer) => peer.name === owner.name)?.status ?? null
+		return status === null ? null : Number(status.runningTasks[uid] ?? 0)
+	}
+
+	*openJobsOfTeam(team: string): Iterable<string> {
+		const { jobs } = this.service
+		for (const uid of jobs.openJobs) if (jobs.get(uid)?.record.spec?.team === team) yield uid
+	}
+
+	*runningTasks(): Iterable<[string, number]> {
+		yield* Object.entries(this.service.localRunningTasks())
+		const { membership } = this.service
+		for (const { name, status } of membership.peers) {
+			if (status === null || !membership.isAlive(name)) continue
+			for (const [uid, count] of Object.entries(status.runningTasks)) yield [uid, Number(count)]
+		}
+	}
+
+	// ---- id of the installation ----
+
+	/** The id that signs this installation's cursors; null: it is not known yet. */
+	installation(): string | null {
+		const data = this.service.cache.get(INSTALLATION_KEY)?.data
+		return typeof data === 'string' ? data : null
+	}
+
+	/** Proposes an id; it is stored only if the installation has none, and never changes afterwards. */
+	nameInstallation(id: string): void {
+		if (this.service.cache.revision < 0 || this.installation() !== null) return
+		const key = KEY_PREFIX + INSTALLATION_KEY
+		this.service.writeQueue.enqueue({
+			priority: WritePriority.progress,
+			build: () =>
+				this.installation() === null
+					? { conditions: [{ key, modRevision: 0 }], mutations: [{ set: key, data: id }] }
+					: null,
+			deadline: this.service.now() + this.service.config.limits.controllerLeaseMs,
+			onResult: () => {},
+		})
+	}
+}
--- a/packages/grpc/src/status.ts
+++ b/packages/grpc/src/status.ts
@@ -1,24 +1,30 @@
+/** Failures of calls: status codes, texts and retry delays. */
 import { Metadata, status } from '@grpc/grpc-js'
 import type { StreamRefusal } from '@heathroad/events'
 import type { HttpReply } from '@heathroad/wire'
 import protobuf from 'protobufjs'
 
-/** A call's end without an answer, as the library takes it. */
+/** A call's failure, as the gRPC library takes it. */
 export interface Failure {
 	code: status
 	details: string
 	metadata?: Metadata
 }
 
-const CODES: Readonly<Record<number, status>> = {
+/** Codes for the HTTP statuses of the service; any other status is UNAVAILABLE. */
+const CODE_BY_HTTP_STATUS: Readonly<Record<number, status>> = {
 	400: status.INVALID_ARGUMENT,
 	404: status.NOT_FOUND,
 	422: status.FAILED_PRECONDITION,
 	429: status.RESOURCE_EXHAUSTED,
 }
 
+/** Retry delay of a reply that may be retried and names none, in s. */
+const DEFAULT_RETRY_AFTER_S = 1
+const NANOS_PER_MS = 1_000_000
+
 // google.rpc.Status with a RetryInfo, as clients' libraries expect it in the trailers.
-const rpc = protobuf.parse(
+const googleRpc = protobuf.parse(
 	`
 	syntax = "proto3";
 	package google.rpc;
@@ -29,34 +35,40 @@
 `,
 	{ keepCase: true },
 ).root
-const Status = rpc.lookupType('google.rpc.Status')
-const RetryInfo = rpc.lookupType('google.rpc.RetryInfo')
+const Status = googleRpc.lookupType('google.rpc.Status')
+const RetryInfo = googleRpc.lookupType('google.rpc.RetryInfo')
 
-const details = (code: status, message: string, afterMs: number): Buffer => {
-	const retry_delay = { seconds: Math.floor(afterMs / 1000), nanos: (afterMs % 1000) * 1_000_000 }
+/** Encodes google.rpc.Status with a RetryInfo. */
+const encodeStatusDetails = (code: status, message: string, retryAfterMs: number): Buffer => {
+	const retry_delay = {
+		seconds: Math.floor(retryAfterMs / 1000),
+		nanos: (retryAfterMs % 1000) * NANOS_PER_MS,
+	}
 	const value = RetryInfo.encode({ retry_delay }).finish()
-	const any = { type_url: 'type.googleapis.com/google.rpc.RetryInfo', value }
-	return Buffer.from(Status.encode({ code, message, details: [any] }).finish())
+	const retryInfo = { type_url: 'type.googleapis.com/google.rpc.RetryInfo', value }
+	return Buffer.from(Status.encode({ code, message, details: [retryInfo] }).finish())
 }
 
-/** `retryAfterMs`: when to come back; it is told as `retry-after-ms` and as google.rpc.RetryInfo. */
+/** Builds a failure. `retryAfterMs` is sent as the trailer `retry-after-ms` and as google.rpc.RetryInfo. */
 export const failure = (code: status, text: string, retryAfterMs?: number): Failure => {
 	if (retryAfterMs === undefined) return { code, details: text }
 	const metadata = new Metadata()
-	const afterMs = Math.max(1, Math.ceil(retryAfterMs))
-	metadata.set('retry-after-ms', String(afterMs))
-	metadata.set('grpc-status-details-bin', details(code, text, afterMs))
+	const wholeMs = Math.max(1, Math.ceil(retryAfterMs))
+	metadata.set('retry-after-ms', String(wholeMs))
+	metadata.set('grpc-status-details-bin', encodeStatusDetails(code, text, wholeMs))
 	return { code, details: text, metadata }
 }
 
-/** What a reply of the service that is no job means here. What it gave up is UNAVAILABLE, with a time. */
+/** The failure for a reply of the service that is not a job. A status without a code of its own is UNAVAILABLE. */
 export const replyFailure = (reply: HttpReply, text: string): Failure => {
-	const code = CODES[reply.status] ?? status.UNAVAILABLE
-	const again = code === status.RESOURCE_EXHAUSTED || code === status.UNAVAILABLE
-	return failure(code, text, again ? (reply.retryAfterS ?? 1) * 1000 : undefined)
+	const code = CODE_BY_HTTP_STATUS[reply.status] ?? status.UNAVAILABLE
+	const isRetryable = code === status.RESOURCE_EXHAUSTED || code === status.UNAVAILABLE
+	if (!isRetryable) return failure(code, text)
+	return failure(code, text, (reply.retryAfterS ?? DEFAULT_RETRY_AFTER_S) * 1000)
 }
 
-export const refusalFailure = (r: StreamRefusal): Failure =>
-	r.reason === 'too many begin'
-		? failure(status.UNAVAILABLE, 'too many streams begin at once', r.retryAfterMs)
-		: failure(status.RESOURCE_EXHAUSTED, r.reason, r.retryAfterMs)
+/** The failure for a stream that was not admitted. */
+export const refusalFailure = ({ reason, retryAfterMs }: StreamRefusal): Failure =>
+	reason === 'too many begin'
+		? failure(status.UNAVAILABLE, 'too many streams begin at once', retryAfterMs)
+		: failure(status.RESOURCE_EXHAUSTED, reason, retryAfterMs)
--- /dev/null
+++ b/packages/grpc/src/watch-stream.ts
@@ -0,0 +1,137 @@
+/** One open Watch call: sends a subscription's events under the flow control of its reader. */
+import { Metadata, type ServerWritableStream, status } from '@grpc/grpc-js'
+import type { Sender, SendScheduler, StreamEndReason, Subscription } from '@heathroad/events'
+import type { EventMessage, WatchMessage } from '@heathroad/proto'
+import { eventMessage } from './event-message.js'
+import { type Failure, failure } from './status.js'
+
+export type WatchCall = ServerWritableStream<WatchMessage, Partial<EventMessage>>
+
+const END_FAILURES: Readonly<Record<StreamEndReason, () => Failure>> = {
+	// A short delay only: the client's own jitter spreads the readers further.
+	'not serving': () => failure(status.UNAVAILABLE, 'this controller cannot tell any more', 100),
+	'too slow': () => failure(status.RESOURCE_EXHAUSTED, 'the reader takes less than comes', 1000),
+	'too far behind': () => failure(status.OUT_OF_RANGE, 'what comes next is not kept any more'),
+}
+
+/** When a reader that takes nothing counts as stalled. */
+export interface StallLimits {
+	/** it has taken nothing for longer than this time, in ms */
+	stallMs: number
+	/** or more terminal states than this wait for it */
+	maxBacklog: number
+}
+
+/** What a stream needs of its server. */
+export interface WatchStreamContext {
+	scheduler: SendScheduler
+	/** steady time in ms */
+	now: () => number
+	/** called once, when the stream has ended for whatever reason */
+	onEnd: () => void
+}
+
+/** The stream of one reader. */
+export class WatchStream implements Sender {
+	/** the call's status has reached the reader, or its connection is closed */
+	isClosed = false
+	private subscription: Subscription | null = null
+	private hasEnded = false
+	/** since when the reader's flow control blocks, steady ms; null: it does not */
+	private blockedSince: number | null = null
+
+	constructor(
+		private readonly call: WatchCall,
+		private readonly context: WatchStreamContext,
+	) {
+		const closed = () => {
+			this.isClosed = true
+			this.finish()
+		}
+		call.once('cancelled', closed)
+		call.once('close', closed)
+		call.once('finish', closed)
+	}
+
+	/** The reader's IP:PORT. */
+	get peer(): string {
+		return this.call.getPeer()
+	}
+
+	/** Begins to send the events of a subscription; ends it if the call has ended meanwhile. */
+	start(subscription: Subscription): void {
+		if (this.hasEnded) return subscription.end(null)
+		this.subscription = subscription
+		// The headers go first: a stream without events for long that breaks before its first one must resume where it
+		// began, or jobs that became terminal meanwhile would never be delivered.
+		const headers = new Metadata()
+		headers.set('cursor', subscription.cursor())
+		this.call.sendMetadata(headers)
+		this.enqueue()
+	}
+
+	/** Schedules the stream for sending, unless its reader's flow control blocks. */
+	enqueue(): void {
+		if (!this.hasEnded && this.blockedSince === null) this.context.scheduler.enqueue(this)
+	}
+
+	send(): boolean {
+		const { subscription } = this
+		if (this.hasEnded || subscription === null || this.blockedSince !== null) return false
+		const event = subscription.next()
+		if (event === null) {
+			if (subscription.isComplete && !this.hasEnded) this.complete()
+			return false
+		}
+		if (this.call.write(eventMessage(event))) return true
+		this.blockedSince = this.context.now()
+		this.call.once('drain', () => {
+			this.blockedSince = null
+			this.enqueue()
+		})
+		return false
+	}
+
+	/** Whether the reader has taken nothing for too long, or is too far behind while it takes nothing. */
+	isStalled({ stallMs, maxBacklog }: StallLimits): boolean {
+		if (this.hasEnded || this.blockedSince === null) return false
+		if (this.context.now() - this.blockedSince > stallMs) return true
+		return (this.subscription?.backlog() ?? 0) > maxBacklog
+	}
+
+	/** Ends the stream and its subscription; the reader may resume at its cursor. */
+	endSubscription(reason: StreamEndReason): void {
+		this.subscription?.end(reason)
+	}
+
+	/** Fails the call because its subscription ended; the trailers hold the cursor at which to resume. */
+	subscriptionEnded(reason: StreamEndReason): void {
+		if (this.hasEnded) return
+		const cursor = this.subscription?.cursor() ?? ''
+		const ended = END_FAILURES[reason]()
+		const metadata = ended.metadata ?? new Metadata()
+		if (cursor !== '') metadata.set('cursor', cursor)
+		this.fail({ ...ended, metadata })
+	}
+
+	/** Ends the call with a failure. */
+	fail(callFailure: Failure): void {
+		if (this.hasEnded) return
+		this.finish()
+		this.call.emit('error', callFailure)
+	}
+
+	/** Ends the call with OK: the terminal state of every named job was sent. */
+	private complete(): void {
+		this.finish()
+		this.call.end()
+	}
+
+	private finish(): void {
+		if (this.hasEnded) return
+		this.hasEnded = true
+		this.context.scheduler.remove(this)
+		this.subscription?.end(null)
+		this.context.onEnd()
+	}
+}
--- a/packages/proto/src/convert.ts
+++ b/packages/proto/src/convert.ts
@@ -1,3 +1,4 @@
+/** Conversions between messages of the definition and the types and field names of the HTTP protocol. */
 import type { JobKind, JobSpec, JobStatus, Priority } from '@heathroad/wire'
 import { encodeSubmission } from '@heathroad/wire'
 import type { Job__Output } from './generated/heathroad/v1/Job.js'
@@ -7,41 +8,48 @@
 type PriorityName = SubmitRequest__Output['priority']
 type StateName = Job__Output['state']
 
-const KINDS: Record<JobKind, KindName> = { sweep: 'KIND_SWEEP', daemon: 'KIND_DAEMON', gang: 'KIND_GANG' }
-const PRIORITIES: Record<Priority, PriorityName> = {
+const KIND_NAMES: Record<JobKind, KindName> = {
+	sweep: 'KIND_SWEEP',
+	daemon: 'KIND_DAEMON',
+	gang: 'KIND_GANG',
+}
+const PRIORITY_NAMES: Record<Priority, PriorityName> = {
 	idle: 'PRIORITY_IDLE',
 	normal: 'PRIORITY_NORMAL',
 	urgent: 'PRIORITY_URGENT',
 	production: 'PRIORITY_PRODUCTION',
 }
-const STATES: Record<JobStatus, StateName> = {
+const STATE_NAMES: Record<JobStatus, StateName> = {
 	pending: 'STATE_PENDING',
 	running: 'STATE_RUNNING',
 	done: 'STATE_DONE',
 	aborted: 'STATE_CANCELLED',
 }
 
-const reversed = <A extends string, B extends string>(table: Record<A, B>) =>
-	new Map(Object.entries(table).map(([a, b]) => [b as B, a as A]))
+const invert = <Key extends string, Value extends string>(table: Record<Key, Value>): Map<Value, Key> =>
+	new Map(Object.entries(table).map(([key, value]) => [value as Value, key as Key]))
+
+const kindsByName = invert(KIND_NAMES)
+const prioritiesByName = invert(PRIORITY_NAMES)
+const statusesByName = invert(STATE_NAMES)
 
-const kinds = reversed(KINDS)
-const priorities = reversed(PRIORITIES)
-const states = reversed(STATES)
+// A value that a later version adds arrives as unspecified, which stands for the default.
+const kindOf = (name: KindName): JobKind => kindsByName.get(name) ?? 'sweep'
+const priorityOf = (name: PriorityName): Priority => prioritiesByName.get(name) ?? 'normal'
 
-/** Values that a later version adds are read as unspecified, which stands for the ordinary one. */
-const kindOf = (name: KindName): JobKind => kinds.get(name) ?? 'sweep'
-const priorityOf = (name: PriorityName): Priority => priorities.get(name) ?? 'normal'
+/** A job status as the definition names it. */
+export const stateName = (status: JobStatus): StateName => STATE_NAMES[status]
 
-export const stateName = (status: JobStatus): StateName => STATES[status]
-/** null: a state that this version does not know. */
-export const stateOf = (name: StateName): JobStatus | null => states.get(name) ?? null
+/** The job status of a state's name; null: this version does not know the state. */
+export const stateOf = (name: StateName): JobStatus | null => statusesByName.get(name) ?? null
 
+/** Encodes a job as the request of Submit. */
 export const toSubmitRequest = (job: JobSpec): SubmitRequest => ({
 	uid: job.uid,
 	job_class: job.jobClass,
 	team: job.team,
-	kind: KINDS[job.kind],
-	priority: PRIORITIES[job.priority],
+	kind: KIND_NAMES[job.kind],
+	priority: PRIORITY_NAMES[job.priority],
 	tasks: job.tasks,
 	cpus: job.cpus,
 	gpus: job.gpus,
@@ -59,32 +67,33 @@
 	...(job.dueS === null ? {} : { due_s: job.dueS }),
 })
 
-/** A submission as the protocol over HTTP has it: it is read, checked and refused there, by the same code. */
-export const toWire = (m: SubmitRequest__Output): Record<string, unknown> =>
+/** Converts a submission to its form in the HTTP protocol, so that the same code decodes, validates and refuses it. */
+export const toWire = (request: SubmitRequest__Output): Record<string, unknown> =>
 	encodeSubmission({
-		uid: m.uid,
-		jobClass: m.job_class,
-		team: m.team,
-		kind: kindOf(m.kind),
-		priority: priorityOf(m.priority),
-		tasks: m.tasks,
-		cpus: m.cpus,
-		gpus: m.gpus,
-		ramGb: m.ram_gb,
-		image: m.image,
-		imageGb: m.image_gb,
-		types: m.types.length === 0 ? null : m.types,
-		zone: m.zone === '' ? null : m.zone,
-		samePlace: m.same_place,
-		apart: m.apart,
-		spot: m.spot,
-		expectedS: m.expected_s,
-		checkpointS: m.checkpoint_s,
-		saveS: m.save_s,
-		dueS: m.due_s ?? null,
+		uid: request.uid,
+		jobClass: request.job_class,
+		team: request.team,
+		kind: kindOf(request.kind),
+		priority: priorityOf(request.priority),
+		tasks: request.tasks,
+		cpus: request.cpus,
+		gpus: request.gpus,
+		ramGb: request.ram_gb,
+		image: request.image,
+		imageGb: request.image_gb,
+		types: request.types.length === 0 ? null : request.types,
+		zone: request.zone === '' ? null : request.zone,
+		samePlace: request.same_place,
+		apart: request.apart,
+		spot: request.spot,
+		expectedS: request.expected_s,
+		checkpointS: request.checkpoint_s,
+		saveS: request.save_s,
+		dueS: request.due_s ?? null,
 	})
 
-const FIELDS: Record<string, keyof SubmitRequest> = {
+/** Field names of the definition by their names in the HTTP protocol, where they differ. */
+const FIELD_NAMES: Record<string, keyof SubmitRequest> = {
 	jobclass: 'job_class',
 	owner: 'team',
 	shape: 'kind',
@@ -103,8 +112,8 @@
 	dueS: 'due_s',
 }
 
-/** A field of the protocol over HTTP by its name here; `flavours.0` stands for one of several. */
-export const fieldName = (wire: string): string => {
-	const [first, ...rest] = wire.split('.')
-	return [FIELDS[first] ?? first, ...rest].join('.')
+/** The name in the definition of a field path of the HTTP protocol; `flavours.0` names one element of a list. */
+export const fieldName = (wirePath: string): string => {
+	const [first, ...rest] = wirePath.split('.')
+	return [FIELD_NAMES[first] ?? first, ...rest].join('.')
 }
--- a/packages/proto/src/definition.ts
+++ b/packages/proto/src/definition.ts
@@ -1,3 +1,4 @@
+/** Loads the service definition for servers, clients and reflection. */
 import type { GrpcObject } from '@grpc/grpc-js'
 import { loadPackageDefinition } from '@grpc/grpc-js'
 import { fromJSON, type PackageDefinition } from '@grpc/proto-loader'
@@ -7,8 +8,8 @@
 import type { ProtoGrpcType } from './generated/jobs.js'
 
 /**
- * The definition as the libraries for servers, clients and reflection take it, read from the text of the .proto file
- * that is part of the bundle. The types beside it are generated from the same file (`npm run proto`).
+ * Parses the definition from the text of the .proto file, which is part of the bundle. The types are generated from the
+ * same file (`npm run proto`).
  */
 export const jobsPackage = (): PackageDefinition => {
 	const { root } = protobuf.parse(text, { keepCase: true })
@@ -20,13 +21,16 @@
 	})
 }
 
-const typed = (definition: PackageDefinition): ProtoGrpcType =>
+// The library types a loaded package as a tree of unknown members; the generated types describe this one.
+const typedPackage = (definition: PackageDefinition): ProtoGrpcType =>
 	loadPackageDefinition(definition) as GrpcObject as unknown as ProtoGrpcType
 
+/** The service's methods with their serializers, for a server. */
 export const jobsService = (definition: PackageDefinition): JobsDefinition =>
-	typed(definition).heathroad.v1.Jobs.service
+	typedPackage(definition).heathroad.v1.Jobs.service
 
-export const jobsClient = () => typed(jobsPackage()).heathroad.v1.Jobs
+/** The constructor of the service's client. */
+export const jobsClient = () => typedPackage(jobsPackage()).heathroad.v1.Jobs
 
-/** The full name under which health is told. */
+/** The service's full name, under which its health is reported. */
 export const JOBS = 'heathroad.v1.Jobs'
--- a/packages/proto/src/text.d.ts
+++ b/packages/proto/src/text.d.ts
@@ -1,4 +1,4 @@
-/** Bundled as its text (`scripts/bundle.mjs`). */
+/** Imports of .proto files, which are bundled as text (`scripts/bundle.mjs`). */
 declare module '*.proto' {
 	const text: string
 	export default text
--- a/tests/grpc.test.ts
+++ b/tests/grpc.test.ts
@@ -15,49 +15,49 @@
 import { type EventMessage, jobsClient, toSubmitRequest } from '@heathroad/proto'
 import { arrayJob, RealClock, Simulation } from '@heathroad/testkit'
 
-/** One controller among stand-ins, in real time, with its face for gRPC. */
-const withFace = async (
-	more: Partial<ReturnType<typeof defaultGrpcSettings>>,
-	work: (at: {
+/** Runs `work` against the gRPC server of one controller among fakes, in real time. */
+const withServer = async (
+	settings: Partial<ReturnType<typeof defaultGrpcSettings>>,
+	work: (context: {
 		port: number
-		face: GrpcFace
-		world: Simulation
+		server: GrpcFace
+		simulation: Simulation
 		client: InstanceType<ReturnType<typeof jobsClient>>
 	}) => Promise<void>,
-	before: (world: Simulation) => void = () => {},
+	prepare: (simulation: Simulation) => void = () => {},
 ): Promise<void> => {
 	const clock = new RealClock()
 	const day = { seed: 1, untilS: 0, jobs: [], faults: [], controllers: 1, up: 4, capacity: 0 }
-	const world = new Simulation({ ...day, report: { reportS: 0.5, leaseS: 6, cancelS: 14 } }, clock)
-	let face: GrpcFace | null = null
+	const simulation = new Simulation({ ...day, report: { reportS: 0.5, leaseS: 6, cancelS: 14 } }, clock)
+	let server: GrpcFace | null = null
 	let started: Promise<number> = Promise.resolve(0)
-	world.started = (_, node) => {
-		face = new GrpcFace(node, { ...defaultGrpcSettings('127.0.0.1:0'), everyS: 0.1, ...more })
-		started = face.start()
+	simulation.started = (_, node) => {
+		server = new GrpcFace(node, { ...defaultGrpcSettings('127.0.0.1:0'), everyS: 0.1, ...settings })
+		started = server.start()
 	}
-	before(world)
-	world.begin()
+	prepare(simulation)
+	simulation.begin()
 	const port = await started
 	const Client = jobsClient()
 	const client = new Client(`127.0.0.1:${port}`, credentials.createInsecure())
 	try {
-		// The machine types and the installation's name are known a moment after the start.
-		for (let n = 0; n < 100; n++) {
-			const e = await failed(client.Watch({ uids: ['job-000000'] }), 150)
-			if (e === null || e.code !== status.UNAVAILABLE) break
+		// The machine types and the installation's id are known a moment after the start.
+		for (let attempt = 0; attempt < 100; attempt++) {
+			const error = await streamError(client.Watch({ uids: ['job-000000'] }), 150)
+			if (error === null || error.code !== status.UNAVAILABLE) break
 			await new Promise((done) => setTimeout(done, 50))
 		}
-		await work({ port, face: face!, world, client })
+		await work({ port, server: server!, simulation, client })
 	} finally {
 		client.close()
-		await face!.stop(0)
+		await server!.stop(0)
 		clock.stop()
-		await world.end()
+		await simulation.end()
 	}
 }
 
-/** How a stream ends within a time; null: it does not. */
-const failed = (call: ClientReadableStream<EventMessage>, ms = 3000): Promise<ServiceError | null> =>
+/** The error with which a stream ends within a time; null: it does not end. */
+const streamError = (call: ClientReadableStream<EventMessage>, ms = 3000): Promise<ServiceError | null> =>
 	new Promise((resolve) => {
 		const timer = setTimeout(() => {
 			resolve(null)
@@ -70,37 +70,49 @@
 		})
 	})
 
+/** The response of a unary call, or its error. */
 const unary = (
-	begin: (done: (e: ServiceError | null, a?: unknown) => void) => void,
-): Promise<ServiceError | unknown> => new Promise((resolve) => begin((e, a) => resolve(e ?? a)))
+	call: (done: (error: ServiceError | null, response?: unknown) => void) => void,
+): Promise<ServiceError | unknown> =>
+	new Promise((resolve) => call((error, response) => resolve(error ?? response)))
 
-test('calls and their statuses, as users of gRPC expect them', async () => {
-	await withFace({ uids: 5 }, async ({ client }) => {
+test('calls and their status codes, as users of gRPC expect them', async () => {
+	await withServer({ uids: 5 }, async ({ client }) => {
 		const submit = (job: object) => unary((done) => client.Submit(job, done))
-		const good = toSubmitRequest(
+		const validRequest = toSubmitRequest(
 			arrayJob('job-000001', { tasks: 2, expectedS: 0.3, imageGb: 0.1, spot: false }),
 		)
-		const job = (await submit(good)) as { uid: string; state: string; tasks: number }
+		const job = (await submit(validRequest)) as { uid: string; state: string; tasks: number }
 		assert.deepEqual([job.uid, job.state, job.tasks], ['job-000001', 'STATE_PENDING', 2])
-		assert.equal(((await submit(good)) as { uid: string }).uid, 'job-000001', 'a retry gets the job')
+		assert.equal(((await submit(validRequest)) as { uid: string }).uid, 'job-000001', 'a retry gets the job')
 		const cases: [name: string, answer: Promise<unknown>, code: status, says: RegExp][] = [
-			['no uid', submit({ ...good, uid: '' }), status.INVALID_ARGUMENT, /^uid: Expected "job-" followed/],
-			['no tasks', submit({ ...good, uid: 'job-000002', tasks: 0 }), status.INVALID_ARGUMENT, /^tasks: /],
+			[
+				'no uid',
+				submit({ ...validRequest, uid: '' }),
+				status.INVALID_ARGUMENT,
+				/^uid: Expected "job-" followed/,
+			],
+			[
+				'no tasks',
+				submit({ ...validRequest, uid: 'job-000002', tasks: 0 }),
+				status.INVALID_ARGUMENT,
+				/^tasks: /,
+			],
 			[
 				'no class',
-				submit({ ...good, uid: 'job-000002', job_class: '' }),
+				submit({ ...validRequest, uid: 'job-000002', job_class: '' }),
 				status.INVALID_ARGUMENT,
 				/^job_class: /,
 			],
 			[
-				'a team unknown',
-				submit({ ...good, uid: 'job-000002', team: 'x' }),
+				'an unknown team',
+				submit({ ...validRequest, uid: 'job-000002', team: 'x' }),
 				status.FAILED_PRECONDITION,
 				/unknown team x/,
 			],
 			[
 				'a task too large',
-				submit({ ...good, uid: 'job-000002', cpus: 99 }),
+				submit({ ...validRequest, uid: 'job-000002', cpus: 99 }),
 				status.FAILED_PRECONDITION,
 				/no allowed machine/,
 			],
@@ -117,23 +129,23 @@
 				status.NOT_FOUND,
 				/no such/,
 			],
-			['watching nothing', failed(client.Watch({})), status.INVALID_ARGUMENT, /one of the two/],
+			['watching nothing', streamError(client.Watch({})), status.INVALID_ARGUMENT, /one of the two/],
 			[
 				'watching both',
-				failed(client.Watch({ uids: ['job-000001'], team: 'core' })),
+				streamError(client.Watch({ uids: ['job-000001'], team: 'core' })),
 				status.INVALID_ARGUMENT,
 				/one of the two/,
 			],
-			['a wrong id', failed(client.Watch({ uids: ['job-1'] })), status.INVALID_ARGUMENT, /^uids: /],
+			['a wrong id', streamError(client.Watch({ uids: ['job-1'] })), status.INVALID_ARGUMENT, /^uids: /],
 			[
 				'too many ids',
-				failed(client.Watch({ uids: [1, 2, 3, 4, 5, 6].map((i) => `job-00000${i}`) })),
+				streamError(client.Watch({ uids: [1, 2, 3, 4, 5, 6].map((i) => `job-00000${i}`) })),
 				status.RESOURCE_EXHAUSTED,
 				/too many ids/,
 			],
 			[
 				'a made-up cursor',
-				failed(client.Watch({ team: 'core', cursor: 'x' })),
+				streamError(client.Watch({ team: 'core', cursor: 'x' })),
 				status.INVALID_ARGUMENT,
 				/^cursor: /,
 			],
@@ -146,57 +158,59 @@
 		const seen: string[] = []
 		for await (const e of client.Watch({ uids: ['job-000001'] }) as AsyncIterable<EventMessage>)
 			seen.push(e.state)
-		assert.equal(seen[seen.length - 1], 'STATE_DONE', 'and the stream ends with the last of its jobs')
+		assert.equal(seen[seen.length - 1], 'STATE_DONE', 'the stream ends once all of its jobs are terminal')
 		assert.equal(seen.filter((s) => s === 'STATE_DONE').length, 1)
 	})
 })
 
-test('streams beyond the bounds are refused at once with a time, in trailers and as RetryInfo', async () => {
-	await withFace({ streams: 3 }, async ({ client, face }) => {
+test('streams beyond the bounds are refused at once with a retry delay, in trailers and as RetryInfo', async () => {
+	await withServer({ streams: 3 }, async ({ client, server }) => {
 		const open = [1, 2, 3].map((i) => client.Watch({ uids: [`job-00000${i}`] }))
 		for (const s of open) s.on('error', () => {})
-		for (let n = 0; n < 50 && face.open < 3; n++) await new Promise((done) => setTimeout(done, 20))
-		const begun = Date.now()
-		const e = (await failed(client.Watch({ team: 'core' }))) as ServiceError
-		assert.ok(Date.now() - begun < 500, 'at once')
+		for (let attempt = 0; attempt < 50 && server.open < 3; attempt++)
+			await new Promise((done) => setTimeout(done, 20))
+		const startedAt = Date.now()
+		const e = (await streamError(client.Watch({ team: 'core' }))) as ServiceError
+		assert.ok(Date.now() - startedAt < 500, 'at once')
 		assert.equal(e.code, status.RESOURCE_EXHAUSTED)
 		assert.ok(Number(e.metadata.get('retry-after-ms')[0]) >= 1000)
 		const [details] = e.metadata.get('grpc-status-details-bin')
 		assert.match(Buffer.from(details as Buffer).toString('latin1'), /google\.rpc\.RetryInfo/)
 		open[0].cancel()
-		for (let n = 0; n < 50 && face.open > 2; n++) await new Promise((done) => setTimeout(done, 20))
-		assert.equal(face.open, 2, 'a place that was left is free')
+		for (let attempt = 0; attempt < 50 && server.open > 2; attempt++)
+			await new Promise((done) => setTimeout(done, 20))
+		assert.equal(server.open, 2, 'an ended stream makes room')
 		for (const s of open) s.cancel()
 	})
 })
 
-test('a controller that ends lets its streams go with UNAVAILABLE and their cursor', async () => {
-	await withFace({}, async ({ client, face }) => {
+test('a controller that shuts down ends its streams with UNAVAILABLE and their cursor', async () => {
+	await withServer({}, async ({ client, server }) => {
 		const stream = client.Watch({ team: 'core' })
-		const ended = failed(stream)
-		const began = new Promise<string>((done) =>
+		const ended = streamError(stream)
+		const firstCursor = new Promise<string>((done) =>
 			stream.once('metadata', (m) => done(String(m.get('cursor')[0]))),
 		)
-		// Told with the headers: it is all that a stream has which dies before its first event.
-		assert.match(String(await Promise.race([began, ended])), /^1\.p\./)
-		await face.stop(500)
+		// Sent with the headers: a stream that breaks before its first event has no other cursor.
+		assert.match(String(await Promise.race([firstCursor, ended])), /^1\.p\./)
+		await server.stop(500)
 		const e = await ended
 		assert.equal(e?.code, status.UNAVAILABLE)
 		assert.match(String(e?.metadata.get('cursor')[0]), /^1\./)
 	})
 })
 
-test('hostile peers: nothing that they send holds up the others', async () => {
-	await withFace({ connections: 12, stallS: 1 }, async ({ port, client }) => {
-		const calm = async (name: string) => {
+test('hostile peers: nothing that they send delays other clients', async () => {
+	await withServer({ connections: 12, stallS: 1 }, async ({ port, client }) => {
+		const assertServing = async (name: string) => {
 			const e = (await unary((d) => client.Get({ uid: 'job-009999' }, d))) as ServiceError
 			assert.equal(e.code, status.NOT_FOUND, name)
 		}
-		// No HTTP/2 at all, or nothing at all: closed, or of no matter.
+		// Bytes of other protocols, or none at all.
 		for (const text of ['GET / HTTP/1.1\r\nhost: x\r\n\r\n', '\x00'.repeat(100), '']) {
 			const socket = net.connect(port).on('error', () => {})
 			socket.write(text)
-			await calm('bytes that are no HTTP/2')
+			await assertServing('bytes that are not HTTP/2')
 			socket.destroy()
 		}
 		const session = http2.connect(`http://127.0.0.1:${port}`).on('error', () => {})
@@ -241,22 +255,25 @@
 			status.RESOURCE_EXHAUSTED,
 			'a frame too large',
 		)
-		const bent = codeOf(
+		const malformedCode = codeOf(
 			await raw('/heathroad.v1.Jobs/Get', {}, frame(4, Buffer.from([0xff, 0xff, 0xff, 0xff]))),
 		)
-		assert.ok(bent === status.INTERNAL || bent === status.INVALID_ARGUMENT, `a message that is none: ${bent}`)
-		const flood: http2.OutgoingHttpHeaders = {}
-		for (let i = 0; i < 400; i++) flood[`x-${i}`] = 'y'.repeat(200)
-		await raw('/heathroad.v1.Jobs/Get', flood)
-		await calm('a flood of headers')
+		assert.ok(
+			malformedCode === status.INTERNAL || malformedCode === status.INVALID_ARGUMENT,
+			`a malformed message: ${malformedCode}`,
+		)
+		const manyHeaders: http2.OutgoingHttpHeaders = {}
+		for (let i = 0; i < 400; i++) manyHeaders[`x-${i}`] = 'y'.repeat(200)
+		await raw('/heathroad.v1.Jobs/Get', manyHeaders)
+		await assertServing('a flood of headers')
 		session.destroy()
-		// Opens streams and never reads: no window for it at all.
-		const deaf = http2
+		// Opens streams and never reads: its flow-control window is zero.
+		const unread = http2
 			.connect(`http://127.0.0.1:${port}`, { settings: { initialWindowSize: 0 } })
 			.on('error', () => {})
 		const uids = frame(12, Buffer.from([0x0a, 10, ...Buffer.from('job-009998')]))
 		for (let i = 0; i < 50; i++) {
-			const s = deaf.request({
+			const s = unread.request({
 				':method': 'POST',
 				':path': '/heathroad.v1.Jobs/Watch',
 				'content-type': 'application/grpc',
@@ -265,27 +282,27 @@
 			s.on('error', () => {})
 			s.end(uids)
 		}
-		await calm('streams that nobody reads')
-		// More connections than there may be: those that are served go on.
-		const many = Array.from({ length: 30 }, () => net.connect(port).on('error', () => {}))
+		await assertServing('streams without a reader')
+		// More connections than allowed: those that are open are still served.
+		const connections = Array.from({ length: 30 }, () => net.connect(port).on('error', () => {}))
 		await new Promise((done) => setTimeout(done, 200))
-		await calm('more connections than may be')
-		for (const m of many) m.destroy()
-		deaf.destroy()
+		await assertServing('more connections than allowed')
+		for (const connection of connections) connection.destroy()
+		unread.destroy()
 	})
 })
 
-test('health and reflection answer beside the jobs', async () => {
-	await withFace({}, async ({ port }) => {
-		const plain = (x: Buffer) => x
+test('health and reflection are served beside the jobs', async () => {
+	await withServer({}, async ({ port }) => {
+		const identity = (bytes: Buffer) => bytes
 		const method = (path: string, stream: boolean) => ({
 			path,
 			requestStream: stream,
 			responseStream: stream,
-			requestSerialize: plain,
-			requestDeserialize: plain,
-			responseSerialize: plain,
-			responseDeserialize: plain,
+			requestSerialize: identity,
+			requestDeserialize: identity,
+			responseSerialize: identity,
+			responseDeserialize: identity,
 		})
 		const Raw = makeGenericClientConstructor(
 			{
@@ -314,32 +331,36 @@
 	})
 })
 
-test('jobs that were archived long ago: told like all others, and each final state once, over a resume', async () => {
-	const archive = (world: Simulation) => {
+test('archived jobs are delivered as all others are, each terminal state once, over a resume', async () => {
+	const archive = (simulation: Simulation) => {
 		const items = [
 			{ ordinal: ordinalOf('job-000100'), aborted: false, taskCount: 3, doneCount: 3, revision: 2 },
 			{ ordinal: ordinalOf('job-000200'), aborted: true, taskCount: 4, doneCount: 1, revision: 1 },
 		]
 		const leaf = { from: '', to: '~', depth: 0, deeper: false, packed: packJobs(items), modRevision: 0 }
-		world.state.put(archivePageKey(1, '~'), encodeArchivePage(leaf))
-		world.state.put('heathroad/history', { form: 2, turn: 1, legacy: false })
+		simulation.state.put(archivePageKey(1, '~'), encodeArchivePage(leaf))
+		simulation.state.put('heathroad/history', { form: 2, turn: 1, legacy: false })
 	}
-	await withFace(
+	await withServer(
 		{},
 		async ({ client }) => {
-			const brief = (j: unknown) => {
-				const { state, done, tasks } = j as { state: string; done: number; tasks: number }
+			const summary = (job: unknown) => {
+				const { state, done, tasks } = job as { state: string; done: number; tasks: number }
 				return [state, done, tasks]
 			}
-			assert.deepEqual(brief(await unary((d) => client.Get({ uid: 'job-000100' }, d))), ['STATE_DONE', 3, 3])
-			assert.deepEqual(brief(await unary((d) => client.Cancel({ uid: 'job-000200' }, d))), [
+			assert.deepEqual(summary(await unary((d) => client.Get({ uid: 'job-000100' }, d))), [
+				'STATE_DONE',
+				3,
+				3,
+			])
+			assert.deepEqual(summary(await unary((d) => client.Cancel({ uid: 'job-000200' }, d))), [
 				'STATE_CANCELLED',
 				1,
 				4,
 			])
 			const again = toSubmitRequest(arrayJob('job-000100', { tasks: 3 }))
-			assert.deepEqual(brief(await unary((d) => client.Submit(again, d))), ['STATE_DONE', 3, 3])
-			const heard = (uids: string[], cursor: string, ms: number) =>
+			assert.deepEqual(summary(await unary((d) => client.Submit(again, d))), ['STATE_DONE', 3, 3])
+			const watchFor = (uids: string[], cursor: string, ms: number) =>
 				new Promise<{ events: EventMessage[]; ended: boolean }>((resolve) => {
 					const call = client.Watch({ uids, cursor })
 					const events: EventMessage[] = []
@@ -352,7 +373,7 @@
 					call.on('end', () => done(true))
 					setTimeout(() => done(false), ms)
 				})
-			const both = await heard(['job-000100', 'job-000200'], '', 2000)
+			const both = await watchFor(['job-000100', 'job-000200'], '', 2000)
 			assert.deepEqual(
 				both.events.map((e) => [e.uid, e.state]),
 				[
@@ -360,17 +381,17 @@
 					['job-000200', 'STATE_CANCELLED'],
 				],
 			)
-			assert.ok(both.ended, 'nothing is left to tell')
-			const second = await heard(['job-000100', 'job-000200'], both.events[0].cursor, 2000)
+			assert.ok(both.ended, 'no event can follow')
+			const second = await watchFor(['job-000100', 'job-000200'], both.events[0].cursor, 2000)
 			assert.deepEqual(
 				second.events.map((e) => e.uid),
 				['job-000200'],
 			)
 			const three = ['job-000100', 'job-000200', 'job-000300']
-			const some = await heard(three, '', 600)
+			const some = await watchFor(three, '', 600)
 			assert.equal(some.events.length, 2)
-			assert.ok(!some.ended, 'one of them may yet be submitted')
-			const rest = await heard(three, some.events[1].cursor, 600)
+			assert.ok(!some.ended, 'one of the jobs may still be submitted')
+			const rest = await watchFor(three, some.events[1].cursor, 600)
 			assert.deepEqual(rest.events, [])
 		},
 		archive,
--- a/tests/streams.test.ts
+++ b/tests/streams.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'node:test'
 import { checkStreams } from '@heathroad/testkit'
 
-test('over real sockets, streams killed, controllers crashed and answers lost: one final answer of each job', async () => {
-	const proven = await checkStreams({ seed: 3, jobs: 30, forS: 60, everyMs: 250 })
-	const { missing, repeated, wentBack, strange, refused, broken, gaps } = proven
+test('over real sockets, with streams cut, controllers crashed and answers lost, each job has one terminal event', async () => {
+	const report = await checkStreams({ seed: 3, jobs: 30, forS: 60, everyMs: 250 })
+	const { missing, repeated, wentBack, strange, refused, broken, gaps } = report
 	assert.deepEqual(
 		{ missing, repeated, wentBack, strange, refused, broken, gaps },
 		{
@@ -17,6 +17,6 @@
 			gaps: 0,
 		},
 	)
-	assert.ok(proven.cuts >= 5 && proven.crashes >= 1, JSON.stringify(proven))
-	assert.ok(proven.events >= proven.jobs * proven.readers)
+	assert.ok(report.cuts >= 5 && report.crashes >= 1, JSON.stringify(report))
+	assert.ok(report.events >= report.jobs * report.readers)
 })
