--- a/packages/controller/src/heartbeat-handler.ts
+++ b/packages/controller/src/heartbeat-handler.ts
@@ -1,9 +1,9 @@
 /** Answers the heartbeats of a shard's machines; first heartbeats wait until the machine's address is durable. */
 import type { Command, Heartbeat } from '@heathroad/wire'
-import type { MachineGroupWriter } from './machine-group-writer.js'
 import { isNewerHeartbeat } from './heartbeat-order.js'
 import type { HeartbeatReconciler } from './heartbeat-reconciler.js'
 import type { MachineCommands } from './machine-commands.js'
+import type { MachineGroupWriter } from './machine-group-writer.js'
 import type { Machine } from './model.js'
 import type { Scheduler } from './scheduler.js'
 import type { ShardState } from './state.js'
--- a/packages/controller/src/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeat-reconciler.ts
@@ -1,7 +1,7 @@
 /** Reconciles a machine's heartbeat with the attempts that the shard has on record for that machine. */
 import type { Heartbeat, ReportedTask } from '@heathroad/wire'
-import type { AttemptTracker } from './attempt-tracker.js'
 import type { AdmissionGate } from './admission-gate.js'
+import type { AttemptTracker } from './attempt-tracker.js'
 import { isNewerHeartbeat } from './heartbeat-order.js'
 import type { Attempt, JobRun, Machine } from './model.js'
 import type { ShardState } from './state.js'
--- a/packages/controller/src/job-lifecycle.ts
+++ b/packages/controller/src/job-lifecycle.ts
@@ -5,8 +5,8 @@
 import type { AdmissionGate } from './admission-gate.js'
 import { createBudgetLedger } from './job-budget.js'
 import { JobRun, type Machine } from './model.js'
-import type { Scheduler } from './scheduler.js'
 import type { ScaleOut } from './scale-out.js'
+import type { Scheduler } from './scheduler.js'
 import type { ShardState } from './state.js'
 
 type FinalState = NonNullable<JobRecord['finalState']>
--- a/packages/controller/src/machine-remover.ts
+++ b/packages/controller/src/machine-remover.ts
@@ -1,6 +1,7 @@
 /** Removes machines from a shard: after their record went, or by returning them to the cloud (scale-in). */
-import type { MachineGroupWriter } from './machine-group-writer.js'
+
 import type { HeartbeatHandler } from './heartbeat-handler.js'
+import type { MachineGroupWriter } from './machine-group-writer.js'
 import type { Machine } from './model.js'
 import type { Scheduler } from './scheduler.js'
 import type { ShardState } from './state.js'
--- a/packages/controller/src/own-writes.ts
+++ b/packages/controller/src/own-writes.ts
@@ -1,7 +1,7 @@
 /** Own writes: keeps the watch cache up to date with transactions of this controller that were applied. */
 import { KEY_PREFIX } from '@heathroad/store'
 import type { Mutation } from '@heathroad/wire'
-import type { ShardPorts } from './model.js'
+import type { ShardPorts } from './ports.js'
 
 /**
  * Applies the values that a transaction set at `revision` to the watch cache, in their order. Deletions are left to the
--- a/packages/controller/src/ports.ts
+++ b/packages/controller/src/ports.ts
@@ -4,8 +4,8 @@
 import type { Log } from '@heathroad/logging'
 import type { CacheEntry, QueuedWrite } from '@heathroad/store'
 import type { Command, Heartbeat, JobSpec, MachineType, WireInteger } from '@heathroad/wire'
-import type { OfferAvailability } from './offer-availability.js'
 import type { AdmissionChecks } from './admission-checks.js'
+import type { OfferAvailability } from './offer-availability.js'
 
 /** Clocks. */
 export interface Clocks {
