--- a/packages/controller/src/admission-gate.ts
+++ b/packages/controller/src/admission-gate.ts
@@ -83,14 +83,12 @@
 
 	/** A task of the job is on a machine: if it was held here, it was released by a write that is not known here yet. */
 	onTaskSeen(uid: string): void {
-		if (!this.jobsByUid.has(uid)) return
-		this.drop(uid)
-		this.onReleased(uid)
+		this.release(uid)
 	}
 
 	/** Releases became durable, this shard's own among them. */
 	onJobsReleased(uids: readonly string[]): void {
-		for (const uid of uids) this.onTaskSeen(uid)
+		for (const uid of uids) this.release(uid)
 	}
 
 	/** Passes checks whose time is over, asks the questions that are due and writes releases. `now`: steady time in ms. */
@@ -101,6 +99,12 @@
 		this.releaseWriter.flush()
 	}
 
+	private release(uid: string): void {
+		if (!this.jobsByUid.has(uid)) return
+		this.drop(uid)
+		this.onReleased(uid)
+	}
+
 	private isHeld(job: PendingJob): boolean {
 		return this.jobsByUid.get(job.uid) === job
 	}
--- a/packages/controller/src/scale-out-plan.ts
+++ b/packages/controller/src/scale-out-plan.ts
@@ -43,7 +43,7 @@
 	job: JobRun
 	/** also fractions of a task */
 	tasks: number
-	/** estimated run time of a task */
+	/** estimated run time of a task, in seconds */
 	runS: number
 	/** rent at least one machine, however little it would have to do */
 	isForced: boolean
@@ -73,11 +73,12 @@
 	return Math.min(readyTasks.size, tasksThatFit(spec, { cpus: freeCpus, gpus: UNBOUNDED, ramGb: UNBOUNDED }))
 }
 
+/** Can spare machines of this offer run a task of the job, once they have room? */
 const canRunOn = ({ spec, taskCountByZone }: JobRun, spare: SpareCapacity): boolean =>
 	fits(spec, spare.type) && isAllowedOn(spec, spare) && isZoneAllowed(spec, spare.zone, taskCountByZone)
 
 /**
- * The part of a machine of this type that one waiting task asks to have rented. Urgent tasks do not wait in line for a
+ * The share of a machine of this type that one waiting task asks to have rented. Urgent tasks do not wait in line for a
  * slot, and a gang's tasks all run at once: they ask for a whole slot.
  */
 const machinesPerTask = (state: ShardState, job: JobRun, runS: number, type: MachineType): number => {
@@ -99,6 +100,7 @@
 		private readonly maxMachinesPerRental: number,
 	) {}
 
+	/** Is no machine wanted? */
 	get isEmpty(): boolean {
 		return this.demandByOffer.size === 0
 	}
