--- a/packages/controller/src/heartbeat-handler.ts
+++ b/packages/controller/src/heartbeat-handler.ts
@@ -16,8 +16,8 @@
 
 /** Response to a heartbeat: the fencing token that the machine is to accept, and commands. */
 export interface HeartbeatResponse {
-	token: number
-	orders: Command[]
+	fencingToken: number
+	commands: Command[]
 }
 
 /** Receives the response to a heartbeat; null if this controller is not the one to answer it. */
@@ -50,7 +50,7 @@
 		// An old heartbeat is late because packets were delayed: its task list is outdated, and its response is dropped.
 		if (!isNewerHeartbeat(heartbeat, machine)) {
 			machine.lastHeartbeatAt = now
-			return respond({ token: machine.fencingToken, orders: [] })
+			return respond({ fencingToken: machine.fencingToken, commands: [] })
 		}
 		this.dependencies.reconciler.reconcile(machine, heartbeat, { followsResponse: true })
 		// Counts from its arrival, whenever it is answered: a machine that waits for its first response is not silent.
@@ -78,7 +78,10 @@
 
 	private respond(machine: Machine, respond: RespondToHeartbeat): void {
 		machine.lastHeartbeatAt = this.state.ports.now()
-		respond({ token: machine.fencingToken, orders: this.dependencies.commands.forHeartbeat(machine) })
+		respond({
+			fencingToken: machine.fencingToken,
+			commands: this.dependencies.commands.forHeartbeat(machine),
+		})
 	}
 
 	/**
--- a/packages/controller/src/job-lifecycle.ts
+++ b/packages/controller/src/job-lifecycle.ts
@@ -76,7 +76,7 @@
 	private take(spec: JobSpec, record: JobRecord, { mayBeOnMachines }: JobIntake): void {
 		const { uid } = spec
 		const { ports, config } = this.state
-		const offers = this.dependencies.scaleOut.offers(spec, false)
+		const offers = this.dependencies.scaleOut.suitableOffers(spec, false)
 		const budget = createBudgetLedger(spec, offers, config.tuning.budgetMix)
 		const job = new JobRun(spec, record.acceptedAtMs ?? 0, budget, !mayBeOnMachines)
 		job.doneTasks = this.readDoneTasks(spec, record)
--- a/packages/controller/src/job-migrator.ts
+++ b/packages/controller/src/job-migrator.ts
@@ -3,7 +3,6 @@
 import { type TransactionContent, WritePriority, type WriteResult } from '@heathroad/store'
 import type { JobSpec } from '@heathroad/wire'
 import type { JobRun } from './model.js'
-import { applyOwnMutations } from './own-writes.js'
 import type { ShardState } from './state.js'
 
 /** Migrations take at most this share of the controller's writes. */
@@ -117,7 +116,7 @@
 	private onWritten(migration: Migration, content: TransactionContent | null, result: WriteResult): void {
 		if (result.kind === 'ok' && content !== null) {
 			this.finish(migration)
-			applyOwnMutations(this.state.ports, content.mutations, result.revision)
+			this.state.applyOwnMutations(content.mutations, result.revision)
 			return
 		}
 		if (result.kind === 'refused' && !migration.isUncertain) {
--- a/packages/controller/src/release-writer.ts
+++ b/packages/controller/src/release-writer.ts
@@ -3,7 +3,6 @@
 import { maxValueChars } from '@heathroad/config'
 import { type TransactionContent, WritePriority, type WriteResult } from '@heathroad/store'
 import type { PendingJob } from './check-questions.js'
-import { applyOwnMutations } from './own-writes.js'
 import type { ShardState } from './state.js'
 
 /** Release pages that one write may touch: keeps it small beside the other writes of a transaction. */
@@ -61,7 +60,7 @@
 	private onWritten({ mutations }: TransactionContent, result: WriteResult): void {
 		if (result.kind === 'ok') {
 			// The pages decide which jobs may start; a job that found no room on them is part of the next write.
-			applyOwnMutations(this.state.ports, mutations, result.revision)
+			this.state.applyOwnMutations(mutations, result.revision)
 			this.flush()
 		} else if (result.kind !== 'refused') this.state.ports.refreshCache(() => this.flush())
 	}
--- a/packages/controller/src/scale-out.ts
+++ b/packages/controller/src/scale-out.ts
@@ -34,7 +34,7 @@
 	}
 
 	/** Offers that can run a task of the job; with `nowOpen` only those that were not refused just now. */
-	offers(spec: JobSpec, nowOpen: boolean): InstanceOffer[] {
+	suitableOffers(spec: JobSpec, nowOpen: boolean): InstanceOffer[] {
 		return nowOpen ? availableOffers(this.state, spec) : suitableOffers(this.state, spec)
 	}
 
@@ -69,7 +69,7 @@
 	}
 
 	/** Carries out the recorded intent of a rental, also one of a former owner. */
-	rentRecordedGroup(name: string, record: MachineGroupRecord): void {
+	resumeRental(name: string, record: MachineGroupRecord): void {
 		this.rentals.rentRecordedGroup(name, record)
 	}
 
--- a/packages/controller/src/shard.ts
+++ b/packages/controller/src/shard.ts
@@ -114,7 +114,7 @@
 			const mayBeOnMachines = !this.state.reconciled
 			if (job !== undefined) this.jobLifecycle.onJobChanged(uid, job.record, { mayBeOnMachines })
 		}
-		for (const [name, record] of openRentals) this.scaleOut.rentRecordedGroup(name, record)
+		for (const [name, record] of openRentals) this.scaleOut.resumeRental(name, record)
 		this.takeover.probeUnconfirmed()
 		this.ports.log('info', 'shard reconciling', {
 			part: this.shardId,
--- a/packages/server/src/heartbeat-router.ts
+++ b/packages/server/src/heartbeat-router.ts
@@ -74,7 +74,7 @@
 		if (shard === undefined || this.context.membership.leadership() === 'none') return respond(UNAVAILABLE)
 		shard.handleHeartbeat(heartbeat, (answer) => {
 			if (answer === null) return respond(UNAVAILABLE)
-			respond({ status: 200, body: encodeCommands(answer.token, answer.orders) })
+			respond({ status: 200, body: encodeCommands(answer.fencingToken, answer.commands) })
 		})
 	}
 }
--- a/tests/shard.test.ts
+++ b/tests/shard.test.ts
@@ -76,7 +76,7 @@
 	const deliver = (heartbeat: Heartbeat): Command[] => {
 		let commands: Command[] = []
 		shard.handleHeartbeat(heartbeat, (response) => {
-			commands = response?.orders ?? []
+			commands = response?.commands ?? []
 		})
 		return commands
 	}
