--- a/packages/config/src/plugin-settings.ts
+++ b/packages/config/src/plugin-settings.ts
@@ -11,6 +11,7 @@
 
 /** What an operator can permit a plug-in to see beside the job that it checks. */
 export const PLUGIN_PERMISSIONS = ['node', 'team-jobs'] as const
+/** One permission. */
 export type PluginPermission = (typeof PLUGIN_PERMISSIONS)[number]
 
 /** An operator's settings of one plug-in. */
