--- a/packages/store/src/client.ts
+++ b/packages/store/src/client.ts
@@ -1,124 +1,157 @@
-import type { Condition, HttpClient, KeyValue, Mutation, NoResponse } from '@heathroad/wire'
+/** Client of the state service: a key-value store with transactions, watches and leases, spoken to over HTTP. */
+import type {
+	Condition,
+	HttpClient,
+	HttpResponse,
+	Mutation,
+	NoResponse,
+	RangeResponse,
+	WatchResponse,
+} from '@heathroad/wire'
 import { encodeTransaction, isMap, parseRangeResponse, parseWatchResponse } from '@heathroad/wire'
 import { Data, Effect } from 'effect'
 
-/** Not executed: over a limit, or an outage. Safe to send again. */
+/** Not executed, because of a rate limit or an outage. Safe to send again. */
 export class RequestRejected extends Data.TaggedError('RequestRejected')<{ readonly status: number }> {}
-/** The grant is over; keys can no longer be attached to it. */
+/** The lease has expired; keys can no longer be attached to it. */
 export class LeaseExpired extends Data.TaggedError('LeaseExpired') {}
-/** The watch's starting point is no longer kept; the keys have to be read again. */
+/** The watch's starting revision is no longer kept; all keys have to be read again. */
 export class RevisionCompacted extends Data.TaggedError('RevisionCompacted') {}
 
+/** `failedKeys`: keys of conditions that did not hold. */
 export type TransactionResult =
 	| { ok: true; revision: number }
 	| { ok: false; failedKeys: string[]; revision: number }
+
+/** What any request may fail with. `NoResponse`: it may have been executed, or may be later. */
 export type StoreFailure = NoResponse | RequestRejected
 
-/** All keys of the service share one root, so that one watch sees every change in order. */
+/** All keys of heathroad share one prefix, so that one watch sees every change in order. */
 export const KEY_PREFIX = 'heathroad/'
 
-export interface RangePage {
-	entries: KeyValue[]
-	more: boolean
-	revision: number
-}
+/** One page of a range read. */
+export type RangePage = RangeResponse
 
+/** Requests to the state service. Each is sent once: retrying is the caller's decision. */
 export interface StoreClient {
+	/** Applies all mutations if all conditions hold, else none. */
 	transact(
 		conditions: readonly Condition[],
 		mutations: readonly Mutation[],
 	): Effect.Effect<TransactionResult, StoreFailure | LeaseExpired>
-	/** Keys under a prefix in their order, from behind one on, as many as asked for, at most 1,000 and 512 KiB. */
-	list(under: string, from: string | null, size: number): Effect.Effect<RangePage, StoreFailure>
-	/** Changes behind an revision, under a prefix; the service's own keys if none is given. */
+	/**
+	 * Keys with a prefix in their order, after a key (null: from the first on), as many as asked for, at most 1,000 and
+	 * 512 KiB.
+	 */
+	list(prefix: string, after: string | null, size: number): Effect.Effect<RangePage, StoreFailure>
+	/** Changes after a revision of keys with a prefix, by default `KEY_PREFIX`; waits at most `blockMs` for the first. */
 	watch(
-		from: number,
+		afterRevision: number,
 		blockMs: number,
-		under?: string,
-	): Effect.Effect<{ revision: number; log: KeyValue[] }, StoreFailure | RevisionCompacted>
-	grantLease(lifeMs: number): Effect.Effect<number, StoreFailure>
-	renewLease(grant: number): Effect.Effect<void, StoreFailure | LeaseExpired>
-	/** Ends it now, with the keys that are attached to it. */
-	revokeLease(grant: number): Effect.Effect<void, StoreFailure>
+		prefix?: string,
+	): Effect.Effect<WatchResponse, StoreFailure | RevisionCompacted>
+	/** Returns the id of a new lease. */
+	grantLease(durationMs: number): Effect.Effect<number, StoreFailure>
+	renewLease(leaseId: number): Effect.Effect<void, StoreFailure | LeaseExpired>
+	/** Ends the lease now; removes the keys that are attached to it. */
+	revokeLease(leaseId: number): Effect.Effect<void, StoreFailure>
+}
+
+const OK = 200
+const BAD_REQUEST = 400
+const NOT_FOUND = 404
+const CONFLICT = 409
+const GONE = 410
+const TOO_MANY_REQUESTS = 429
+const SERVER_ERROR = 500
+
+/** A response that the client does not understand: treated as rejected. */
+const malformed = ({ status }: HttpResponse) => Effect.fail(new RequestRejected({ status }))
+
+const decodeTransactionResult = (
+	response: HttpResponse,
+): Effect.Effect<TransactionResult, StoreFailure | LeaseExpired> => {
+	const { status, body } = response
+	const revision = isMap(body) ? Number(body.epoch) : Number.NaN
+	if (status === OK && Number.isFinite(revision)) return Effect.succeed({ ok: true, revision })
+	if (status === CONFLICT && isMap(body)) {
+		const failedKeys = Array.isArray(body.failed) ? body.failed.map(String) : []
+		return Effect.succeed({ ok: false, failedKeys, revision })
+	}
+	if (status === BAD_REQUEST && isMap(body) && String(body.error).includes('lease'))
+		return Effect.fail(new LeaseExpired())
+	return malformed(response)
+}
+
+const decodeRange = (response: HttpResponse): Effect.Effect<RangePage, StoreFailure> => {
+	const page = response.status === OK ? parseRangeResponse(response.body) : null
+	return page === null ? malformed(response) : Effect.succeed(page)
+}
+
+const decodeWatch = (
+	response: HttpResponse,
+): Effect.Effect<WatchResponse, StoreFailure | RevisionCompacted> => {
+	if (response.status === GONE) return Effect.fail(new RevisionCompacted())
+	const changes = response.status === OK ? parseWatchResponse(response.body) : null
+	return changes === null ? malformed(response) : Effect.succeed(changes)
 }
 
+const decodeGrantedLease = (response: HttpResponse): Effect.Effect<number, StoreFailure> => {
+	const { status, body } = response
+	if (status === OK && isMap(body) && typeof body.grant === 'number') return Effect.succeed(body.grant)
+	return malformed(response)
+}
+
+const decodeRenewal = (response: HttpResponse): Effect.Effect<void, StoreFailure | LeaseExpired> => {
+	if (response.status === OK) return Effect.void
+	return response.status === NOT_FOUND ? Effect.fail(new LeaseExpired()) : malformed(response)
+}
+
+const decodeRevocation = (response: HttpResponse): Effect.Effect<void, StoreFailure> =>
+	response.status === OK || response.status === NOT_FOUND ? Effect.void : malformed(response)
+
+/**
+ * Makes a client.
+ *
+ * @param timeoutMs of a request that neither blocks nor reads a page; a page may take twice as long
+ * @param onContact called after each request: did the service answer, and not with a server error?
+ */
 export const createStoreClient = (
 	httpClient: HttpClient,
 	address: string,
 	timeoutMs: number,
-	heard: (ok: boolean) => void,
+	onContact: (answered: boolean) => void,
 ): StoreClient => {
-	const call = (method: string, path: string, body: unknown, wait: number) =>
-		httpClient.request(address, method, path, body, wait).pipe(
-			Effect.tapError(() => Effect.sync(() => heard(false))),
-			Effect.flatMap((answer) => {
-				const refused = answer.status === 429 || answer.status >= 500
+	const request = (method: string, path: string, body: unknown, requestTimeoutMs = timeoutMs) =>
+		httpClient.request(address, method, path, body, requestTimeoutMs).pipe(
+			Effect.tapError(() => Effect.sync(() => onContact(false))),
+			Effect.flatMap((response) => {
+				const { status } = response
 				// 429 comes from a service that is alive; only a 5xx hints at an outage.
-				heard(answer.status < 500)
-				return refused ? Effect.fail(new RequestRejected({ status: answer.status })) : Effect.succeed(answer)
+				onContact(status < SERVER_ERROR)
+				const isRejected = status === TOO_MANY_REQUESTS || status >= SERVER_ERROR
+				return isRejected ? Effect.fail(new RequestRejected({ status })) : Effect.succeed(response)
 			}),
 		)
-	const unreadable = (status: number) => Effect.fail(new RequestRejected({ status }))
 	return {
 		transact: (conditions, mutations) =>
-			call('POST', '/txn', encodeTransaction(conditions, mutations), timeoutMs).pipe(
-				Effect.flatMap(({ status, body }): Effect.Effect<TransactionResult, StoreFailure | LeaseExpired> => {
-					const revision = isMap(body) ? Number(body.epoch) : Number.NaN
-					if (status === 200 && Number.isFinite(revision)) return Effect.succeed({ ok: true, revision })
-					if (status === 409 && isMap(body)) {
-						const failedKeys = Array.isArray(body.failed) ? body.failed.map(String) : []
-						return Effect.succeed({ ok: false, failedKeys, revision })
-					}
-					if (status === 400 && isMap(body) && String(body.error).includes('lease'))
-						return Effect.fail(new LeaseExpired())
-					return unreadable(status)
-				}),
+			request('POST', '/txn', encodeTransaction(conditions, mutations)).pipe(
+				Effect.flatMap(decodeTransactionResult),
 			),
-		list: (under, from, size) => {
-			const after = from === null ? '' : `&from=${from}`
-			return call('GET', `/store?under=${under}${after}&page=${size}`, undefined, timeoutMs * 2).pipe(
-				Effect.flatMap(({ status, body }) => {
-					const page = status === 200 ? parseRangeResponse(body) : null
-					return page === null ? unreadable(status) : Effect.succeed(page)
-				}),
-			)
+		list: (prefix, after, size) => {
+			const from = after === null ? '' : `&from=${after}`
+			const path = `/store?under=${prefix}${from}&page=${size}`
+			return request('GET', path, undefined, timeoutMs * 2).pipe(Effect.flatMap(decodeRange))
 		},
-		watch: (from, blockMs, under = KEY_PREFIX) =>
-			call(
-				'GET',
-				`/watch?under=${under}&from=${from}&blockMs=${blockMs}`,
-				undefined,
-				blockMs + timeoutMs,
-			).pipe(
-				Effect.flatMap(
-					({
-						status,
-						body,
-					}): Effect.Effect<{ revision: number; log: KeyValue[] }, StoreFailure | RevisionCompacted> => {
-						if (status === 410) return Effect.fail(new RevisionCompacted())
-						const log = status === 200 ? parseWatchResponse(body) : null
-						return log === null ? unreadable(status) : Effect.succeed(log)
-					},
-				),
-			),
-		grantLease: (lifeMs) =>
-			call('POST', '/grants', { lifeMs }, timeoutMs).pipe(
-				Effect.flatMap(({ status, body }) =>
-					status === 200 && isMap(body) && typeof body.grant === 'number'
-						? Effect.succeed(body.grant)
-						: unreadable(status),
-				),
-			),
-		renewLease: (grant) =>
-			call('POST', `/grants/${grant}/extend`, {}, timeoutMs).pipe(
-				Effect.flatMap(({ status }): Effect.Effect<void, StoreFailure | LeaseExpired> => {
-					if (status === 200) return Effect.void
-					return status === 404 ? Effect.fail(new LeaseExpired()) : unreadable(status)
-				}),
-			),
-		revokeLease: (grant) =>
-			call('DELETE', `/grants/${grant}`, undefined, timeoutMs).pipe(
-				Effect.flatMap(({ status }) => (status === 200 || status === 404 ? Effect.void : unreadable(status))),
-			),
+		watch: (afterRevision, blockMs, prefix = KEY_PREFIX) => {
+			const path = `/watch?under=${prefix}&from=${afterRevision}&blockMs=${blockMs}`
+			return request('GET', path, undefined, blockMs + timeoutMs).pipe(Effect.flatMap(decodeWatch))
+		},
+		grantLease: (durationMs) =>
+			request('POST', '/grants', { lifeMs: durationMs }).pipe(Effect.flatMap(decodeGrantedLease)),
+		renewLease: (leaseId) =>
+			request('POST', `/grants/${leaseId}/extend`, {}).pipe(Effect.flatMap(decodeRenewal)),
+		revokeLease: (leaseId) =>
+			request('DELETE', `/grants/${leaseId}`, undefined).pipe(Effect.flatMap(decodeRevocation)),
 	}
 }
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,4 +1,5 @@
+/** Access to the state service: its client, a cache of all keys, and a queue for writes. */
 export * from './client.js'
-export * from './mirror.js'
-export * from './pace.js'
-export * from './writer.js'
+export * from './request-pacer.js'
+export * from './watch-cache.js'
+export * from './write-queue.js'
--- a/tests/store.test.ts
+++ b/tests/store.test.ts
@@ -1,196 +1,218 @@
+/** The write queue's transactions, accepted batches in the order of their revisions, and shared linearizable reads. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { type AcceptedJobRecord, decodeJobRecord, encodeAcceptedBatch, JobRegistry } from '@heathroad/cluster'
 import {
+	type CacheListener,
 	KEY_PREFIX,
 	type QueuedWrite,
 	RequestRejected,
 	type StoreClient,
+	type TransactionContent,
+	type TransactionResult,
 	WatchCache,
 	WritePriority,
 	WriteQueue,
 	type WriteResult,
 } from '@heathroad/store'
 import { arrayJob, VirtualClock } from '@heathroad/testkit'
-import type { Condition, Mutation } from '@heathroad/wire'
 import { Effect } from 'effect'
 
-interface Txn {
-	conditions: readonly Condition[]
-	changes: readonly Mutation[]
-}
+/** Lets all microtasks run. */
+const runMicrotasks = () => new Promise((done) => setImmediate(done))
+
+const writtenKeys = ({ mutations }: TransactionContent) =>
+	mutations.map((mutation) => ('set' in mutation ? mutation.set : mutation.delete)).join(' ')
 
-const settle = () => new Promise((done) => setImmediate(done))
-const keys = (t: Txn) => t.changes.map((c) => ('set' in c ? c.set : c.delete)).join(' ')
+const SUCCESS: TransactionResult = { ok: true, revision: 1 }
 
-const writer = (
-	answer: (t: Txn) => { ok: true; revision: number } | { ok: false; failedKeys: string[]; revision: number },
-) => {
-	const sent: Txn[] = []
-	const client = {
-		transact: (conditions: readonly Condition[], changes: readonly Mutation[]) => {
-			sent.push({ conditions, changes })
-			return Effect.succeed(answer({ conditions, changes }))
+/** A write queue at a state service that answers each transaction at once. */
+const createQueue = (answer: (transaction: TransactionContent) => TransactionResult) => {
+	const sent: TransactionContent[] = []
+	const client: Pick<StoreClient, 'transact'> = {
+		transact: (conditions, mutations) => {
+			sent.push({ conditions, mutations })
+			return Effect.succeed(answer({ conditions, mutations }))
 		},
-	} as unknown as StoreClient
-	return {
-		sent,
-		writer: new WriteQueue(client, { writesPerS: 5, burst: 15, maxOperations: 4, maxBytes: 10_000 }, () => 0),
 	}
+	const limits = { writesPerS: 5, burst: 15, maxOperations: 4, maxBytes: 10_000 }
+	return { sent, queue: new WriteQueue(client as StoreClient, limits, () => 0) }
 }
 
-const write = (
-	urgency: number,
-	set: string,
-	modRevision: number,
-	log: string[],
-	data: unknown = 1,
-): QueuedWrite => ({
-	priority: urgency,
+/** A write of one key, which logs its result. */
+const createWrite = (priority: number, key: string, modRevision: number, log: string[]): QueuedWrite => ({
+	priority,
 	deadline: 1000,
-	build: () => ({ conditions: [{ key: set, modRevision }], mutations: [{ set, data }] }),
-	onResult: (r: WriteResult) => log.push(`${set}: ${r.kind}`),
+	build: () => ({ conditions: [{ key, modRevision }], mutations: [{ set: key, data: 1 }] }),
+	onResult: (result: WriteResult) => log.push(`${key}: ${result.kind}`),
 })
 
 test('what a transaction holds', async () => {
 	const cases: {
 		name: string
-		writes: [urgency: number, key: string, modRevision: number][]
-		want: string[]
+		writes: [priority: number, key: string, modRevision: number][]
+		transactions: string[]
 	}[] = [
 		{
-			name: 'what is submitted together goes together, the urgent first',
+			name: 'writes that are enqueued together go together, those of higher priority first',
 			writes: [
 				[WritePriority.progress, 'p', 1],
 				[WritePriority.user, 'u', 0],
 				[WritePriority.rental, 'r', 0],
 			],
-			want: ['r u p'],
+			transactions: ['r u p'],
 		},
 		{
 			// Both hold while the key is at 7; in one transaction the second would undo the first unseen.
-			name: 'an outcome and a cancellation of one job never share one',
+			name: 'an outcome and a cancellation of one job never share a transaction',
 			writes: [
 				[WritePriority.user, 'job', 7],
 				[WritePriority.outcome, 'job', 7],
 				[WritePriority.outcome, 'x', 1],
 			],
-			want: ['job x', 'job'],
+			transactions: ['job x', 'job'],
 		},
 		{
-			name: 'no more changes than a transaction may have',
+			name: 'no more operations than a transaction may have',
 			writes: [1, 2, 3, 4, 5].map((n): [number, string, number] => [WritePriority.user, `k${n}`, 0]),
-			want: ['k1 k2 k3 k4', 'k5'],
+			transactions: ['k1 k2 k3 k4', 'k5'],
 		},
 	]
-	for (const c of cases) {
-		const w = writer(() => ({ ok: true, revision: 1 }))
+	for (const { name, writes, transactions } of cases) {
+		const { queue, sent } = createQueue(() => SUCCESS)
 		const log: string[] = []
-		for (const [urgency, key, modRevision] of c.writes)
-			w.writer.enqueue(write(urgency, key, modRevision, log))
-		assert.deepEqual(log, [], 'nothing is settled before submit returns')
-		await settle()
-		assert.deepEqual(w.sent.map(keys), c.want, c.name)
-		assert.equal(log.length, c.writes.length, c.name)
+		for (const [priority, key, modRevision] of writes)
+			queue.enqueue(createWrite(priority, key, modRevision, log))
+		assert.deepEqual(log, [], 'no write has a result before enqueue returns')
+		await runMicrotasks()
+		assert.deepEqual(sent.map(writtenKeys), transactions, name)
+		assert.equal(log.length, writes.length, name)
 	}
 })
 
-test('a stale write fails alone, a needless one is not sent, a raised one goes ahead', async () => {
+test('a stale write fails alone, an obsolete one is not sent, one with raised priority goes first', async () => {
 	const log: string[] = []
-	const w = writer((t) =>
-		t.conditions.some((c) => c.key === 'stale')
+	const { queue } = createQueue(({ conditions }) =>
+		conditions.some(({ key }) => key === 'stale')
 			? { ok: false, failedKeys: ['stale'], revision: 1 }
 			: { ok: true, revision: 2 },
 	)
-	w.writer.enqueue(write(WritePriority.user, 'good', 0, log))
-	w.writer.enqueue(write(WritePriority.user, 'stale', 3, log))
-	w.writer.enqueue({ ...write(WritePriority.user, 'needless', 0, log), build: () => null })
-	await settle()
-	assert.deepEqual([...log].sort(), ['good: ok', 'needless: refused', 'stale: conflict'])
+	queue.enqueue(createWrite(WritePriority.user, 'good', 0, log))
+	queue.enqueue(createWrite(WritePriority.user, 'stale', 3, log))
+	queue.enqueue({ ...createWrite(WritePriority.user, 'obsolete', 0, log), build: () => null })
+	await runMicrotasks()
+	assert.deepEqual([...log].sort(), ['good: ok', 'obsolete: refused', 'stale: conflict'])
 
-	const order = writer(() => ({ ok: true, revision: 1 }))
-	const late = write(WritePriority.progress, 'late', 0, log)
-	for (let n = 0; n < 4; n++) order.writer.enqueue(write(WritePriority.outcome, `o${n}`, 0, log))
-	order.writer.enqueue(late)
-	order.writer.raisePriority(late, WritePriority.rental)
-	await settle()
-	assert.match(keys(order.sent[0]), /^late /)
+	const raising = createQueue(() => SUCCESS)
+	const late = createWrite(WritePriority.progress, 'late', 0, log)
+	for (let n = 0; n < 4; n++) raising.queue.enqueue(createWrite(WritePriority.outcome, `o${n}`, 0, log))
+	raising.queue.enqueue(late)
+	raising.queue.raisePriority(late, WritePriority.rental)
+	await runMicrotasks()
+	assert.match(writtenKeys(raising.sent[0]), /^late /)
 })
 
-const record = (uid: string, part: number): AcceptedJobRecord => ({
-	shardId: part,
+const acceptedJob = (uid: string, shardId: number): AcceptedJobRecord => ({
+	shardId,
 	spec: arrayJob(uid),
 	acceptedAtMs: 0,
 })
 
-test('of two records that accept one job the earlier counts, in whatever order they are read', () => {
+/** A watch cache that feeds a job registry; `accepted`: jobs that the registry took from batches, in order. */
+const createRegistry = () => {
+	const accepted: string[] = []
+	const listener: CacheListener = (key, entry) => {
+		if (key.startsWith('intake/')) {
+			for (const { spec, shardId } of registry.onBatchAccepted(entry?.data))
+				accepted.push(`${spec?.uid} ${shardId}`)
+			return
+		}
+		const record = decodeJobRecord(entry?.data)
+		if (record === null) assert.fail(`no job's record under ${key}`)
+		registry.onJobRecordChanged(key.slice('job/'.length), record)
+	}
+	const cache = new WatchCache(listener, 1, () => 0)
+	const registry = new JobRegistry(cache)
+	return { cache, registry, accepted }
+}
+
+test('of two batches that accept one job the earlier counts, in whatever order they are read', () => {
 	const first = {
 		key: `${KEY_PREFIX}intake/z`,
-		data: encodeAcceptedBatch([record('job-000001', 1)]),
+		data: encodeAcceptedBatch([acceptedJob('job-000001', 1)]),
 		modRevision: 5,
 	}
 	const second = {
 		key: `${KEY_PREFIX}intake/a`,
-		data: encodeAcceptedBatch([record('job-000001', 2), record('job-000002', 2)]),
+		data: encodeAcceptedBatch([acceptedJob('job-000001', 2), acceptedJob('job-000002', 2)]),
 		modRevision: 6,
 	}
-	const own = { key: `${KEY_PREFIX}job/job-000001`, data: { part: 1, final: 'done' }, modRevision: 9 }
-	const cases = [
-		{ name: 'watched', play: (m: WatchCache) => m.applyEvents(6, [first, second]) },
-		{ name: 'read in the order of keys', play: (m: WatchCache) => m.replaceAll(6, [second, first]) },
+	const ownRecord = { key: `${KEY_PREFIX}job/job-000001`, data: { part: 1, final: 'done' }, modRevision: 9 }
+	const cases: { name: string; read: (cache: WatchCache) => void }[] = [
+		{ name: 'watched', read: (cache) => cache.applyEvents(6, [first, second]) },
+		{ name: 'read in the order of keys', read: (cache) => cache.replaceAll(6, [second, first]) },
 		{
 			name: 'the later one was written while the pages were read',
-			play: (m: WatchCache) => {
-				m.replaceAll(4, [second])
-				m.applyEvents(6, [first, second])
+			read: (cache) => {
+				cache.replaceAll(4, [second])
+				cache.applyEvents(6, [first, second])
 			},
 		},
 	]
-	for (const c of cases) {
-		const taken: string[] = []
-		let book: JobRegistry | null = null
-		const changed: ConstructorParameters<typeof WatchCache>[0] = (key, entry) => {
-			if (key.startsWith('intake/'))
-				for (const r of book!.onBatchAccepted(entry?.data)) taken.push(`${r.spec!.uid} ${r.shardId}`)
-			else book!.onJobRecordChanged(key.slice(4), decodeJobRecord(entry!.data)!)
-		}
-		const cache = new WatchCache(changed, 1, () => 0)
-		book = new JobRegistry(cache)
-		c.play(cache)
-		assert.deepEqual(taken, ['job-000001 1', 'job-000002 2'], c.name)
-		assert.deepEqual(book.get('job-000001'), { record: record('job-000001', 1), modRevision: 0 }, c.name)
-		assert.deepEqual([...book.obsoleteEntries()], [], c.name)
-		cache.applyEvents(9, [own])
-		assert.equal(book.get('job-000001')?.record.finalState, 'done', 'its own key counts once it has one')
-		assert.equal(book.get('job-000001')?.modRevision, 9)
-		assert.deepEqual(
-			[...book.obsoleteEntries()].map(([key]) => key),
-			['intake/z'],
-			'only what has ended is removed',
-		)
-		assert.deepEqual(book.onBatchAccepted(second.data), [], 'a late copy is no news')
+	for (const { name, read } of cases) {
+		const { cache, registry, accepted } = createRegistry()
+		read(cache)
+		assert.deepEqual(accepted, ['job-000001 1', 'job-000002 2'], name)
+		const expected = { record: acceptedJob('job-000001', 1), modRevision: 0 }
+		assert.deepEqual(registry.get('job-000001'), expected, name)
+		assert.deepEqual([...registry.obsoleteEntries()], [], name)
+		cache.applyEvents(9, [ownRecord])
+		const own = registry.get('job-000001')
+		assert.equal(own?.record.finalState, 'done', 'its own key counts once it has one')
+		assert.equal(own?.modRevision, 9)
+		const obsoleteKeys = [...registry.obsoleteEntries()].map(([key]) => key)
+		assert.deepEqual(obsoleteKeys, ['intake/z'], 'only a batch whose jobs are over is obsolete')
+		assert.deepEqual(registry.onBatchAccepted(second.data), [], 'a late copy adds no job')
 	}
 })
 
-test('questions share reads however often they are asked, and too many requests fail none (incident 9)', async () => {
-	const clock = new VirtualClock(1)
-	let revision = 1
-	const begun: number[] = []
-	const client = {
-		watch: (): ReturnType<StoreClient['watch']> =>
+/** A state service that answers after 4 ms, and rejects every seventh watch as one request too many. */
+const createBusyService = (clock: VirtualClock) => {
+	const state = { revision: 1, readsBegunAt: [] as number[] }
+	const client: Pick<StoreClient, 'watch'> = {
+		watch: () =>
 			Effect.suspend(() => {
-				begun.push(clock.nowMs)
-				const refused = begun.length % 7 === 0
+				state.readsBegunAt.push(clock.nowMs)
+				const rejected = state.readsBegunAt.length % 7 === 0
 				return Effect.sleep(4).pipe(
 					Effect.andThen(
-						refused
+						rejected
 							? Effect.fail(new RequestRejected({ status: 429 }))
-							: Effect.succeed({ revision, log: [] }),
+							: Effect.succeed({ revision: state.revision, log: [] }),
 					),
 				)
 			}),
-	} as unknown as StoreClient
+	}
+	return { state, client: client as StoreClient }
+}
+
+test('linearizable reads share requests however many there are, and a rate limit fails none (incident 9)', async () => {
+	const clock = new VirtualClock(1)
+	const { state, client } = createBusyService(clock)
 	let answered = 0
+	const readOnce = (cache: WatchCache) => {
+		const requestedAt = clock.nowMs
+		state.revision++
+		const durableRevision = state.revision
+		const onAnswer = (succeeded: boolean) => {
+			answered++
+			assert.ok(succeeded, 'no read fails')
+			assert.ok(cache.revision >= durableRevision, 'what was durable before the read is known')
+			const tookMs = clock.nowMs - requestedAt
+			assert.ok(tookMs < 320, `an answer after ${tookMs} ms`)
+		}
+		Effect.runFork(cache.linearizableRead(client).pipe(Effect.map(onAnswer)))
+	}
 	await clock.run(11_000, () => {
 		const cache = new WatchCache(
 			() => {},
@@ -198,20 +220,9 @@
 			() => clock.nowMs,
 		)
 		cache.revision = 0
-		for (let i = 0; i < 1000; i++)
-			clock.after(i * 10, () => {
-				const asked = clock.nowMs
-				revision++
-				const due = revision
-				const tell = (ok: boolean) => {
-					answered++
-					assert.ok(ok, 'no question fails')
-					assert.ok(cache.revision >= due, 'what was durable before the question is known')
-					assert.ok(clock.nowMs - asked < 320, `an answer after ${clock.nowMs - asked} ms`)
-				}
-				Effect.runFork(cache.linearizableRead(client).pipe(Effect.map(tell)))
-			})
+		for (let i = 0; i < 1000; i++) clock.after(i * 10, () => readOnce(cache))
 	})
 	assert.equal(answered, 1000)
-	assert.ok(begun.length <= 103, `${begun.length} reads for 1000 questions in 10 s, 100 ms apart at least`)
+	const requests = state.readsBegunAt.length
+	assert.ok(requests <= 103, `${requests} requests for 1000 reads in 10 s, 100 ms apart at least`)
 })
