--- a/packages/cluster/src/controller-lease.ts
+++ b/packages/cluster/src/controller-lease.ts
@@ -24,6 +24,7 @@
 		private readonly events: LeaseEvents,
 	) {}
 
+	/** May this controller rely on its lease at that time? */
 	isValid(now: number): boolean {
 		return now < this.validUntil
 	}
--- a/packages/cluster/src/gossip.ts
+++ b/packages/cluster/src/gossip.ts
@@ -2,7 +2,7 @@
 import { Effect } from 'effect'
 import type { MembershipContext } from './membership-context.js'
 import { LIVENESS_TIMEOUT } from './membership-ratios.js'
-import { postToPeer } from './peer-client.js'
+import { postToPeer, STATUS_PATH } from './peer-client.js'
 import { decodePeerStatus, encodePeerStatus, type PeerStatus } from './peer-status.js'
 
 /** Another controller. */
@@ -41,7 +41,7 @@
 		const message = encodePeerStatus(this.localStatus())
 		for (const peer of this.peers)
 			Effect.runFork(
-				postToPeer(this.context, peer.address, '/peer/news', message).pipe(
+				postToPeer(this.context, peer.address, STATUS_PATH, message).pipe(
 					Effect.map((answer) => this.onStatusMessage(answer)),
 				),
 			)
--- a/packages/cluster/src/membership-ratios.ts
+++ b/packages/cluster/src/membership-ratios.ts
@@ -44,8 +44,9 @@
 
 // ---- fractions of a takeover promise (`takeoverPromiseMs`) ----
 
-/** The promising peer counts the promise longer, and its receiver shorter: their clocks may differ in rate. */
+/** For how long the promising peer keeps it: longer than the receiver relies on it, as their clocks may differ in rate. */
 export const PROMISE_KEPT = 1.002
+/** For how long the receiver relies on it, from when it sent the request. */
 export const PROMISE_RELIED_ON = 0.998
 /** A new incarnation does not know its predecessor's promises: it waits for longer than any of them lasts. */
 export const PROMISE_OF_FORMER_INCARNATION = 1.01
--- a/packages/cluster/src/membership.ts
+++ b/packages/cluster/src/membership.ts
@@ -10,6 +10,7 @@
 import { Gossip, type Peer } from './gossip.js'
 import { Handoff } from './handoff.js'
 import type { LeadershipStatus, MembershipContext, MembershipEvents } from './membership-context.js'
+import { PROMISE_PATH, STATUS_PATH } from './peer-client.js'
 import type { PeerStatus } from './peer-status.js'
 import { type OwnedShard, ShardOwnership } from './shard-ownership.js'
 import { StandstillDetector } from './standstill-detector.js'
@@ -108,10 +109,12 @@
 		return this.lease.leaseId
 	}
 
+	/** Shards that this controller owns, by number. */
 	get ownedShards(): ReadonlyMap<number, OwnedShard> {
 		return this.ownership.ownedShards
 	}
 
+	/** All other controllers, in the order of the configuration. */
 	get peers(): readonly Peer[] {
 		return this.gossiping.peers
 	}
@@ -223,8 +226,8 @@
 
 	/** Answers a message of another controller; null: the path is unknown. */
 	handlePeerRequest(path: string, message: unknown): unknown {
-		if (path === '/peer/news') return this.gossiping.answerStatus(message)
-		if (path === '/peer/promise') return this.promises.answer(message)
+		if (path === STATUS_PATH) return this.gossiping.answerStatus(message)
+		if (path === PROMISE_PATH) return this.promises.answer(message)
 		return null
 	}
 
--- a/packages/cluster/src/records.ts
+++ b/packages/cluster/src/records.ts
@@ -44,7 +44,7 @@
 /** The newest format of the records that this program knows. */
 export const RECORD_FORMAT = 2
 
-/** The format of the records. */
+/** What `HISTORY_KEY` holds: the format of the records, and the archival epoch. */
 export interface HistoryRecord {
 	format: number
 	archivalEpoch: number
--- a/packages/cluster/src/shard-ownership.ts
+++ b/packages/cluster/src/shard-ownership.ts
@@ -72,6 +72,7 @@
 		this.inTransition.add(shardId)
 	}
 
+	/** Must follow every `beginTransition`. */
 	endTransition(shardId: number): void {
 		this.inTransition.delete(shardId)
 	}
--- a/packages/cluster/src/takeover-promises.ts
+++ b/packages/cluster/src/takeover-promises.ts
@@ -7,7 +7,7 @@
 import type { Peer } from './gossip.js'
 import type { MembershipContext } from './membership-context.js'
 import { PROMISE_KEPT, PROMISE_RELIED_ON, PROMISE_STORE_CONTACT } from './membership-ratios.js'
-import { postToPeer } from './peer-client.js'
+import { PROMISE_PATH, postToPeer } from './peer-client.js'
 import {
 	decodePromiseAnswer,
 	decodePromiseRequest,
@@ -109,7 +109,7 @@
 		for (const peer of peers) {
 			const sentAt = this.context.now()
 			Effect.runFork(
-				postToPeer(this.context, peer.address, '/peer/promise', message).pipe(
+				postToPeer(this.context, peer.address, PROMISE_PATH, message).pipe(
 					Effect.map((answer) => this.onAnswer(peer.name, sentAt, answer)),
 				),
 			)
--- a/packages/store/src/backoff.ts
+++ b/packages/store/src/backoff.ts
@@ -16,11 +16,13 @@
 		return this.endsAt - now
 	}
 
+	/** A request was rejected: doubles the delay, within its limits, and starts it. */
 	onRejected(now: number): void {
 		this.delayMs = Math.min(MAX_DELAY_MS, Math.max(MIN_DELAY_MS, this.delayMs * 2))
 		this.endsAt = now + this.delayMs * (JITTER_MIN + Math.random() * JITTER_RANGE)
 	}
 
+	/** A request succeeded: the next rejection starts with the shortest delay. */
 	onSuccess(): void {
 		this.delayMs = 0
 	}
--- a/packages/store/src/token-bucket.ts
+++ b/packages/store/src/token-bucket.ts
@@ -27,6 +27,7 @@
 		this.refilledAt = now
 	}
 
+	/** Takes tokens, whether they are there or not. */
 	consume(count: number): void {
 		this.available -= count
 	}
--- a/packages/store/src/watch-cache.ts
+++ b/packages/store/src/watch-cache.ts
@@ -65,6 +65,7 @@
 		return now - this.knownAsOf
 	}
 
+	/** undefined: the key is absent */
 	get(key: string): CacheEntry | undefined {
 		return this.entries.get(key)
 	}
--- a/packages/store/src/write-group.ts
+++ b/packages/store/src/write-group.ts
@@ -35,6 +35,7 @@
 
 	constructor(private readonly limits: WriteQueueLimits) {}
 
+	/** Does the group hold no write yet? */
 	get isEmpty(): boolean {
 		return this.members.length === 0
 	}
@@ -69,6 +70,7 @@
 		)
 	}
 
+	/** Adds a write that has been checked by `hasRoomFor` and `interferesWith`. */
 	add(built: BuiltWrite): void {
 		this.members.push(built)
 		for (const mutation of built.content.mutations) this.writtenKeys.add(keyOf(mutation))
