--- a/packages/history/src/index.ts
+++ b/packages/history/src/index.ts
@@ -1,12 +1,22 @@
 /** The archive: terminal states of jobs of long ago, in pages outside memory. */
 
-export * from './archive-keys.js'
-export * from './archive-page.js'
-export * from './archive-reader.js'
-export * from './archived-job.js'
-export * from './archiver.js'
+export { ARCHIVE_PREFIX, archivePageKey, maxDepth } from './archive-keys.js'
+export {
+	type ArchivePage,
+	covers,
+	decodeArchivePage,
+	encodeArchivePage,
+} from './archive-page.js'
+export { ArchiveReader, type ArchiveReaderLimits, type SearchScope } from './archive-reader.js'
+export {
+	type ArchivedJob,
+	ConflictingTerminalStates,
+	findByOrdinal,
+	mergeArchivedJobs,
+} from './archived-job.js'
+export { Archiver, type ArchiverPorts } from './archiver.js'
 export type { ArchiveLookup } from './lookup-queue.js'
-export * from './merge-step.js'
-export { jobIdOf, ORDINAL_END, ordinalOf } from './ordinals.js'
+export type { ArchiveWriteLimits } from './merge-step.js'
+export { jobIdOf, ORDINAL_END, ORDINAL_WIDTH_CHARS, ordinalOf } from './ordinals.js'
 export { InvalidArchivePage, packJobs, unpackJobs } from './packed-jobs.js'
-export * from './packed-lookup.js'
+export { findInPacked } from './packed-lookup.js'
--- a/packages/history/src/ordinals.ts
+++ b/packages/history/src/ordinals.ts
@@ -6,11 +6,11 @@
 /** Greater than every ordinal. */
 export const ORDINAL_END = '~'
 
-/** Length of the part of an ordinal that states how many digits follow. */
-const WIDTH_CHARS = 2
+/** Characters at the start of an ordinal that state how many digits follow. */
+export const ORDINAL_WIDTH_CHARS = 2
 
 /** The two-character prefix of the ordinals of ids with this many digits. */
-export const ordinalPrefix = (width: number): string => String(width).padStart(WIDTH_CHARS, '0')
+export const ordinalPrefix = (width: number): string => String(width).padStart(ORDINAL_WIDTH_CHARS, '0')
 
 /**
  * The ordinal of a job's id: the number of its digits, then the digits. Ids that differ only in leading zeros are
@@ -22,10 +22,10 @@
 }
 
 /** The digits of an ordinal, with their leading zeros. */
-export const ordinalDigits = (ordinal: string): string => ordinal.slice(WIDTH_CHARS)
+export const ordinalDigits = (ordinal: string): string => ordinal.slice(ORDINAL_WIDTH_CHARS)
 
 /** How many digits the id of an ordinal has. */
-export const ordinalWidth = (ordinal: string): number => Number(ordinal.slice(0, WIDTH_CHARS))
+export const ordinalWidth = (ordinal: string): number => Number(ordinal.slice(0, ORDINAL_WIDTH_CHARS))
 
 /** The job id of an ordinal. */
 export const jobIdOf = (ordinal: string): string => `job-${ordinalDigits(ordinal)}`
--- a/packages/inspect/src/archive-checker.ts
+++ b/packages/inspect/src/archive-checker.ts
@@ -27,9 +27,9 @@
 	/** end of the range of the level's last page so far */
 	private end = ''
 	/** pages of the level above that handed nothing down */
-	private undeepAbove: ArchivePage[] = []
+	private withoutDeeperAbove: ArchivePage[] = []
 	/** pages of this level that handed nothing down */
-	private undeep: ArchivePage[] = []
+	private withoutDeeper: ArchivePage[] = []
 
 	constructor(
 		private readonly terminalStates: TerminalStates,
@@ -59,7 +59,7 @@
 		}
 		if (page.depth > maxDepth(level))
 			this.report(key, `was split ${page.depth} times, at most ${maxDepth(level)} on its level`)
-		if (!page.deeper) this.undeep.push(page)
+		if (!page.deeper) this.withoutDeeper.push(page)
 		for (const job of jobs) this.checkJob(key, page, job)
 	}
 
@@ -67,8 +67,8 @@
 	closeLevel(): void {
 		if (this.level > NO_LEVEL && this.end !== ORDINAL_END)
 			this.report(`${ARCHIVE_PREFIX}${this.level}/`, 'its last record is missing')
-		this.undeepAbove = this.undeep
-		this.undeep = []
+		this.withoutDeeperAbove = this.withoutDeeper
+		this.withoutDeeper = []
 		this.level = NO_LEVEL
 	}
 
@@ -81,7 +81,7 @@
 	private checkJob(key: string, page: ArchivePage, job: ArchivedJob): void {
 		const uid = jobIdOf(job.ordinal)
 		if (!covers(page, job.ordinal)) this.report(key, `holds ${uid}, which is not of its range`)
-		if (this.undeepAbove.some((above) => covers(above, job.ordinal)))
+		if (this.withoutDeeperAbove.some((above) => covers(above, job.ordinal)))
 			this.report(key, `holds ${uid}, which nobody looks for here: the record above handed nothing down`)
 		this.terminalStates.add(uid, archivedOccurrence(key, job))
 	}
--- a/packages/inspect/src/id-set.ts
+++ b/packages/inspect/src/id-set.ts
@@ -1,12 +1,10 @@
 /** A compact set of job ids, for checks of states with millions of jobs. */
 
-import { ordinalOf } from '@heathroad/history'
+import { ORDINAL_WIDTH_CHARS, ordinalOf } from '@heathroad/history'
 import { RoaringBitmap32, roaringLibraryInitialize } from 'roaring-wasm'
 
 /** Lowest digits of an id that one bitmap holds: all numbers of nine digits are below 2^32. */
 const BITMAP_DIGITS = 9
-/** Characters of an ordinal before its digits: their number. */
-const WIDTH_CHARS = 2
 
 /**
  * A set of job ids, exact for every width: one compressed bitmap for each width and the digits above the lowest nine.
@@ -27,7 +25,7 @@
 	add(uid: string): boolean {
 		const ordinal = ordinalOf(uid)
 		// Ids of few digits have nothing but their width before the lowest digits.
-		const splitAt = Math.max(WIDTH_CHARS, ordinal.length - BITMAP_DIGITS)
+		const splitAt = Math.max(ORDINAL_WIDTH_CHARS, ordinal.length - BITMAP_DIGITS)
 		const added = this.bitmapFor(ordinal.slice(0, splitAt)).tryAdd(Number(ordinal.slice(splitAt)))
 		if (added) this.size++
 		return added
