--- a/packages/client/src/errors.ts
+++ b/packages/client/src/errors.ts
@@ -1,8 +1,10 @@
-/** A call that came to no answer. `mayBeAccepted`: a submission may have been, or may yet be, carried out. */
+/** Errors of the client. */
+
+/** A call without an answer. `mayBeAccepted`: a submission may have been accepted, or may still be. */
 export class JobError extends Error {
 	constructor(
 		message: string,
-		/** the job that the call was about */
+		/** id of the job that the call was about */
 		readonly uid: string,
 		readonly mayBeAccepted: boolean,
 		options?: { cause?: unknown },
@@ -12,13 +14,13 @@
 	}
 }
 
-/** The service cannot read the submission: a field is missing or wrong. Not worth a retry. */
+/** The submission is invalid: a field is missing or wrong. A retry cannot succeed. */
 export class MalformedJob extends JobError {}
 
-/** The job could never run there: unknown team, no machine large enough, above its team's limit. Not worth a retry. */
+/** The job could never run: unknown team, no machine large enough, above its team's limit. A retry cannot succeed. */
 export class NeverRuns extends JobError {}
 
-/** No such job was ever accepted. */
+/** No job of that id was ever accepted. */
 export class UnknownJob extends JobError {}
 
 /** No answer before the call's deadline. */
@@ -27,5 +29,5 @@
 /** The caller's signal ended the call. */
 export class Interrupted extends JobError {}
 
-/** What was asked cannot be had over HTTP alone. */
+/** The call is not possible over HTTP. */
 export class NeedsGrpc extends JobError {}
--- a/packages/client/src/grpc.ts
+++ b/packages/client/src/grpc.ts
@@ -1,3 +1,4 @@
+/** Calls and streams over gRPC. */
 import {
 	type ClientReadableStream,
 	type ClientUnaryCall,
@@ -19,73 +20,84 @@
 	type JobEvent,
 	type JobInfo,
 	type Outcome,
+	type Rejection,
+	type RejectionReason,
+	type RetryableFailure,
 	type Selection,
 	type StreamEnd,
 	stateFrom,
 	type Transport,
 } from './transport.js'
 
-const NEVER = new Map<status, Extract<Outcome, { kind: 'never' }>['why']>([
+const REJECTION_BY_CODE = new Map<status, RejectionReason>([
 	[status.INVALID_ARGUMENT, 'malformed'],
 	[status.NOT_FOUND, 'unknown job'],
 	[status.FAILED_PRECONDITION, 'never runs'],
 ])
 
-const afterMs = (metadata: Metadata | undefined): number | null => {
+/** A lost controller is detected within 20 s, also by streams without events; it is reconnected to within 2 s. */
+const CHANNEL_OPTIONS = {
+	// The client retries itself.
+	'grpc.enable_retries': 0,
+	'grpc.use_local_subchannel_pool': 1,
+	'grpc.keepalive_time_ms': 15_000,
+	'grpc.keepalive_timeout_ms': 5_000,
+	'grpc.initial_reconnect_backoff_ms': 200,
+	'grpc.max_reconnect_backoff_ms': 2_000,
+}
+
+/** The delay that the service asked for, in ms; null: none. */
+const retryAfterOf = (metadata: Metadata | undefined): number | null => {
 	const text = metadata?.get('retry-after-ms')[0]
 	const ms = Number(text)
 	return text !== undefined && Number.isFinite(ms) && ms >= 0 ? ms : null
 }
 
-const failed = (e: ServiceError): Exclude<Outcome, { kind: 'job' }> => {
-	const text = `${status[e.code]}: ${e.details}`
-	const why = NEVER.get(e.code)
-	if (why !== undefined) return { kind: 'never', why, text }
-	// The library says so where no connection came about; whatever else ended may have been carried out.
-	const unreached = e.code === status.UNAVAILABLE && /No connection established|ECONNREFUSED/.test(e.details)
-	const refused = e.code === status.RESOURCE_EXHAUSTED && afterMs(e.metadata) !== null
+const toFailure = ({ code, details, metadata }: ServiceError): Rejection | RetryableFailure => {
+	const text = `${status[code]}: ${details}`
+	const reason = REJECTION_BY_CODE.get(code)
+	if (reason !== undefined) return { kind: 'rejected', reason, text }
+	// These details say that no connection came about; a call that failed otherwise may have been carried out.
+	const isUnreachable = code === status.UNAVAILABLE && /No connection established|ECONNREFUSED/.test(details)
+	const retryAfterMs = retryAfterOf(metadata)
+	const isRefused = code === status.RESOURCE_EXHAUSTED && retryAfterMs !== null
+	const isUnimplemented = code === status.UNIMPLEMENTED
 	return {
-		kind: 'later',
+		kind: 'retryable',
 		text,
-		afterMs: afterMs(e.metadata),
-		maybe: !unreached && !refused && e.code !== status.UNIMPLEMENTED,
-		unreached,
-		noFace: e.code === status.UNIMPLEMENTED || unreached,
+		retryAfterMs,
+		mayBeAccepted: !isUnreachable && !isRefused && !isUnimplemented,
+		isUnreachable,
+		lacksGrpc: isUnimplemented || isUnreachable,
 	}
 }
 
-const info = (m: JobMessage | EventMessage): JobInfo => ({
-	uid: m.uid,
-	state: stateFrom(stateOf(m.state) ?? 'pending'),
-	done: m.done,
-	running: m.running,
+const toJobInfo = (message: JobMessage | EventMessage): JobInfo => ({
+	uid: message.uid,
+	state: stateFrom(stateOf(message.state) ?? 'pending'),
+	done: message.done,
+	running: message.running,
 })
 
-/** A controller's face for gRPC. Retries are the client's own: the library's are off. */
+/** gRPC address of a controller. */
 export class GrpcTransport implements Transport {
 	private readonly client: JobsClient
 
 	constructor(readonly address: string) {
-		const Client = jobsClient()
-		this.client = new Client(address, credentials.createInsecure(), {
-			'grpc.enable_retries': 0,
-			'grpc.use_local_subchannel_pool': 1,
-			// Finds out a controller that is gone without a word, streams without events included.
-			'grpc.keepalive_time_ms': 15_000,
-			'grpc.keepalive_timeout_ms': 5_000,
-			'grpc.initial_reconnect_backoff_ms': 200,
-			'grpc.max_reconnect_backoff_ms': 2_000,
-		})
+		const JobsClient = jobsClient()
+		this.client = new JobsClient(address, credentials.createInsecure(), CHANNEL_OPTIONS)
 	}
 
 	private unary(
 		signal: AbortSignal,
-		begin: (done: (e: ServiceError | null, job?: JobMessage) => void) => ClientUnaryCall,
+		start: (done: (error: ServiceError | null, job?: JobMessage) => void) => ClientUnaryCall,
 	): Promise<Outcome> {
 		return new Promise((resolve) => {
-			const call = begin((e, job) => {
+			const call = start((error, job) => {
 				signal.removeEventListener('abort', abort)
-				resolve(e === null && job !== undefined ? { kind: 'job', job: info(job) } : failed(e!))
+				if (error !== null) resolve(toFailure(error))
+				else if (job !== undefined) resolve({ kind: 'job', job: toJobInfo(job) })
+				else throw new Error('a call ended with neither a response nor an error')
 			})
 			const abort = () => call.cancel()
 			signal.addEventListener('abort', abort, { once: true })
@@ -112,28 +124,30 @@
 		selection: Selection,
 		cursor: string,
 		signal: AbortSignal,
-		began: (cursor: string) => void,
+		onStart: (cursor: string) => void,
 	): AsyncGenerator<JobEvent, StreamEnd> {
 		const request = 'team' in selection ? { team: selection.team } : { uids: [...selection.uids] }
 		const call: ClientReadableStream<EventMessage> = this.client.Watch({ ...request, cursor })
-		call.on('metadata', (m: Metadata) => {
-			const [at] = m.get('cursor')
-			if (at !== undefined) began(String(at))
+		call.on('metadata', (metadata: Metadata) => {
+			const [startCursor] = metadata.get('cursor')
+			if (startCursor !== undefined) onStart(String(startCursor))
 		})
 		const abort = () => call.cancel()
 		signal.addEventListener('abort', abort, { once: true })
 		if (signal.aborted) abort()
 		try {
-			// Read one by one: a caller that takes its time slows the stream down instead of filling our memory.
-			for await (const m of call as AsyncIterable<EventMessage>)
-				yield { ...info(m), tasks: m.tasks, cursor: m.cursor, afterGap: false }
-			return { kind: 'over' }
-		} catch (e) {
-			const error = e as ServiceError
-			if (error.code === undefined) throw e
-			const lost = error.code === status.OUT_OF_RANGE || error.code === status.INVALID_ARGUMENT
-			if (cursor !== '' && lost) return { kind: 'restart', text: error.details }
-			return failed(error)
+			// Read one by one, so that the flow control slows the stream down to the pace of the caller.
+			for await (const message of call as AsyncIterable<EventMessage>) {
+				const { tasks, cursor: eventCursor } = message
+				yield { ...toJobInfo(message), tasks, cursor: eventCursor, afterGap: false }
+			}
+			return { kind: 'complete' }
+		} catch (caught) {
+			const error = caught as ServiceError
+			if (error.code === undefined) throw caught
+			const isCursorLost = error.code === status.OUT_OF_RANGE || error.code === status.INVALID_ARGUMENT
+			if (cursor !== '' && isCursorLost) return { kind: 'restart', text: error.details }
+			return toFailure(error)
 		} finally {
 			signal.removeEventListener('abort', abort)
 			call.cancel()
--- a/packages/client/src/http.ts
+++ b/packages/client/src/http.ts
@@ -1,3 +1,4 @@
+/** Calls over HTTP. */
 import {
 	createHttpClient,
 	encodeSubmission,
@@ -7,78 +8,99 @@
 	type JobStatus,
 } from '@heathroad/wire'
 import { Effect, Exit } from 'effect'
-import { type Outcome, stateFrom, type Transport } from './transport.js'
+import { type Outcome, type RejectionReason, stateFrom, type Transport } from './transport.js'
 
-const RUNS = '/v2/runs'
-const NEVER: Readonly<Record<number, Extract<Outcome, { kind: 'never' }>['why']>> = {
+const JOBS_PATH = '/v2/runs'
+/** Connections of one address. */
+const MAX_CONNECTIONS = 8
+const REJECTION_BY_STATUS: Readonly<Record<number, RejectionReason>> = {
 	400: 'malformed',
 	404: 'unknown job',
 	422: 'never runs',
 }
 
-const textOf = (a: HttpResponse): string => {
-	const said = isMap(a.body) && typeof a.body.error === 'string' ? `: ${a.body.error}` : ''
-	return `${a.status}${said}`
+const errorText = ({ status, body }: HttpResponse): string => {
+	const error = isMap(body) && typeof body.error === 'string' ? `: ${body.error}` : ''
+	return `${status}${error}`
 }
 
-const read = (a: HttpResponse): Outcome => {
-	if ((a.status === 200 || a.status === 201) && isMap(a.body) && typeof a.body.uid === 'string')
-		return {
-			kind: 'job',
-			job: {
-				uid: a.body.uid,
-				state: stateFrom(a.body.status as JobStatus),
-				done: Number(a.body.done ?? 0),
-				running: Number(a.body.running ?? 0),
-			},
+const toOutcome = (response: HttpResponse): Outcome => {
+	const { status, body, retryAfter } = response
+	if ((status === 200 || status === 201) && isMap(body) && typeof body.uid === 'string') {
+		const job = {
+			uid: body.uid,
+			state: stateFrom(body.status as JobStatus),
+			done: Number(body.done ?? 0),
+			running: Number(body.running ?? 0),
 		}
-	const why = NEVER[a.status]
-	if (why !== undefined) return { kind: 'never', why, text: textOf(a) }
-	const afterMs = a.retryAfter === null ? null : a.retryAfter * 1000
-	// 429: refused before anything was done. Any other answer may come from one that gave up waiting for its write.
-	return { kind: 'later', text: textOf(a), afterMs, maybe: a.status !== 429, unreached: false }
+		return { kind: 'job', job }
+	}
+	const reason = REJECTION_BY_STATUS[status]
+	if (reason !== undefined) return { kind: 'rejected', reason, text: errorText(response) }
+	return {
+		kind: 'retryable',
+		text: errorText(response),
+		retryAfterMs: retryAfter === null ? null : retryAfter * 1000,
+		// 429 is refused before anything is done. Any other answer may come from a controller that stopped waiting for its
+		// write, which may still be carried out.
+		mayBeAccepted: status !== 429,
+		isUnreachable: false,
+	}
 }
 
-/** A controller's HTTP face. */
+const transportFailure = (reason: string): Outcome => {
+	const isUnreachable = /ECONNREFUSED|EHOSTUNREACH|ENETUNREACH/.test(reason)
+	return { kind: 'retryable', text: reason, retryAfterMs: null, mayBeAccepted: !isUnreachable, isUnreachable }
+}
+
+const INTERRUPTED: Outcome = {
+	kind: 'retryable',
+	text: 'interrupted',
+	retryAfterMs: null,
+	mayBeAccepted: true,
+	isUnreachable: false,
+}
+
+interface HttpCall {
+	method: 'GET' | 'POST'
+	path: string
+	body: unknown
+	timeoutMs: number
+	signal: AbortSignal
+}
+
+/** HTTP address of a controller. */
 export class HttpTransport implements Transport {
-	private readonly caller = createHttpClient(8)
+	private readonly httpClient = createHttpClient(MAX_CONNECTIONS)
 
 	constructor(readonly address: string) {}
 
-	private async call(
-		method: string,
-		path: string,
-		body: unknown,
-		timeoutMs: number,
-		signal: AbortSignal,
-	): Promise<Outcome> {
-		const asked = this.caller.request(this.address, method, path, body, timeoutMs).pipe(
-			Effect.match({
-				onFailure: (e): Outcome => {
-					const unreached = /ECONNREFUSED|EHOSTUNREACH|ENETUNREACH/.test(e.reason)
-					return { kind: 'later', text: e.reason, afterMs: null, maybe: !unreached, unreached }
-				},
-				onSuccess: read,
-			}),
-		)
-		const exit = await Effect.runPromiseExit(asked, { signal })
-		if (Exit.isSuccess(exit)) return exit.value
-		return { kind: 'later', text: 'interrupted', afterMs: null, maybe: true, unreached: false }
-	}
-
 	submit(job: JobSpec, timeoutMs: number, signal: AbortSignal): Promise<Outcome> {
-		return this.call('POST', RUNS, encodeSubmission(job), timeoutMs, signal)
+		return this.call({ method: 'POST', path: JOBS_PATH, body: encodeSubmission(job), timeoutMs, signal })
 	}
 
 	get(uid: string, timeoutMs: number, signal: AbortSignal): Promise<Outcome> {
-		return this.call('GET', `${RUNS}/${encodeURIComponent(uid)}`, undefined, timeoutMs, signal)
+		const path = `${JOBS_PATH}/${encodeURIComponent(uid)}`
+		return this.call({ method: 'GET', path, body: undefined, timeoutMs, signal })
 	}
 
 	cancel(uid: string, timeoutMs: number, signal: AbortSignal): Promise<Outcome> {
-		return this.call('POST', `${RUNS}/${encodeURIComponent(uid)}/withdraw`, {}, timeoutMs, signal)
+		const path = `${JOBS_PATH}/${encodeURIComponent(uid)}/withdraw`
+		return this.call({ method: 'POST', path, body: {}, timeoutMs, signal })
 	}
 
 	close(): void {
-		this.caller.close()
+		this.httpClient.close()
+	}
+
+	private async call({ method, path, body, timeoutMs, signal }: HttpCall): Promise<Outcome> {
+		const request = this.httpClient.request(this.address, method, path, body, timeoutMs).pipe(
+			Effect.match({
+				onFailure: (error) => transportFailure(error.reason),
+				onSuccess: toOutcome,
+			}),
+		)
+		const exit = await Effect.runPromiseExit(request, { signal })
+		return Exit.isSuccess(exit) ? exit.value : INTERRUPTED
 	}
 }
--- /dev/null
+++ b/packages/client/src/job-watcher.ts
@@ -0,0 +1,155 @@
+/** Watches jobs over streams, or by polling where there are none. */
+import { DeadlineOver, NeedsGrpc, UnknownJob } from './errors.js'
+import { callSignal, delay, type InterruptibleCall, throwIfInterrupted } from './interruption.js'
+import { retryDelayMs } from './retry.js'
+import { type RetryingCaller, rejectionError } from './retrying-caller.js'
+import {
+	isFinal,
+	type JobEvent,
+	type JobInfo,
+	type Selection,
+	type StreamEnd,
+	type Transport,
+} from './transport.js'
+import type { TransportPool } from './transport-pool.js'
+
+/** Options of a watch. */
+export interface WatchOptions {
+	signal?: AbortSignal
+	/** cursor of the event after which the watch resumes */
+	cursor?: string
+}
+
+/** Polls are this share of the interval apart, at least and at most, so that clients do not poll together. */
+const POLL_JITTER = { min: 0.75, range: 0.5 } as const
+
+/** Progress of one watch over all of its streams. */
+interface WatchProgress {
+	/** where the next stream resumes; empty: it begins with the present state */
+	cursor: string
+	/** a stream had to begin anew */
+	hasGap: boolean
+	/** named jobs whose terminal state was delivered */
+	readonly terminalJobs: Set<string>
+}
+
+/** Watches jobs. */
+export class JobWatcher {
+	/** `pollMs`: between two polls of the same job. */
+	constructor(
+		private readonly transports: TransportPool,
+		private readonly caller: RetryingCaller,
+		private readonly pollMs: number,
+		private readonly random: () => number,
+	) {}
+
+	/** See `Client.watch`. */
+	async *watch(selection: Selection, options: WatchOptions): AsyncGenerator<JobEvent, void> {
+		const uid = 'team' in selection ? '' : (selection.uids[0] ?? '')
+		const call = { uid, signal: callSignal(options.signal), mayBeAccepted: true }
+		if ('uids' in selection && selection.uids.length === 0) return
+		const progress: WatchProgress = {
+			cursor: options.cursor ?? '',
+			hasGap: false,
+			terminalJobs: new Set(),
+		}
+		let failedGrpcTries = 0
+		for (let tries = 1; ; tries++) {
+			throwIfInterrupted(call)
+			const { transport, candidateCount } = await this.transports.choose(failedGrpcTries)
+			const cursorBefore = progress.cursor
+			const end = yield* this.watchAt(transport, selection, progress, call)
+			if (end.kind === 'complete') return
+			throwIfInterrupted(call)
+			if (end.kind === 'rejected') throw rejectionError(end, uid, false)
+			if (end.kind === 'restart') {
+				progress.cursor = ''
+				progress.hasGap = true
+				continue
+			}
+			if (end.lacksGrpc) failedGrpcTries++
+			else failedGrpcTries = 0
+			// A stream that made progress was a good one: the delays begin anew.
+			if (progress.cursor !== cursorBefore) tries = 1
+			this.transports.advance()
+			const retryContext = { tries, failure: end, addressCount: candidateCount, random: this.random }
+			await delay(retryDelayMs(retryContext), call)
+		}
+	}
+
+	private watchAt(
+		transport: Transport,
+		selection: Selection,
+		progress: WatchProgress,
+		call: InterruptibleCall,
+	): AsyncGenerator<JobEvent, StreamEnd> {
+		if (transport.watch === undefined) return this.poll(selection, progress, call)
+		// A stream that breaks before its first event is resumed where it began.
+		const onStart = (cursor: string) => {
+			if (progress.cursor === '') progress.cursor = cursor
+		}
+		const events = transport.watch(selection, progress.cursor, call.signal, onStart)
+		return this.stream(events, selection, progress)
+	}
+
+	private async *stream(
+		events: AsyncGenerator<JobEvent, StreamEnd>,
+		selection: Selection,
+		progress: WatchProgress,
+	): AsyncGenerator<JobEvent, StreamEnd> {
+		try {
+			for (;;) {
+				const step = await events.next()
+				if (step.done) return step.value
+				const event = step.value
+				progress.cursor = event.cursor
+				if ('uids' in selection) {
+					// After a restart the present state includes terminal states that were delivered before.
+					if (progress.terminalJobs.has(event.uid)) continue
+					if (isFinal(event.state)) progress.terminalJobs.add(event.uid)
+				}
+				yield { ...event, afterGap: progress.hasGap }
+			}
+		} finally {
+			await events.return({ kind: 'complete' })
+		}
+	}
+
+	/** Queries each job again and again. */
+	private async *poll(
+		selection: Selection,
+		progress: WatchProgress,
+		call: InterruptibleCall,
+	): AsyncGenerator<JobEvent, StreamEnd> {
+		if ('team' in selection) throw new NeedsGrpc('a team can be watched over gRPC only', '', false)
+		const { terminalJobs } = progress
+		const lastStates = new Map<string, string>()
+		for (;;) {
+			for (const uid of selection.uids) {
+				if (terminalJobs.has(uid)) continue
+				const job = await this.query(uid, call.signal)
+				if (job === null) continue
+				const state = `${job.state} ${job.done} ${job.running}`
+				if (lastStates.get(uid) === state) continue
+				lastStates.set(uid, state)
+				if (isFinal(job.state)) terminalJobs.add(uid)
+				yield { ...job, tasks: 0, cursor: '', afterGap: false }
+			}
+			if (selection.uids.every((uid) => terminalJobs.has(uid))) return { kind: 'complete' }
+			const jitter = POLL_JITTER.min + this.random() * POLL_JITTER.range
+			await delay(this.pollMs * jitter, call)
+		}
+	}
+
+	/** A job's state; null: it was not submitted yet, or no address answered, so it is queried again later. */
+	private async query(uid: string, signal: AbortSignal): Promise<JobInfo | null> {
+		try {
+			return await this.caller.call(uid, { signal }, (transport, timeoutMs, trySignal) =>
+				transport.get(uid, timeoutMs, trySignal),
+			)
+		} catch (error) {
+			if (error instanceof UnknownJob || error instanceof DeadlineOver) return null
+			throw error
+		}
+	}
+}
--- a/packages/client/src/retry.ts
+++ b/packages/client/src/retry.ts
@@ -1,35 +1,47 @@
-import type { Outcome } from './transport.js'
+/** Delays between the tries of a call. */
+import type { RetryableFailure } from './transport.js'
 
-export interface RetryLimits {
-	/** the first pause, before it grows */
-	firstMs: number
-	/** the longest pause that we choose ourselves; one that the service asks for may be longer */
-	longestMs: number
-}
+/** The first delay, in ms; it doubles with each try. */
+const FIRST_DELAY_MS = 200
+/** The longest delay that the client chooses itself, in ms; the service may ask for a longer one. */
+const MAX_DELAY_MS = 10_000
+/** Keeps the doubled delay a number that can be represented. */
+const MAX_DOUBLINGS = 16
+/** Share of the first delay before the next address, if nobody was reached at this one. */
+const NEXT_ADDRESS_SHARE = 0.1
+/** A delay is drawn from its upper half. */
+const MIN_JITTER = 0.5
+/** Share by which the delay that the service asked for is exceeded at most. */
+const RETRY_AFTER_JITTER = 0.25
 
-export const RETRY: RetryLimits = { firstMs: 200, longestMs: 10_000 }
+/** What the delay before the next try depends on. */
+export interface RetryContext {
+	/** number of tries so far, over all addresses, from 1 */
+	tries: number
+	/** how the latest try failed */
+	failure: RetryableFailure
+	/** number of addresses that are tried in turn */
+	addressCount: number
+	/** random numbers from 0 to 1 */
+	random: () => number
+}
 
 /**
- * How long to wait before try number `n` (from 1, counted over all addresses). The pause doubles and is drawn from its
- * upper half, so that clients which lost the same controller at one moment do not come back together. What the service
- * asked for is the least, with up to a quarter more.
+ * The delay before the next try, in ms. It doubles and has jitter, so that clients which lost the same controller at one
+ * moment do not reconnect together. A delay that the service asked for is the least, with up to a quarter more.
  */
-export const pauseMs = (
-	n: number,
-	last: Extract<Outcome, { kind: 'later' }>,
-	addresses: number,
-	random: () => number,
-	limits: RetryLimits = RETRY,
-): number => {
-	// Nobody was there: the other addresses are worth a try before any pause.
-	const first = last.unreached && n < addresses
-	if (first) return limits.firstMs * 0.1 * random()
-	const rounds = last.unreached ? Math.floor(n / addresses) : n
-	const grown = Math.min(limits.longestMs, limits.firstMs * 2 ** Math.min(16, Math.max(0, rounds - 1)))
-	const ours = grown * (0.5 + random() * 0.5)
-	return last.afterMs === null ? ours : Math.max(ours, last.afterMs * (1 + random() * 0.25))
+export const retryDelayMs = ({ tries, failure, addressCount, random }: RetryContext): number => {
+	// All other addresses are tried before any longer delay.
+	const hasUntriedAddress = failure.isUnreachable && tries < addressCount
+	if (hasUntriedAddress) return FIRST_DELAY_MS * NEXT_ADDRESS_SHARE * random()
+	const rounds = failure.isUnreachable ? Math.floor(tries / addressCount) : tries
+	const doublings = Math.min(MAX_DOUBLINGS, Math.max(0, rounds - 1))
+	const backoffMs = Math.min(MAX_DELAY_MS, FIRST_DELAY_MS * 2 ** doublings)
+	const delayMs = backoffMs * (MIN_JITTER + random() * (1 - MIN_JITTER))
+	if (failure.retryAfterMs === null) return delayMs
+	return Math.max(delayMs, failure.retryAfterMs * (1 + random() * RETRY_AFTER_JITTER))
 }
 
-/** Is there time for another try after the pause? One that could not be answered in time is not begun. */
-export const worthwhile = (now: number, pause: number, deadlineAt: number): boolean =>
-	now + pause < deadlineAt
+/** Whether a try after the delay would begin before the deadline; all times in ms. */
+export const hasTimeForRetry = (now: number, delayMs: number, deadline: number): boolean =>
+	now + delayMs < deadline
--- /dev/null
+++ b/packages/client/src/transport-pool.ts
@@ -0,0 +1,71 @@
+/** The addresses of an installation, tried in turn. */
+import { HttpTransport } from './http.js'
+import type { Transport } from './transport.js'
+
+/** Addresses by protocol, as IP:PORT. */
+export interface Addresses {
+	grpc: readonly string[]
+	http: readonly string[]
+}
+
+/** The transport for a try, and the number of those that are tried in turn. */
+export interface TransportChoice {
+	transport: Transport
+	candidateCount: number
+}
+
+const canStream = (transport: Transport): boolean => transport.watch !== undefined
+
+/** Those with streams, or all if none has them. */
+const preferredOf = (transports: readonly Transport[]): readonly Transport[] => {
+	const streaming = transports.filter(canStream)
+	return streaming.length > 0 ? streaming : transports
+}
+
+/** Creates transports at their first use and rotates over them, beginning at a random one. */
+export class TransportPool {
+	private transports: readonly Transport[] | null = null
+	private nextIndex = 0
+
+	constructor(
+		private readonly addresses: Addresses,
+		private readonly random: () => number,
+	) {}
+
+	/** The present transport. HTTP is used once no gRPC address could be reached, after `failedGrpcTries`. */
+	async choose(failedGrpcTries: number): Promise<TransportChoice> {
+		const transports = await this.load()
+		const http = transports.filter((transport) => !canStream(transport))
+		const isGrpcUnavailable = failedGrpcTries >= this.addresses.grpc.length
+		const candidates = isGrpcUnavailable && http.length > 0 ? http : preferredOf(transports)
+		return {
+			transport: candidates[this.nextIndex % candidates.length],
+			candidateCount: candidates.length,
+		}
+	}
+
+	/** Moves on to the next transport. */
+	advance(): void {
+		this.nextIndex++
+	}
+
+	/** Closes all connections; a later call opens new ones. */
+	close(): void {
+		for (const transport of this.transports ?? []) transport.close()
+		this.transports = null
+	}
+
+	/** gRPC transports first; their library is loaded only if there are any. */
+	private async load(): Promise<readonly Transport[]> {
+		if (this.transports !== null) return this.transports
+		const http = this.addresses.http.map((address) => new HttpTransport(address))
+		if (this.addresses.grpc.length === 0) {
+			this.transports = http
+		} else {
+			const { GrpcTransport } = await import('./grpc.js')
+			this.transports ??= [...this.addresses.grpc.map((address) => new GrpcTransport(address)), ...http]
+		}
+		this.nextIndex = Math.floor(this.random() * preferredOf(this.transports).length)
+		return this.transports
+	}
+}
--- a/packages/client/src/transport.ts
+++ b/packages/client/src/transport.ts
@@ -1,69 +1,87 @@
+/** What the client needs of a protocol: calls of one address, and how they end. */
 import type { JobSpec, JobStatus } from '@heathroad/wire'
 
 export type JobState = 'pending' | 'running' | 'done' | 'cancelled'
 
+/** A job's state with its numbers of done and running tasks, for display. */
 export interface JobInfo {
 	uid: string
 	state: JobState
-	/** tasks done and running, for display */
 	done: number
 	running: number
 }
 
+/** A state of a watched job. */
 export interface JobEvent extends JobInfo {
-	/** tasks in all; 0: not told */
+	/** number of all tasks; 0: unknown */
 	tasks: number
-	/** a later watch of the same jobs may begin behind this event; empty: it cannot */
+	/** a later watch of the same selection may resume after this event; empty: it cannot */
 	cursor: string
-	/** true from a restart on until all of the present state was told: states in between may have been missed */
+	/** the stream had to begin anew since the watch began: states in between may have been missed */
 	afterGap: boolean
 }
 
+/** Whether a state is terminal. */
 export const isFinal = (state: JobState): boolean => state === 'done' || state === 'cancelled'
+
+/** The state for users of a status of the protocols. */
 export const stateFrom = (status: JobStatus): JobState => (status === 'aborted' ? 'cancelled' : status)
 
+/** Why a call can't succeed, so that it is not retried. */
+export type RejectionReason = 'malformed' | 'never runs' | 'unknown job'
+
+/** The service rejected a call. */
+export interface Rejection {
+	kind: 'rejected'
+	reason: RejectionReason
+	text: string
+}
+
+/** A call failed in a way that is worth a retry. */
+export interface RetryableFailure {
+	kind: 'retryable'
+	text: string
+	/** delay that the service asked for, in ms; null: none */
+	retryAfterMs: number | null
+	/** false: the call was certainly not carried out */
+	mayBeAccepted: boolean
+	/** no connection came about, so another address may be tried at once */
+	isUnreachable: boolean
+	/** there is no gRPC server at this address */
+	lacksGrpc?: boolean
+}
+
 /** How one try of a call ended. */
-export type Outcome =
-	| { kind: 'job'; job: JobInfo }
-	| { kind: 'never'; why: 'malformed' | 'never runs' | 'unknown job'; text: string }
-	| {
-			kind: 'later'
-			text: string
-			/** when the service asked us to come back */
-			afterMs: number | null
-			/** false: certainly not carried out */
-			maybe: boolean
-			/** nobody was reached: another address may be tried at once */
-			unreached: boolean
-			/** there is no such face at this address */
-			noFace?: boolean
-	  }
+export type Outcome = { kind: 'job'; job: JobInfo } | Rejection | RetryableFailure
 
+/** The jobs to be watched: named ones, or all of a team. */
 export type Selection = { uids: readonly string[] } | { team: string }
 
 /** How a stream ended. */
 export type StreamEnd =
-	/** everything that could be told was */
-	| { kind: 'over' }
-	/** the cursor is good for nothing any more: the present state is what there is */
+	/** every event was delivered */
+	| { kind: 'complete' }
+	/** the service does not accept the cursor any more: the watch must begin anew with the present state */
 	| { kind: 'restart'; text: string }
-	| Exclude<Outcome, { kind: 'job' }>
+	| Rejection
+	| RetryableFailure
 
-/** One address of a service. */
+/** One address of an installation. */
 export interface Transport {
 	readonly address: string
 	submit(job: JobSpec, timeoutMs: number, signal: AbortSignal): Promise<Outcome>
 	get(uid: string, timeoutMs: number, signal: AbortSignal): Promise<Outcome>
 	cancel(uid: string, timeoutMs: number, signal: AbortSignal): Promise<Outcome>
 	/**
-	 * Events until the stream ends; the generator's result says how. `began` is told the cursor at which the stream
-	 * began, before any event. Absent: this face has no streams.
+	 * Events until the stream ends; the generator returns how it ended. `onStart` receives the cursor at which the stream
+	 * begins, before the first event. Absent: the protocol has no streams.
 	 */
 	watch?(
 		selection: Selection,
 		cursor: string,
 		signal: AbortSignal,
-		began: (cursor: string) => void,
+		onStart: (cursor: string) => void,
 	): AsyncGenerator<JobEvent, StreamEnd>
+	/** Closes the connections. */
 	close(): void
 }
