--- a/packages/server/src/archival-loop.ts
+++ b/packages/server/src/archival-loop.ts
@@ -14,6 +14,7 @@
 import { archivablePages, type ClosedPage, mayAdvanceArchivalEpoch } from './archival-policy.js'
 import type { ArchivalPorts, ArchivalWriter } from './archival-writer.js'
 import type { ControllerContext } from './controller-context.js'
+import { prefixOf, RecordKind } from './record-kinds.js'
 
 /** Level of the archive that receives what leaves memory. */
 const FIRST_ARCHIVE_LEVEL = 1
@@ -79,7 +80,7 @@
 	/** Returns the pages of this controller's shards that nothing is added to any more, the oldest first. */
 	private closedPages(): { shardId: number; key: string }[] {
 		const pages: { shardId: number; key: string }[] = []
-		for (const [key] of this.context.cache.withPrefix('over/')) {
+		for (const [key] of this.context.cache.withPrefix(prefixOf(RecordKind.terminalPage))) {
 			const [, shard, closedAtRevision] = key.split('/')
 			const shardId = Number(shard)
 			if (closedAtRevision === undefined) continue
--- a/packages/server/src/drain.ts
+++ b/packages/server/src/drain.ts
@@ -2,8 +2,8 @@
 import type { Membership } from '@heathroad/cluster'
 
 /**
- * `serving`: no drain; `leaving`: the load balancer is told that this controller is unhealthy, users who still come are
- * served; `handing`: shards are handed off to other controllers, new jobs are not accepted. Operators see these names.
+ * `serving`: no drain; `leaving`: the load balancer's health checks fail, users who still come are served; `handing`:
+ * shards are handed off to other controllers, new jobs are not accepted. Operators see these names.
  */
 export type DrainPhase = 'serving' | 'leaving' | 'handing'
 
--- a/packages/server/src/heartbeat-router.ts
+++ b/packages/server/src/heartbeat-router.ts
@@ -47,7 +47,7 @@
 		const { membership, config } = this.context
 		this.localStatus.onOwnerLookup(machineId, shardId)
 		const owner = membership.ownerOf(shardId)
-		// Sent back to an owner that cannot hear it, the machine would wait there for most of its lease.
+		// Redirected to an owner that it cannot reach, the machine would wait there for most of its lease.
 		const isReachable = owner?.alive && owner.hears && owner.name !== config.limits.self
 		if (owner?.alive && !owner.hears) this.gossipSoon()
 		respond({ status: 421, body: isReachable ? { overseer: owner.name } : {} })
--- a/packages/server/src/http-replies.ts
+++ b/packages/server/src/http-replies.ts
@@ -8,7 +8,7 @@
 /** The path is served, but not with this method. */
 export const METHOD_NOT_ALLOWED: HttpReply = { status: 405, body: { error: 'method not allowed' } }
 
-/** Asks a machine or the load balancer to come back after a second: nothing can be decided now. */
+/** Asks a machine or the load balancer to retry after a second: nothing can be decided now. */
 export const UNAVAILABLE: HttpReply = { status: 503, retryAfterS: 1 }
 
 /** Asks a user to retry after some seconds. */
--- a/packages/server/src/periodic-tasks.ts
+++ b/packages/server/src/periodic-tasks.ts
@@ -5,7 +5,7 @@
 const MAX_TICK_MS = 250
 /** Main ticks in a heartbeat interval at least, so that each heartbeat finds the decisions of a recent tick. */
 const TICKS_PER_HEARTBEAT = 4
-/** Peers hear of this controller several times within a lease, so that one lost message does not count as its end. */
+/** Peers receive several messages within a lease, so that a lost one does not make this controller look dead. */
 const GOSSIP_LEASES = 0.15
 /** Clean-up is not urgent: what it removes takes memory, and is no longer read. */
 const CLEAN_UP_LEASES = 2
--- a/packages/server/src/record-dispatcher.ts
+++ b/packages/server/src/record-dispatcher.ts
@@ -12,6 +12,7 @@
 import type { ArchivalController } from './archival-controller.js'
 import type { ControllerContext, RecordObserver } from './controller-context.js'
 import type { MachineTypeCatalog } from './machine-type-catalog.js'
+import { RecordKind } from './record-kinds.js'
 
 /** One change of a key. */
 interface RecordChange {
@@ -44,14 +45,14 @@
 export class RecordDispatcher {
 	/** by the kind of record; keys of other kinds concern nobody here */
 	private readonly handlers = new Map<string, (change: RecordChange) => void>([
-		['part', (change) => this.onShardKeyChanged(change)],
-		['done', (change) => this.onProgressChanged(change)],
-		['job', (change) => this.onJobKeyChanged(change)],
-		['over', (change) => this.onTerminalPageChanged(change)],
+		[RecordKind.shardOwner, (change) => this.onShardKeyChanged(change)],
+		[RecordKind.progress, (change) => this.onProgressChanged(change)],
+		[RecordKind.job, (change) => this.onJobKeyChanged(change)],
+		[RecordKind.terminalPage, (change) => this.onTerminalPageChanged(change)],
 		[HISTORY_KEY, () => this.consumers.archive.onHistoryRecordChanged()],
-		['intake', (change) => this.onBatchAccepted(change)],
-		['released', (change) => this.onReleasePageChanged(change)],
-		['fleet', (change) => this.onMachineGroupChanged(change)],
+		[RecordKind.acceptedBatch, (change) => this.onBatchAccepted(change)],
+		[RecordKind.releasePage, (change) => this.onReleasePageChanged(change)],
+		[RecordKind.machineGroup, (change) => this.onMachineGroupChanged(change)],
 		[CATALOG_KEY, (change) => this.consumers.catalog.onRecordChanged(change.entry?.data)],
 	])
 
@@ -114,7 +115,7 @@
 	private recordCancellation(uid: string): void {
 		const { jobs, cancellations } = this.consumers.context
 		const terminal = jobs.terminalRecord(uid)
-		// The registry took the final state over before it reported the change, so it has the job.
+		// The registry stores the final state before it reports the change, so it has the job.
 		if (terminal === undefined) throw new Error(`no terminal record of the cancelled job ${uid}`)
 		cancellations.record(uid, terminal.revision)
 	}
--- a/packages/server/src/record-migration.ts
+++ b/packages/server/src/record-migration.ts
@@ -13,6 +13,7 @@
 import { Effect } from 'effect'
 import type { ArchivalPorts, ArchivalWriter } from './archival-writer.js'
 import type { ControllerContext } from './controller-context.js'
+import { prefixOf, RecordKind } from './record-kinds.js'
 import { historyRecord } from './terminal-state-retention.js'
 
 /** Keys of the first format that one request of the migration reads. */
@@ -22,6 +23,9 @@
 /** Pause between two reads, as a share of the controller lease. */
 const READ_PAUSE_LEASE_SHARE = 0.2
 
+/** What the keys of the first format begin with at the state service. */
+const JOB_KEY_PREFIX = KEY_PREFIX + prefixOf(RecordKind.job)
+
 /** A terminal state of the first format, and the revision at which it was read. */
 interface LegacyState {
 	job: TerminalJob
@@ -74,7 +78,7 @@
 			let startAfter: string | null = null
 			let legacyCount = 0
 			for (;;) {
-				const page: RangePage = yield* this.client.list(`${KEY_PREFIX}job/`, startAfter, KEYS_PER_READ)
+				const page: RangePage = yield* this.client.list(JOB_KEY_PREFIX, startAfter, KEYS_PER_READ)
 				const states = this.legacyStates(page)
 				legacyCount += states.count
 				for (const shardId of this.ports.ownedShards())
@@ -98,7 +102,7 @@
 		let count = 0
 		for (const entry of page.entries) {
 			const record = decodeJobRecord(entry.data)
-			const uid = entry.key.slice(`${KEY_PREFIX}job/`.length)
+			const uid = entry.key.slice(JOB_KEY_PREFIX.length)
 			// A cancelled job's own key is deleted with other obsolete records.
 			if (record?.finalState === undefined || this.context.jobs.isOnTerminalPage(uid)) continue
 			count++
--- a/packages/server/src/shard-router.ts
+++ b/packages/server/src/shard-router.ts
@@ -129,7 +129,7 @@
 		const work = Array.from({ length: shardCount }, () => ({ all: zeros(), running: zeros() }))
 		const quarantinedJobs = this.context.quarantinedJobs()
 		for (const uid of this.context.jobs.openJobs) {
-			// A quarantined job gets one trial at a time: no work to speak of.
+			// A quarantined job runs one task at a time: its work is negligible.
 			if (quarantinedJobs.has(uid)) continue
 			const record = this.context.jobs.get(uid)?.record
 			if (record?.spec === undefined || record.shardId >= shardCount) continue
--- a/packages/server/src/submission-queue.ts
+++ b/packages/server/src/submission-queue.ts
@@ -6,6 +6,7 @@
 import { type QueuedWrite, type TransactionContent, WritePriority, type WriteResult } from '@heathroad/store'
 import { Effect } from 'effect'
 import type { ControllerContext } from './controller-context.js'
+import { prefixOf, RecordKind } from './record-kinds.js'
 
 /** What became of a submission. */
 export type SubmissionOutcome =
@@ -177,7 +178,10 @@
 			// Removed as obsolete by its shard's owner, it is not used again.
 			if (!isCurrent || entry !== undefined) this.ownBatches.push(batch)
 		}
-		return { key: `intake/${membership.incarnation}-${++this.batchCounter}`, modRevision: 0 }
+		return {
+			key: `${prefixOf(RecordKind.acceptedBatch)}${membership.incarnation}-${++this.batchCounter}`,
+			modRevision: 0,
+		}
 	}
 
 	private flush(): void {
--- a/packages/server/src/terminal-state-retention.ts
+++ b/packages/server/src/terminal-state-retention.ts
@@ -8,9 +8,10 @@
 } from '@heathroad/cluster'
 import type { SearchScope } from '@heathroad/history'
 import type { ControllerContext } from './controller-context.js'
+import { prefixOf, RecordKind } from './record-kinds.js'
 
-const JOB_PREFIX = 'job/'
-const BATCH_PREFIX = 'intake/'
+const JOB_PREFIX = prefixOf(RecordKind.job)
+const BATCH_PREFIX = prefixOf(RecordKind.acceptedBatch)
 
 /** Returns the record of the records' format and archival epoch; null: nothing was ever archived. */
 export const historyRecord = (context: ControllerContext): HistoryRecord | null =>
