--- a/packages/controller/src/attempt-tracker.ts
+++ b/packages/controller/src/attempt-tracker.ts
@@ -20,13 +20,14 @@
 	update(attempt: Attempt, reported: ReportedTask, now: number): void {
 		const { job, machine } = attempt
 		const isRunning = reported.state === 'running'
-		if (attempt.startedAt === null && (isRunning || reported.state === 'pulling')) attempt.startedAt = now
+		if (attempt.startedAt === null && (isRunning || reported.state === 'pulling-image'))
+			attempt.startedAt = now
 		if (isRunning && attempt.state !== 'running' && job !== null)
 			this.state.recordCachedImage(machine, job.spec)
 		attempt.state = reported.state
 		if (isRunning && job?.spec.kind === 'daemon' && this.hasOutlivedLease(attempt, now))
 			job.outlivedLease = true
-		if (reported.state !== 'ended' || attempt.accountedFor) return
+		if (reported.state !== 'exited' || attempt.accountedFor) return
 		this.onEnded(attempt, reported, now)
 	}
 
@@ -39,7 +40,7 @@
 		attempt.exitReason = reported.exitReason
 		const spent = this.state.attemptCost(attempt)
 		this.state.freeResourcesOf(machine, attempt)
-		if (reported.exitReason === 'done') {
+		if (reported.exitReason === 'completed') {
 			this.crashLoops.onTaskSucceeded(machine)
 			if (job !== null && reported.taskIndex < job.spec.tasks) this.onTaskSucceeded(job, attempt, spent, now)
 			return
@@ -82,23 +83,23 @@
 		const { machine } = attempt
 		const pauseUntil = now + this.state.config.limits.heartbeatMs * REJECTED_START_PAUSE_HEARTBEATS
 		switch (attempt.exitReason) {
-			case 'halted':
+			case 'stopped':
 				if (job.spec.checkpointS > 0 && attempt.startedAt !== null)
 					job.checkpointedS.set(
 						attempt.taskIndex,
 						(job.checkpointedS.get(attempt.taskIndex) ?? 0) + (now - attempt.startedAt) / 1000,
 					)
 				return
-			case 'error':
+			case 'failed':
 				this.crashLoops.onTaskFailed(machine, job, attempt, now)
 				return
-			case 'no_room':
-			case 'in_use':
+			case 'insufficient-resources':
+			case 'attempt-conflict':
 				// The machine's recorded load is wrong: nothing starts there until its next heartbeats have corrected it.
 				machine.cordonedUntil = pauseUntil
 				this.logRejectedStart(attempt)
 				return
-			case 'no_such':
+			case 'unknown-job':
 				job.retryNotBefore = pauseUntil
 				this.logRejectedStart(attempt)
 				return
--- a/packages/controller/src/consolidation.ts
+++ b/packages/controller/src/consolidation.ts
@@ -72,7 +72,7 @@
 			if (!this.state.isSchedulable(machine, now)) continue
 			const tasks: PackedTask[] = []
 			for (const attempt of machine.attempts.values()) {
-				if (attempt.state === 'ended') continue
+				if (attempt.state === 'exited') continue
 				const task = this.toPackedTask(attempt, now)
 				tasks.push(task)
 				if (attempt.job !== null) jobsByTask.set(task, attempt.job)
--- a/packages/controller/src/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeat-reconciler.ts
@@ -87,7 +87,7 @@
 		const record = job === null ? this.state.ports.job(task.uid)?.record : undefined
 		// The task is planned elsewhere although it is here: the plan is withdrawn.
 		const other = job?.placements.get(task.taskIndex)
-		if (other?.state === 'planned' && task.state !== 'ended') this.state.removeAttempt(other.machine, other)
+		if (other?.state === 'planned' && task.state !== 'exited') this.state.removeAttempt(other.machine, other)
 		const isUseful = job !== null && this.needsAttempt(job, task.taskIndex)
 		const need = job?.spec ?? record?.resources ?? { cpus: 0, gpus: 0, ramGb: 0, team: '' }
 		const attempt: Attempt = {
--- a/packages/controller/src/job-run.ts
+++ b/packages/controller/src/job-run.ts
@@ -81,7 +81,7 @@
 	runningCount(): number {
 		let count = 0
 		for (const attempt of this.placements.values())
-			if (attempt.state === 'running' || attempt.state === 'flushing') count++
+			if (attempt.state === 'running' || attempt.state === 'checkpointing') count++
 		return count
 	}
 }
--- a/packages/controller/src/machine-commands.ts
+++ b/packages/controller/src/machine-commands.ts
@@ -28,12 +28,12 @@
 			case 'planned':
 			case 'sent':
 				return null
-			case 'ended':
+			case 'exited':
 				return this.mayForget(attempt) ? { verb: 'forget', taskName, attempt: attempt.attempt } : null
 		}
 		const isUnwanted = attempt.orphaned || attempt.job === null || attempt.job.isTerminal
 		if (isUnwanted) return { verb: 'kill', taskName, attempt: attempt.attempt, gracePeriodS: 0 }
-		if (attempt.stopGracePeriodS === null || attempt.state === 'flushing') return null
+		if (attempt.stopGracePeriodS === null || attempt.state === 'checkpointing') return null
 		return { verb: 'kill', taskName, attempt: attempt.attempt, gracePeriodS: attempt.stopGracePeriodS }
 	}
 
@@ -48,7 +48,7 @@
 
 	/** A machine may forget an ended attempt only once its success is durable, or if it was no success. */
 	private mayForget(attempt: Attempt): boolean {
-		if (attempt.exitReason !== 'done') return true
+		if (attempt.exitReason !== 'completed') return true
 		const { job } = attempt
 		if (job !== null)
 			return job.spec.kind === 'daemon' || job.isTerminal || job.durableDoneTasks.has(attempt.taskIndex)
@@ -60,7 +60,7 @@
 	jobsWithUndurableOutcomes(machine: Machine): Set<JobRun | null> {
 		const jobs = new Set<JobRun | null>()
 		for (const attempt of machine.attempts.values())
-			if (attempt.state === 'ended' && !this.mayForget(attempt)) jobs.add(attempt.job)
+			if (attempt.state === 'exited' && !this.mayForget(attempt)) jobs.add(attempt.job)
 		return jobs
 	}
 }
--- a/packages/controller/src/machine-monitor.ts
+++ b/packages/controller/src/machine-monitor.ts
@@ -99,7 +99,7 @@
 	private checkLease(machine: Machine, now: number): void {
 		if (now - machine.lastHeartbeatAt <= this.state.config.limits.agentLeaseMs) return
 		for (const attempt of [...machine.attempts.values()]) {
-			if (attempt.state === 'ended' && attempt.accountedFor) continue
+			if (attempt.state === 'exited' && attempt.accountedFor) continue
 			this.state.ports.log('info', 'agent lease expired', { task: attempt.taskName, machine: machine.id })
 			this.state.removeAttempt(machine, attempt)
 		}
@@ -110,7 +110,7 @@
 	}
 
 	private hasActiveAttempts(machine: Machine): boolean {
-		for (const attempt of machine.attempts.values()) if (attempt.state !== 'ended') return true
+		for (const attempt of machine.attempts.values()) if (attempt.state !== 'exited') return true
 		return false
 	}
 
--- a/packages/controller/src/machine-resources.ts
+++ b/packages/controller/src/machine-resources.ts
@@ -6,7 +6,7 @@
 export const recomputeFreeResources = (machine: Machine): void => {
 	const free = { cpus: machine.type.cpus, gpus: machine.type.gpus, ramGb: machine.type.ramGb }
 	for (const attempt of machine.attempts.values()) {
-		if (attempt.state === 'ended') continue
+		if (attempt.state === 'exited') continue
 		free.cpus -= attempt.resources.cpus
 		free.gpus -= attempt.resources.gpus
 		free.ramGb -= attempt.resources.ramGb
--- a/packages/controller/src/preemption.ts
+++ b/packages/controller/src/preemption.ts
@@ -37,7 +37,7 @@
 }
 
 const isBeingStopped = (attempt: Attempt): boolean =>
-	attempt.state !== 'ended' && attempt.stopGracePeriodS !== null
+	attempt.state !== 'exited' && attempt.stopGracePeriodS !== null
 
 /** CPUs of tasks that are being stopped already, on machines that take new tasks. */
 const countFreeingCpus = (machines: readonly Machine[]): number => {
--- a/packages/controller/src/spare-capacity.ts
+++ b/packages/controller/src/spare-capacity.ts
@@ -31,7 +31,7 @@
 const busyShare = (state: ShardState, machine: Machine, now: number): number => {
 	let busy = 0
 	for (const attempt of machine.attempts.values()) {
-		if (attempt.state === 'ended' || attempt.job === null || attempt.orphaned) continue
+		if (attempt.state === 'exited' || attempt.job === null || attempt.orphaned) continue
 		const remainingS = state.remainingRunS(attempt, attempt.job, now)
 		busy += machineFraction(attempt.resources, machine.type) * scaleOutWeight(remainingS, machine.type.bootS)
 	}
--- a/packages/logging/src/events.ts
+++ b/packages/logging/src/events.ts
@@ -134,7 +134,7 @@
 	'task start rejected': {
 		level: 'info',
 		meaning: 'A machine rejected a start; `cause` is its reason.',
-		action: "For `no_such`: the job's description has not been uploaded.",
+		action: "For `unknown-job`: the job's description has not been uploaded.",
 	},
 	'agent lease expired': {
 		level: 'info',
--- a/packages/wire/src/heartbeats.ts
+++ b/packages/wire/src/heartbeats.ts
@@ -5,11 +5,20 @@
  */
 import { isMap, isWireInteger, type WireInteger } from './codec.js'
 
-/** State of a task on its machine: fetching its image, running, saving its final checkpoint, or ended. */
-export type TaskState = 'pulling' | 'running' | 'flushing' | 'ended'
+/** State of a task on its machine. */
+export type TaskState = 'pulling-image' | 'running' | 'checkpointing' | 'exited'
 
-/** Why a task ended. */
-export type ExitReason = 'done' | 'halted' | 'error' | 'no_room' | 'in_use' | 'no_such'
+/**
+ * Why an attempt exited. The last three are rejected starts: too few free resources, another attempt of the task is on
+ * the machine, or the machine finds no description of the job.
+ */
+export type ExitReason =
+	| 'completed'
+	| 'stopped'
+	| 'failed'
+	| 'insufficient-resources'
+	| 'attempt-conflict'
+	| 'unknown-job'
 
 /** One attempt of a task in a heartbeat. */
 export interface ReportedTask {
@@ -20,7 +29,7 @@
 	taskIndex: number
 	attempt: WireInteger
 	state: TaskState
-	/** null: it has not ended, or no reason is given */
+	/** null: it has not exited, or for a reason that this version does not know */
 	exitReason: ExitReason | null
 }
 
@@ -46,7 +55,23 @@
 const isText = (value: unknown): value is string =>
 	typeof value === 'string' && value.length > 0 && value.length <= MAX_TEXT_LENGTH
 
-const TASK_STATES: readonly string[] = ['pulling', 'running', 'flushing', 'ended']
+/** Task states by their names on the wire. */
+export const TASK_STATES_BY_WIRE_NAME: ReadonlyMap<unknown, TaskState> = new Map([
+	['pulling', 'pulling-image'],
+	['running', 'running'],
+	['flushing', 'checkpointing'],
+	['ended', 'exited'],
+])
+
+/** Exit reasons by their names on the wire. */
+export const EXIT_REASONS_BY_WIRE_NAME: ReadonlyMap<unknown, ExitReason> = new Map([
+	['done', 'completed'],
+	['halted', 'stopped'],
+	['error', 'failed'],
+	['no_room', 'insufficient-resources'],
+	['in_use', 'attempt-conflict'],
+	['no_such', 'unknown-job'],
+])
 const MACHINE_ID_PATTERN = /^[\w.-]{1,64}$/
 
 const parseTask = (entry: unknown): ReportedTask | null => {
@@ -55,14 +80,14 @@
 	const taskIndex = Number(entry.piece.slice(slash + 1))
 	if (slash < 1 || !Number.isInteger(taskIndex) || taskIndex < 0) return null
 	// A state that a later version adds is taken for `running`, the safe reading: the task is on the machine.
-	const state = (TASK_STATES.includes(entry.status as string) ? entry.status : 'running') as TaskState
+	const state = TASK_STATES_BY_WIRE_NAME.get(entry.status) ?? 'running'
 	return {
 		taskName: entry.piece,
 		uid: entry.piece.slice(0, slash),
 		taskIndex,
 		attempt: entry.try,
 		state,
-		exitReason: typeof entry.cause === 'string' ? (entry.cause as ExitReason) : null,
+		exitReason: EXIT_REASONS_BY_WIRE_NAME.get(entry.cause) ?? null,
 	}
 }
 
--- a/tests/golden-forms.test.ts
+++ b/tests/golden-forms.test.ts
@@ -61,6 +61,7 @@
 import {
 	type Condition,
 	decode,
+	EXIT_REASONS_BY_WIRE_NAME,
 	encodeCommands,
 	encodeSubmission,
 	type HttpClient,
@@ -72,6 +73,7 @@
 	parseRangeResponse,
 	parseSubmission,
 	parseWatchResponse,
+	TASK_STATES_BY_WIRE_NAME,
 } from '@heathroad/wire'
 import { Effect } from 'effect'
 import { bodySentBy, requestsOf } from './golden/capture.js'
@@ -112,6 +114,10 @@
 /** For a type that is stored or sent as it is; an explicit codec takes this one's place. */
 const asItIs = <Value>(value: Value): unknown => value
 
+/** The name on the wire of a value in the code; null: it has none. */
+const wireName = (names: ReadonlyMap<unknown, unknown>, value: unknown): unknown =>
+	[...names].find(([, known]) => known === value)?.[0] ?? null
+
 test('records of the state', () => {
 	roundTrip('part, last', values.partRecord, encodeShardOwner, decodeShardOwner)
 	roundTrip('fleet', values.fleetRecord, encodeMachineGroup, decodeMachineGroup)
@@ -345,8 +351,8 @@
 		pieces: report.tasks.map((task) => ({
 			piece: task.taskName,
 			try: task.attempt,
-			status: task.state,
-			cause: task.exitReason,
+			status: wireName(TASK_STATES_BY_WIRE_NAME, task.state),
+			cause: wireName(EXIT_REASONS_BY_WIRE_NAME, task.exitReason),
 		})),
 	})
 	assert.deepEqual(parseHeartbeat(body), values.report)
--- a/tests/golden/values.ts
+++ b/tests/golden/values.ts
@@ -205,7 +205,7 @@
 			uid: 'job-000412',
 			taskIndex: 4,
 			attempt: 5_242_881,
-			state: 'flushing',
+			state: 'checkpointing',
 			exitReason: null,
 		},
 		{
@@ -213,8 +213,8 @@
 			uid: 'job-000412',
 			taskIndex: 5,
 			attempt: 5_242_882,
-			state: 'ended',
-			exitReason: 'no_room',
+			state: 'exited',
+			exitReason: 'insufficient-resources',
 		},
 	],
 }
--- a/tests/shard.test.ts
+++ b/tests/shard.test.ts
@@ -153,7 +153,7 @@
 			(scenario) =>
 				scenario.sentCommands
 					.at(-1)!
-					.answer(200, scenario.makeHeartbeat('i-1', [reportedTask('job-000009/0', 'ended', 'halted')])),
+					.answer(200, scenario.makeHeartbeat('i-1', [reportedTask('job-000009/0', 'exited', 'stopped')])),
 			false,
 		],
 		[
@@ -192,7 +192,7 @@
 test('a machine forgets an outcome only once it is durable', () => {
 	const scenario = createScenario(['i-1'])
 	scenario.accept('job-000001', 2)
-	const done = [reportedTask('job-000001/0', 'ended', 'done'), reportedTask('job-000001/1', 'running')]
+	const done = [reportedTask('job-000001/0', 'exited', 'completed'), reportedTask('job-000001/1', 'running')]
 	scenario.heartbeat('i-1', done)
 	scenario.advance(heartbeatMs * 4)
 	assert.deepEqual(forgottenTasks(scenario.heartbeat('i-1', done)), [], 'its write is not answered')
@@ -227,7 +227,7 @@
 test('cancelled tasks get no time to save, those that are saving already included', () => {
 	const scenario = createScenario(['i-1'])
 	scenario.accept('job-000001', 2, { checkpointS: 30, saveS: 4 })
-	const tasks = [reportedTask('job-000001/0', 'running'), reportedTask('job-000001/1', 'flushing')]
+	const tasks = [reportedTask('job-000001/0', 'running'), reportedTask('job-000001/1', 'checkpointing')]
 	scenario.heartbeat('i-1', tasks)
 	scenario.shard.applyCancellation('job-000001')
 	const kills = (commands: readonly Command[] = []) =>
@@ -246,7 +246,7 @@
 test('a task starts nowhere while any attempt of it may be on a machine (incident 26)', () => {
 	const name = 'job-000001/0'
 	const running = (attempt: number) => [reportedTask(name, 'running', null, attempt)]
-	const halted = (attempt: number) => [reportedTask(name, 'ended', 'halted', attempt)]
+	const halted = (attempt: number) => [reportedTask(name, 'exited', 'stopped', attempt)]
 	/** what i-1 and i-2 report from then on */
 	type Reports = [first: ReportedTask[], second: ReportedTask[]]
 	type Case = [name: string, arrange: (scenario: Scenario) => void, reports: Reports, mayStart: boolean]
