--- a/tests/daemon.test.ts
+++ b/tests/daemon.test.ts
@@ -80,8 +80,8 @@
 	assert.ok(crash.unanswered > 0, 'what a crash loses, which a drain must not')
 })
 
-test('a drain while the state service or other controllers are down ends in time and loses nothing', async () => {
-	const rows: { name: string; faults: ConstructorParameters<typeof Simulation>[0]['faults'] }[] = [
+const DRAINS_UNDER_FAULTS: { name: string; faults: ConstructorParameters<typeof Simulation>[0]['faults'] }[] =
+	[
 		{
 			name: 'the state service goes down during the handoff of shards',
 			faults: [
@@ -108,7 +108,9 @@
 			],
 		},
 	]
-	for (const { name, faults } of rows) {
+
+test('a drain while the state service or other controllers are down ends in time and loses nothing', async () => {
+	for (const { name, faults } of DRAINS_UNDER_FAULTS) {
 		const jobs = Array.from({ length: 30 }, (_, i) => ({
 			atS: 2 + i * 2,
 			spec: arrayJob(`job-0070${String(i).padStart(2, '0')}`, { tasks: 6, expectedS: 8 }),
--- a/tests/inspect.test.ts
+++ b/tests/inspect.test.ts
@@ -118,99 +118,103 @@
 	return checker.findings.map(({ key, what }) => `${key}: ${what}`)
 }
 
-test('check: every inconsistency is reported, and nothing else', async () => {
-	const firstPage = archivePageKey(1, MIDDLE)
-	const lastPage = archivePageKey(1, '~')
-	for (const [description, change, expected] of [
-		['all is consistent', {}, []],
-		[
-			'a state in the middle of a move down is in two places',
-			{
-				[archivePageKey(2, '~')]: archivePage('', '~', [archivedJob('job-100000')]),
-				[firstPage]: archivePage(
-					'',
-					MIDDLE,
-					[archivedJob('job-100000'), archivedJob('job-200000', { aborted: true, doneCount: 1 })],
-					{
-						deeper: true,
-					},
-				),
-			},
-			[],
-		],
-		[
-			'an invalid page',
-			{ [firstPage]: { from: '', depth: 1, deeper: false, packed: 'AAAA' } },
-			[/1\/.*: cannot be unpacked/],
-		],
-		['an overlap', { [lastPage]: archivePage(ordinalOf('job-400000'), '~', []) }, [/1\/~: overlaps/]],
-		['a gap', { [lastPage]: archivePage(ordinalOf('job-600000'), '~', []) }, [/1\/~: leaves a gap/]],
-		['no end', { [lastPage]: undefined }, [/past\/1\/: its last record is missing/]],
-		[
-			'out of range',
-			{ [firstPage]: archivePage('', MIDDLE, [archivedJob('job-700000')]) },
-			[/job-700000, which is not of its range/],
-		],
-		[
-			'on a level where no look-up reaches it',
-			{ [archivePageKey(2, '~')]: archivePage('', '~', [archivedJob('job-100001')]) },
-			[/job-100001, which nobody looks for/],
-		],
-		[
-			'two terminal states of one job',
-			{ [`${KEY_PREFIX}over/1`]: { ...(terminalPage('job-200000') as object), part: 1 } },
-			[/over\/1: job-200000 ended another way/],
-		],
-		[
-			'archived and open',
-			{ [`${KEY_PREFIX}intake/b`]: { jobs: [storedJob('job-100000')] } },
-			[/intake\/b: job-100000 is open there/],
-		],
-		[
-			'progress of a terminal job',
-			{ [`${KEY_PREFIX}done/job-400000/1`]: [0, 3] },
-			[/done\/job-400000\/1: is progress/],
-		],
-		[
-			'a machine in two records',
-			{
-				[`${KEY_PREFIX}fleet/r1`]: {
-					part: 1,
-					type: 't',
-					zone: 'a',
-					spot: false,
-					asked: 0,
-					hosts: { 'i-1': null },
+const firstPage = archivePageKey(1, MIDDLE)
+const lastPage = archivePageKey(1, '~')
+
+/** What is changed in the consistent state, and the findings it leads to. */
+const CHANGES = [
+	['all is consistent', {}, []],
+	[
+		'a state in the middle of a move down is in two places',
+		{
+			[archivePageKey(2, '~')]: archivePage('', '~', [archivedJob('job-100000')]),
+			[firstPage]: archivePage(
+				'',
+				MIDDLE,
+				[archivedJob('job-100000'), archivedJob('job-200000', { aborted: true, doneCount: 1 })],
+				{
+					deeper: true,
 				},
+			),
+		},
+		[],
+	],
+	[
+		'an invalid page',
+		{ [firstPage]: { from: '', depth: 1, deeper: false, packed: 'AAAA' } },
+		[/1\/.*: cannot be unpacked/],
+	],
+	['an overlap', { [lastPage]: archivePage(ordinalOf('job-400000'), '~', []) }, [/1\/~: overlaps/]],
+	['a gap', { [lastPage]: archivePage(ordinalOf('job-600000'), '~', []) }, [/1\/~: leaves a gap/]],
+	['no end', { [lastPage]: undefined }, [/past\/1\/: its last record is missing/]],
+	[
+		'out of range',
+		{ [firstPage]: archivePage('', MIDDLE, [archivedJob('job-700000')]) },
+		[/job-700000, which is not of its range/],
+	],
+	[
+		'on a level where no look-up reaches it',
+		{ [archivePageKey(2, '~')]: archivePage('', '~', [archivedJob('job-100001')]) },
+		[/job-100001, which nobody looks for/],
+	],
+	[
+		'two terminal states of one job',
+		{ [`${KEY_PREFIX}over/1`]: { ...(terminalPage('job-200000') as object), part: 1 } },
+		[/over\/1: job-200000 ended another way/],
+	],
+	[
+		'archived and open',
+		{ [`${KEY_PREFIX}intake/b`]: { jobs: [storedJob('job-100000')] } },
+		[/intake\/b: job-100000 is open there/],
+	],
+	[
+		'progress of a terminal job',
+		{ [`${KEY_PREFIX}done/job-400000/1`]: [0, 3] },
+		[/done\/job-400000\/1: is progress/],
+	],
+	[
+		'a machine in two records',
+		{
+			[`${KEY_PREFIX}fleet/r1`]: {
+				part: 1,
+				type: 't',
+				zone: 'a',
+				spot: false,
+				asked: 0,
+				hosts: { 'i-1': null },
 			},
-			[/fleet\/r1: holds machine i-1/],
-		],
-		[
-			'a shard that does not exist',
-			{ [`${KEY_PREFIX}part/7`]: { owner: 'a', life: 'b' } },
-			[/part\/7: there are 3 parts/],
-		],
-		['a later format', { [`${KEY_PREFIX}history`]: { form: 3, turn: 1 } }, [/history: is of form 3/]],
-		[
-			'a page of another format',
-			{ [`${KEY_PREFIX}over/0`]: { part: 0, over: [[1], 7] } },
-			[/over\/0: does not parse/],
-		],
-		[
-			'a key of another program',
-			{ [`${KEY_PREFIX}what`]: 1, 'heathroad.x': 1 },
-			[/heathroad\.x: is none/, /what: is of no kind/],
-		],
-		[
-			'malformed records',
-			{
-				[`${KEY_PREFIX}over/0`]: 7,
-				[`${KEY_PREFIX}intake/a`]: { jobs: 1 },
-				[`${KEY_PREFIX}job/job-300001`]: [],
-			},
-			[/intake\/a: does not parse/, /job-300001: does not parse/, /over\/0: does not parse/],
-		],
-	] as const) {
+		},
+		[/fleet\/r1: holds machine i-1/],
+	],
+	[
+		'a shard that does not exist',
+		{ [`${KEY_PREFIX}part/7`]: { owner: 'a', life: 'b' } },
+		[/part\/7: there are 3 parts/],
+	],
+	['a later format', { [`${KEY_PREFIX}history`]: { form: 3, turn: 1 } }, [/history: is of form 3/]],
+	[
+		'a page of another format',
+		{ [`${KEY_PREFIX}over/0`]: { part: 0, over: [[1], 7] } },
+		[/over\/0: does not parse/],
+	],
+	[
+		'a key of another program',
+		{ [`${KEY_PREFIX}what`]: 1, 'heathroad.x': 1 },
+		[/heathroad\.x: is none/, /what: is of no kind/],
+	],
+	[
+		'malformed records',
+		{
+			[`${KEY_PREFIX}over/0`]: 7,
+			[`${KEY_PREFIX}intake/a`]: { jobs: 1 },
+			[`${KEY_PREFIX}job/job-300001`]: [],
+		},
+		[/intake\/a: does not parse/, /job-300001: does not parse/, /over\/0: does not parse/],
+	],
+] as const
+
+test('check: every inconsistency is reported, and nothing else', async () => {
+	for (const [description, change, expected] of CHANGES) {
 		const keys = Object.fromEntries(
 			Object.entries({ ...consistentState(), ...change }).filter(([, data]) => data !== undefined),
 		)
