--- a/packages/client/src/job-watcher.ts
+++ b/packages/client/src/job-watcher.ts
@@ -33,6 +33,9 @@
 	readonly terminalJobs: Set<string>
 }
 
+/** The job that errors of a watch name; empty for a team. */
+const firstJobId = (selection: Selection): string => ('team' in selection ? '' : (selection.uids[0] ?? ''))
+
 /** Watches jobs. */
 export class JobWatcher {
 	/** `pollMs`: between two polls of the same job. */
@@ -45,7 +48,7 @@
 
 	/** See `Client.watch`. */
 	async *watch(selection: Selection, options: WatchOptions): AsyncGenerator<JobEvent, void> {
-		const uid = 'team' in selection ? '' : (selection.uids[0] ?? '')
+		const uid = firstJobId(selection)
 		const call = { uid, signal: callSignal(options.signal), mayBeAccepted: true }
 		if ('uids' in selection && selection.uids.length === 0) return
 		const progress: WatchProgress = {
@@ -67,8 +70,7 @@
 				progress.hasGap = true
 				continue
 			}
-			if (end.lacksGrpc) failedGrpcTries++
-			else failedGrpcTries = 0
+			failedGrpcTries = end.lacksGrpc ? failedGrpcTries + 1 : 0
 			// A stream that made progress was a good one: the delays begin anew.
 			if (progress.cursor !== cursorBefore) tries = 1
 			this.transports.advance()
@@ -122,25 +124,33 @@
 		call: InterruptibleCall,
 	): AsyncGenerator<JobEvent, StreamEnd> {
 		if ('team' in selection) throw new NeedsGrpc('a team can be watched over gRPC only', '', false)
-		const { terminalJobs } = progress
 		const lastStates = new Map<string, string>()
 		for (;;) {
-			for (const uid of selection.uids) {
-				if (terminalJobs.has(uid)) continue
-				const job = await this.query(uid, call.signal)
-				if (job === null) continue
-				const state = `${job.state} ${job.done} ${job.running}`
-				if (lastStates.get(uid) === state) continue
-				lastStates.set(uid, state)
-				if (isFinal(job.state)) terminalJobs.add(uid)
-				yield { ...job, tasks: 0, cursor: '', afterGap: false }
-			}
-			if (selection.uids.every((uid) => terminalJobs.has(uid))) return { kind: 'complete' }
+			yield* this.pollOnce(selection.uids, { terminalJobs: progress.terminalJobs, lastStates }, call.signal)
+			if (selection.uids.every((uid) => progress.terminalJobs.has(uid))) return { kind: 'complete' }
 			const jitter = POLL_JITTER.min + this.random() * POLL_JITTER.range
 			await delay(this.pollMs * jitter, call)
 		}
 	}
 
+	/** Queries each job that is not terminal, and delivers its state if that differs from the last one. */
+	private async *pollOnce(
+		uids: readonly string[],
+		{ terminalJobs, lastStates }: { terminalJobs: Set<string>; lastStates: Map<string, string> },
+		signal: AbortSignal,
+	): AsyncGenerator<JobEvent, void> {
+		for (const uid of uids) {
+			if (terminalJobs.has(uid)) continue
+			const job = await this.query(uid, signal)
+			if (job === null) continue
+			const state = `${job.state} ${job.done} ${job.running}`
+			if (lastStates.get(uid) === state) continue
+			lastStates.set(uid, state)
+			if (isFinal(job.state)) terminalJobs.add(uid)
+			yield { ...job, tasks: 0, cursor: '', afterGap: false }
+		}
+	}
+
 	/** A job's state; null: it was not submitted yet, or no address answered, so it is queried again later. */
 	private async query(uid: string, signal: AbortSignal): Promise<JobInfo | null> {
 		try {
--- a/tests/grpc.test.ts
+++ b/tests/grpc.test.ts
@@ -64,9 +64,9 @@
 			call.cancel()
 		}, ms)
 		call.on('data', () => {})
-		call.on('error', (e) => {
+		call.on('error', (error) => {
 			clearTimeout(timer)
-			resolve(e as ServiceError)
+			resolve(error as ServiceError)
 		})
 	})
 
@@ -116,16 +116,21 @@
 				status.FAILED_PRECONDITION,
 				/no allowed machine/,
 			],
-			['an unknown job', unary((d) => client.Get({ uid: 'job-009999' }, d)), status.NOT_FOUND, /no such job/],
+			[
+				'an unknown job',
+				unary((done) => client.Get({ uid: 'job-009999' }, done)),
+				status.NOT_FOUND,
+				/no such job/,
+			],
 			[
 				'an id that is a path',
-				unary((d) => client.Get({ uid: '../healthz' }, d)),
+				unary((done) => client.Get({ uid: '../healthz' }, done)),
 				status.INVALID_ARGUMENT,
 				/^uid: /,
 			],
 			[
 				'cancelling an unknown job',
-				unary((d) => client.Cancel({ uid: 'job-009999' }, d)),
+				unary((done) => client.Cancel({ uid: 'job-009999' }, done)),
 				status.NOT_FOUND,
 				/no such/,
 			],
@@ -151,13 +156,13 @@
 			],
 		]
 		for (const [name, answer, code, says] of cases) {
-			const e = (await answer) as ServiceError
-			assert.equal(e?.code, code, `${name}: ${JSON.stringify(e)}`)
-			assert.match(e.details, says, name)
+			const error = (await answer) as ServiceError
+			assert.equal(error?.code, code, `${name}: ${JSON.stringify(error)}`)
+			assert.match(error.details, says, name)
 		}
 		const seen: string[] = []
-		for await (const e of client.Watch({ uids: ['job-000001'] }) as AsyncIterable<EventMessage>)
-			seen.push(e.state)
+		for await (const event of client.Watch({ uids: ['job-000001'] }) as AsyncIterable<EventMessage>)
+			seen.push(event.state)
 		assert.equal(seen[seen.length - 1], 'STATE_DONE', 'the stream ends once all of its jobs are terminal')
 		assert.equal(seen.filter((s) => s === 'STATE_DONE').length, 1)
 	})
@@ -165,22 +170,22 @@
 
 test('streams beyond the bounds are refused at once with a retry delay, in trailers and as RetryInfo', async () => {
 	await withServer({ streams: 3 }, async ({ client, server }) => {
-		const open = [1, 2, 3].map((i) => client.Watch({ uids: [`job-00000${i}`] }))
-		for (const s of open) s.on('error', () => {})
+		const streams = [1, 2, 3].map((i) => client.Watch({ uids: [`job-00000${i}`] }))
+		for (const stream of streams) stream.on('error', () => {})
 		for (let attempt = 0; attempt < 50 && server.open < 3; attempt++)
 			await new Promise((done) => setTimeout(done, 20))
 		const startedAt = Date.now()
-		const e = (await streamError(client.Watch({ team: 'core' }))) as ServiceError
+		const error = (await streamError(client.Watch({ team: 'core' }))) as ServiceError
 		assert.ok(Date.now() - startedAt < 500, 'at once')
-		assert.equal(e.code, status.RESOURCE_EXHAUSTED)
-		assert.ok(Number(e.metadata.get('retry-after-ms')[0]) >= 1000)
-		const [details] = e.metadata.get('grpc-status-details-bin')
+		assert.equal(error.code, status.RESOURCE_EXHAUSTED)
+		assert.ok(Number(error.metadata.get('retry-after-ms')[0]) >= 1000)
+		const [details] = error.metadata.get('grpc-status-details-bin')
 		assert.match(Buffer.from(details as Buffer).toString('latin1'), /google\.rpc\.RetryInfo/)
-		open[0].cancel()
+		streams[0].cancel()
 		for (let attempt = 0; attempt < 50 && server.open > 2; attempt++)
 			await new Promise((done) => setTimeout(done, 20))
 		assert.equal(server.open, 2, 'an ended stream makes room')
-		for (const s of open) s.cancel()
+		for (const stream of streams) stream.cancel()
 	})
 })
 
@@ -194,17 +199,17 @@
 		// Sent with the headers: a stream that breaks before its first event has no other cursor.
 		assert.match(String(await Promise.race([firstCursor, ended])), /^1\.p\./)
 		await server.stop(500)
-		const e = await ended
-		assert.equal(e?.code, status.UNAVAILABLE)
-		assert.match(String(e?.metadata.get('cursor')[0]), /^1\./)
+		const error = await ended
+		assert.equal(error?.code, status.UNAVAILABLE)
+		assert.match(String(error?.metadata.get('cursor')[0]), /^1\./)
 	})
 })
 
 test('hostile peers: nothing that they send delays other clients', async () => {
 	await withServer({ connections: 12, stallS: 1 }, async ({ port, client }) => {
 		const assertServing = async (name: string) => {
-			const e = (await unary((d) => client.Get({ uid: 'job-009999' }, d))) as ServiceError
-			assert.equal(e.code, status.NOT_FOUND, name)
+			const error = (await unary((done) => client.Get({ uid: 'job-009999' }, done))) as ServiceError
+			assert.equal(error.code, status.NOT_FOUND, name)
 		}
 		// Bytes of other protocols, or none at all.
 		for (const text of ['GET / HTTP/1.1\r\nhost: x\r\n\r\n', '\x00'.repeat(100), '']) {
@@ -220,7 +225,7 @@
 			body?: Buffer,
 		): Promise<http2.IncomingHttpHeaders | string> =>
 			new Promise((resolve) => {
-				const s = session.request({
+				const stream = session.request({
 					':method': 'POST',
 					':path': path,
 					'content-type': 'application/grpc',
@@ -228,21 +233,21 @@
 					...headers,
 				})
 				let first: http2.IncomingHttpHeaders = {}
-				s.on('response', (h) => (first = h))
-				s.on('trailers', (t) => resolve({ ...first, ...t }))
-				s.on('error', (e) => resolve(String(e)))
-				s.on('close', () => resolve(first))
-				s.resume()
-				s.end(body)
+				stream.on('response', (headers) => (first = headers))
+				stream.on('trailers', (trailers) => resolve({ ...first, ...trailers }))
+				stream.on('error', (error) => resolve(String(error)))
+				stream.on('close', () => resolve(first))
+				stream.resume()
+				stream.end(body)
 			})
 		const frame = (length: number, body: Buffer) => Buffer.concat([Buffer.from([0]), u32(length), body])
-		const u32 = (n: number) => {
-			const b = Buffer.alloc(4)
-			b.writeUInt32BE(n)
-			return b
+		const u32 = (value: number) => {
+			const bytes = Buffer.alloc(4)
+			bytes.writeUInt32BE(value)
+			return bytes
 		}
-		const codeOf = (h: http2.IncomingHttpHeaders | string) =>
-			typeof h === 'string' ? h : Number(h['grpc-status'])
+		const codeOf = (trailers: http2.IncomingHttpHeaders | string) =>
+			typeof trailers === 'string' ? trailers : Number(trailers['grpc-status'])
 		assert.equal(
 			codeOf(await raw('/heathroad.v1.Jobs/Nothing', {})),
 			status.UNIMPLEMENTED,
@@ -273,14 +278,14 @@
 			.on('error', () => {})
 		const uids = frame(12, Buffer.from([0x0a, 10, ...Buffer.from('job-009998')]))
 		for (let i = 0; i < 50; i++) {
-			const s = unread.request({
+			const stream = unread.request({
 				':method': 'POST',
 				':path': '/heathroad.v1.Jobs/Watch',
 				'content-type': 'application/grpc',
 				te: 'trailers',
 			})
-			s.on('error', () => {})
-			s.end(uids)
+			stream.on('error', () => {})
+			stream.end(uids)
 		}
 		await assertServing('streams without a reader')
 		// More connections than allowed: those that are open are still served.
@@ -312,11 +317,15 @@
 			'raw',
 		)
 		const raw = new Raw(`127.0.0.1:${port}`, credentials.createInsecure()) as unknown as {
-			check(q: Buffer, done: (e: ServiceError | null, a?: Buffer) => void): void
-			reflect(): { write(q: Buffer): void; end(): void; on(event: string, f: (a: Buffer) => void): void }
+			check(request: Buffer, done: (error: ServiceError | null, response?: Buffer) => void): void
+			reflect(): {
+				write(request: Buffer): void
+				end(): void
+				on(event: string, listener: (response: Buffer) => void): void
+			}
 			close(): void
 		}
-		const health = (await unary((d) => raw.check(Buffer.alloc(0), d))) as Buffer
+		const health = (await unary((done) => raw.check(Buffer.alloc(0), done))) as Buffer
 		assert.deepEqual([...health], [8, 1], 'SERVING')
 		const listed = await new Promise<Buffer>((resolve) => {
 			const call = raw.reflect()
@@ -348,18 +357,18 @@
 				const { state, done, tasks } = job as { state: string; done: number; tasks: number }
 				return [state, done, tasks]
 			}
-			assert.deepEqual(summary(await unary((d) => client.Get({ uid: 'job-000100' }, d))), [
+			assert.deepEqual(summary(await unary((done) => client.Get({ uid: 'job-000100' }, done))), [
 				'STATE_DONE',
 				3,
 				3,
 			])
-			assert.deepEqual(summary(await unary((d) => client.Cancel({ uid: 'job-000200' }, d))), [
+			assert.deepEqual(summary(await unary((done) => client.Cancel({ uid: 'job-000200' }, done))), [
 				'STATE_CANCELLED',
 				1,
 				4,
 			])
 			const again = toSubmitRequest(arrayJob('job-000100', { tasks: 3 }))
-			assert.deepEqual(summary(await unary((d) => client.Submit(again, d))), ['STATE_DONE', 3, 3])
+			assert.deepEqual(summary(await unary((done) => client.Submit(again, done))), ['STATE_DONE', 3, 3])
 			const watchFor = (uids: string[], cursor: string, ms: number) =>
 				new Promise<{ events: EventMessage[]; ended: boolean }>((resolve) => {
 					const call = client.Watch({ uids, cursor })
--- a/tests/plugins.test.ts
+++ b/tests/plugins.test.ts
@@ -93,15 +93,24 @@
 	assert.deepEqual(readAdmission({ pass: true }), { pass: true })
 	assert.deepEqual(readAdmission({ refuse: ' no ' }), { refuse: 'no' })
 	assert.deepEqual(readRelease({ hold: 'later', againS: 1e9 }), { hold: 'later', againS: 600 })
-	for (const v of [undefined, null, true, {}, { pass: 1 }, { refuse: '' }, { pass: true, refuse: 'x' }, []])
-		assert.ok(readAdmission(v) instanceof InvalidAnswer, JSON.stringify(v))
-	for (const v of [
+	for (const answer of [
+		undefined,
+		null,
+		true,
+		{},
+		{ pass: 1 },
+		{ refuse: '' },
+		{ pass: true, refuse: 'x' },
+		[],
+	])
+		assert.ok(readAdmission(answer) instanceof InvalidAnswer, JSON.stringify(answer))
+	for (const answer of [
 		{ release: false },
 		{ hold: 5 },
 		{ hold: 'x', againS: Number.NaN },
 		{ hold: 'x', until: 1 },
 	])
-		assert.ok(readRelease(v) instanceof InvalidAnswer, JSON.stringify(v))
+		assert.ok(readRelease(answer) instanceof InvalidAnswer, JSON.stringify(answer))
 	const tried = tryPlugin({ release: () => ({ hold: '' }) })
 	await assert.rejects(tried.release())
 	await assert.rejects(tried.admit(), /neither/)
