--- /dev/null
+++ b/packages/lab/src/experiment-run.ts
@@ -0,0 +1,243 @@
+/** Runs an experiment: real controller processes among fake services behind sockets. */
+import { mkdtempSync } from 'node:fs'
+import { tmpdir } from 'node:os'
+import { join } from 'node:path'
+import type { ArchivedJob } from '@heathroad/history'
+import { arrayJob, InvariantChecker, RealClock, type WorkerTimes } from '@heathroad/testkit'
+import type { JobSpec } from '@heathroad/wire'
+import type { Histogram } from 'hdr-histogram-js'
+import { type Build, type ControllerProcess, createControllers } from './controller-process.js'
+import type { Experiment, LabFault } from './experiment.js'
+import { LabFleet } from './lab-fleet.js'
+import { LabUsers } from './lab-users.js'
+import { putArchive } from './made-history.js'
+import { classOf, PluginDirectory } from './plugin-directory.js'
+import { type Kind, type RequestCounts, RequestRecorder } from './request-recorder.js'
+
+export type { Kind } from './request-recorder.js'
+
+const TIMES: WorkerTimes = { reportS: 1, leaseS: 10, cancelS: 30 }
+/** Largest size of a value of the archive, in bytes. */
+const ARCHIVE_VALUE_BYTES = 8192
+/** Number of archived jobs that users ask about. */
+const ARCHIVE_SAMPLES = 5000
+/** Pause between polls without and with plug-ins, in ms. */
+const POLL_MS = { plain: 2000, plugins: 500 }
+/** Archived jobs are asked about in steps of so many. */
+const ARCHIVE_STEP = 31
+
+/** One second of an experiment. */
+export interface Second extends RequestCounts {
+	atS: number
+	/** memory of each controller, in MB */
+	memoryMb: number[]
+	/** requests of the state service */
+	requests: number
+	/** those that it answered with 429 */
+	refused: number
+	/** sets and deletions */
+	changes: number
+	/** keys that controllers watch */
+	keys: number
+}
+
+/** What came of an experiment. */
+export interface Outcome {
+	build: Build
+	seconds: Second[]
+	latencies: Record<Kind, Histogram>
+	/** violations of the protocol, and wrong answers about archived jobs */
+	broken: string[]
+	jobs: { accepted: number; over: number }
+	/** by class: time from a job's acceptance until its user observed that it is done, in ms */
+	classes: Record<string, Histogram>
+	/** how controllers ended by themselves */
+	ends: string[]
+	/** of each fault: seconds until each kind of request is answered again; null: never */
+	again: { atS: number; kind: string; after: Record<string, number | null> }[]
+}
+
+const wait = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms))
+
+/** One experiment under way. */
+class ExperimentRun {
+	private readonly clock: RealClock
+	private readonly invariants: InvariantChecker
+	private readonly recorder: RequestRecorder
+	private readonly users: LabUsers
+	private readonly fleet: LabFleet
+	private readonly dir = mkdtempSync(join(tmpdir(), 'heathroad-lab-'))
+	private readonly plugins: PluginDirectory | null
+	private readonly archived: ArchivedJob[]
+	private controllers: ControllerProcess[] = []
+	/** set anew when the controllers are about to start, as making a long history takes seconds */
+	private begunMs = performance.now()
+
+	constructor(
+		private readonly experiment: Experiment,
+		private readonly build: Build,
+	) {
+		const { seed, plugins, history } = experiment
+		this.clock = new RealClock(seed)
+		this.plugins =
+			plugins.kinds.length === 0 ? null : new PluginDirectory(this.dir, plugins.kinds, plugins.holdAtMostS)
+		this.invariants = new InvariantChecker(() => this.elapsedMs(), TIMES.cancelS * 1000, new Map())
+		this.recorder = new RequestRecorder(() => this.elapsedMs() / 1000)
+		this.users = new LabUsers({
+			invariants: this.invariants,
+			recorder: this.recorder,
+			someController: () =>
+				this.controllers[Math.floor(this.clock.random() * this.controllers.length)].address,
+			hasEnded: () => this.elapsedMs() > experiment.forS * 1000,
+			pollMs: this.plugins === null ? POLL_MS.plain : POLL_MS.plugins,
+		})
+		this.fleet = new LabFleet({
+			clock: this.clock,
+			invariants: this.invariants,
+			recorder: this.recorder,
+			times: TIMES,
+			specs: this.users.specs,
+			controllerAddresses: () => this.controllers.map((controller) => controller.address),
+		})
+		const sampleEvery = Math.max(1, Math.floor(history / ARCHIVE_SAMPLES))
+		this.archived = putArchive(this.fleet.state, history, ARCHIVE_VALUE_BYTES, seed, sampleEvery)
+	}
+
+	async run(): Promise<Outcome> {
+		await this.start()
+		this.scheduleLoad()
+		for (const fault of this.experiment.troubles) setTimeout(() => this.inject(fault), fault.atS * 1000)
+		const seconds = await this.sampleSeconds()
+		this.close()
+		return this.outcome(seconds)
+	}
+
+	private elapsedMs(): number {
+		return performance.now() - this.begunMs
+	}
+
+	private async start(): Promise<void> {
+		const { experiment, plugins, dir } = this
+		const ports = await this.fleet.serve(experiment.state)
+		const build = plugins === null ? this.build : { ...this.build, ini: plugins.ini }
+		this.controllers = await createControllers(experiment.controllers, build, {
+			dir,
+			...ports,
+			limits: experiment.state,
+			workers: TIMES,
+		})
+		this.fleet.bootMachines(experiment.machines)
+		this.begunMs = performance.now()
+		for (const controller of this.controllers) controller.start()
+	}
+
+	private scheduleLoad(): void {
+		const { load } = this.experiment
+		const { archived } = this
+		this.repeat(load.jobsPerS, (index) => void this.users.run(this.jobSpec(index)))
+		this.repeat(archived.length === 0 ? 0 : load.oldPollsPerS, (index) => {
+			void this.users.pollArchived(archived[(index * ARCHIVE_STEP) % archived.length])
+		})
+	}
+
+	/** With plug-ins every second job has to pass one, each kind by turns. */
+	private jobSpec(index: number): JobSpec {
+		const { load, plugins } = this.experiment
+		const checked = this.plugins !== null && index % 2 === 1
+		return arrayJob(`job-7${String(index * 7919 + 10 ** 9)}`, {
+			tasks: load.tasks,
+			expectedS: load.runS,
+			spot: true,
+			...(checked ? { jobClass: classOf(plugins.kinds[(index >> 1) % plugins.kinds.length]) } : {}),
+		})
+	}
+
+	/** Calls `action` so often a second until the experiment ends. */
+	private repeat(perS: number, action: (index: number) => void): void {
+		if (perS <= 0) return
+		let index = 0
+		const timer = setInterval(() => {
+			if (this.elapsedMs() < this.experiment.forS * 1000) action(index++)
+			else clearInterval(timer)
+		}, 1000 / perS)
+	}
+
+	private inject({ kind, who, forS }: LabFault): void {
+		const affected = who.map((index) => this.controllers[index])
+		const restart = (controller: ControllerProcess) => setTimeout(() => controller.start(), forS * 1000)
+		switch (kind) {
+			case 'upgrade':
+				for (let second = 0; second < forS; second++) setTimeout(() => this.plugins?.upgrade(), second * 1000)
+				break
+			case 'drain':
+				for (const controller of affected) controller.drain(() => restart(controller))
+				break
+			case 'outage':
+				this.fleet.state.down = true
+				setTimeout(() => this.fleet.state.recover(), forS * 1000)
+				break
+			case 'kill':
+				for (const controller of affected) {
+					controller.kill()
+					restart(controller)
+				}
+		}
+	}
+
+	private async sampleSeconds(): Promise<Second[]> {
+		const seconds: Second[] = []
+		let before = this.fleet.stateLoad()
+		for (let atS = 1; atS <= this.experiment.forS; atS++) {
+			await wait(Math.max(0, atS * 1000 - this.elapsedMs()))
+			const load = this.fleet.stateLoad()
+			seconds.push({
+				atS,
+				...this.recorder.takeCounts(),
+				memoryMb: this.controllers.map((controller) => controller.sample()),
+				requests: load.requests - before.requests,
+				refused: load.refused - before.refused,
+				changes: load.changes - before.changes,
+				keys: this.fleet.state.count('heathroad/'),
+			})
+			before = load
+			this.invariants.checkCancelledTasks()
+		}
+		return seconds
+	}
+
+	private close(): void {
+		for (const controller of this.controllers) controller.kill()
+		this.clock.stop()
+		this.fleet.close()
+		this.recorder.close()
+	}
+
+	private outcome(seconds: Second[]): Outcome {
+		const { invariants, users, recorder, experiment } = this
+		const unfinished = new Set(invariants.unfinished())
+		const over = [...users.specs.keys()].filter((uid) => !unfinished.has(uid)).length
+		const wrongAnswers = users.wrongAnswers.map((answer) => `an old job is answered wrongly: ${answer}`)
+		return {
+			build: this.build,
+			seconds,
+			latencies: recorder.latencies,
+			broken: [...invariants.violations, ...wrongAnswers],
+			jobs: { accepted: users.accepted, over },
+			classes: users.classes,
+			ends: this.controllers.flatMap((controller) => controller.ends),
+			again: experiment.troubles.map((fault) => this.recovery(fault)),
+		}
+	}
+
+	private recovery({ atS, kind, forS }: LabFault): Outcome['again'][number] {
+		const first = Object.entries(this.recorder.firstAnswersAfter(atS + forS))
+		const after = Object.fromEntries(
+			first.map(([request, answeredS]) => [request, answeredS === null ? null : answeredS - atS]),
+		)
+		return { atS, kind, after }
+	}
+}
+
+/** Runs an experiment with one build of the service. */
+export const runExperiment = (experiment: Experiment, build: Build): Promise<Outcome> =>
+	new ExperimentRun(experiment, build).run()
--- a/packages/lab/src/experiment.ts
+++ b/packages/lab/src/experiment.ts
@@ -1,38 +1,144 @@
+/** Experiments of the lab, as INI files describe them. */
 import { readFileSync } from 'node:fs'
 import * as ini from 'ini'
-import { PLUGIN_KINDS } from './plugins.js'
+import { PLUGIN_KINDS } from './plugin-directory.js'
 
 /** Something that happens to the lab's controllers or services. */
 export interface LabFault {
 	atS: number
 	kind: 'kill' | 'drain' | 'outage' | 'upgrade'
-	/** controllers, by number */
+	/** indexes of the controllers */
 	who: number[]
 	forS: number
 }
 
+/** An experiment. */
 export interface Experiment {
 	name: string
 	seed: number
+	/** duration in seconds */
 	forS: number
 	controllers: number
-	/** machines that are up before */
+	/** machines that are up before the controllers */
 	machines: number
-	/** finished jobs before */
+	/** terminal jobs in the archive before the controllers start */
 	history: number
+	/** limits a second and mean latency of the state service */
 	state: { rps: number; writeRps: number; latencyMs: number }
 	load: { jobsPerS: number; tasks: number; runS: number; oldPollsPerS: number }
-	/** stand-in plug-ins, each for a class of jobs of its own, and how long they may hold one */
+	/** kinds of plug-ins, each for a class of jobs of its own, and how long they may hold a job */
 	plugins: { kinds: string[]; holdAtMostS: number }
 	troubles: LabFault[]
 }
 
+/** The file cannot be read or is not an experiment. */
 export class BadExperiment extends Error {}
 
+/** The keys of each section; those of `troubles` are times. */
+const KNOWN_KEYS: Record<string, readonly string[]> = {
+	lab: ['name', 'seed', 'for_s', 'controllers', 'machines', 'history'],
+	state: ['rps', 'write_rps', 'latency_ms'],
+	load: ['jobs_per_s', 'tasks', 'run_s', 'old_polls_per_s'],
+	plugins: ['kinds', 'hold_at_most_s'],
+}
+const FAULT_KEY = /^at\.[\d.]+$/
+
+type Sections = Record<string, Record<string, unknown>>
+
+/** Parses one file; every error names the file, the section and the key. */
+class ExperimentParser {
+	constructor(
+		private readonly path: string,
+		private readonly sections: Sections,
+	) {}
+
+	parse(): Experiment {
+		this.checkKeys()
+		const controllers = this.number('lab', 'controllers', 3)
+		const faults = Object.entries(this.sections.troubles ?? {}).map(([key, line]) =>
+			this.fault(key, String(line), controllers),
+		)
+		const kinds = this.pluginKinds()
+		return {
+			name: String(this.sections.lab?.name ?? 'experiment'),
+			seed: this.number('lab', 'seed', 1),
+			forS: this.number('lab', 'for_s', 60),
+			controllers,
+			machines: this.number('lab', 'machines', 20),
+			history: this.number('lab', 'history', 0),
+			state: {
+				rps: this.number('state', 'rps', 90),
+				writeRps: this.number('state', 'write_rps', 15),
+				latencyMs: this.number('state', 'latency_ms', 5),
+			},
+			load: {
+				jobsPerS: this.number('load', 'jobs_per_s', 2),
+				tasks: this.number('load', 'tasks', 4),
+				runS: this.number('load', 'run_s', 5),
+				oldPollsPerS: this.number('load', 'old_polls_per_s', 0),
+			},
+			plugins: { kinds, holdAtMostS: this.number('plugins', 'hold_at_most_s', 8) },
+			troubles: faults,
+		}
+	}
+
+	private error(problem: string): BadExperiment {
+		return new BadExperiment(`${this.path}: ${problem}`)
+	}
+
+	private checkKeys(): void {
+		for (const [section, entries] of Object.entries(this.sections))
+			for (const key of Object.keys(entries)) {
+				const known =
+					section === 'troubles' ? FAULT_KEY.test(key) : KNOWN_KEYS[section]?.includes(key) === true
+				if (!known) throw this.error(`${section}.${key}: no such key`)
+			}
+	}
+
+	private number(section: string, key: string, defaultValue: number): number {
+		const raw = this.sections[section]?.[key]
+		const value = raw === undefined ? defaultValue : Number(raw)
+		if (!(value >= 0)) throw this.error(`${section}.${key}: must be a number of 0 or more`)
+		return value
+	}
+
+	private fault(key: string, line: string, controllers: number): LabFault {
+		const at = key.slice('at.'.length)
+		const [kind, ...rest] = line.split(' ')
+		const atS = Number(at)
+		if (kind === 'kill' || kind === 'drain') {
+			const who = (rest[0] ?? '').split(',').map(Number)
+			const forS = Number(rest[1])
+			const exist = who.every((index) => index >= 0 && index < controllers)
+			if (atS >= 0 && forS > 0 && exist) return { atS, kind, who, forS }
+		} else if (kind === 'outage' || kind === 'upgrade') {
+			const forS = Number(rest[0])
+			if (atS >= 0 && forS > 0) return { atS, kind, who: [], forS }
+		}
+		throw this.error(
+			`troubles.at.${at}: is not "kill 0,1 SECONDS", "drain 0 SECONDS", "outage SECONDS" or "upgrade SECONDS"`,
+		)
+	}
+
+	private pluginKinds(): string[] {
+		const kinds = String(this.sections.plugins?.kinds ?? '')
+			.split(',')
+			.map((kind) => kind.trim())
+			.filter((kind) => kind !== '')
+		const unknown = kinds.find((kind) => !PLUGIN_KINDS.includes(kind))
+		if (unknown !== undefined)
+			throw this.error(`plugins.kinds: ${unknown} is none of ${PLUGIN_KINDS.join(', ')}`)
+		return kinds
+	}
+}
+
 /**
- * Reads an experiment. Troubles are lines such as `at.30 = kill 0,1 2`: at 30 s controllers 0 and 1 are killed and come
- * back after 2 s; `drain 0 2`: it is told to end, and comes back 2 s after it has; `at.60 = outage 10`: the state answers
- * nothing for 10 s; `at.70 = upgrade 30`: the plug-ins have a new version every second for 30 s. Throws `BadExperiment`.
+ * Reads an experiment. Faults are lines of the section `troubles`:
+ * - `at.30 = kill 0,1 2`: at 30 s controllers 0 and 1 are killed; they start again after 2 s
+ * - `at.40 = drain 0 2`: controller 0 is drained; it starts again 2 s after its end
+ * - `at.60 = outage 10`: the state service is down for 10 s
+ * - `at.70 = upgrade 30`: the plug-ins have a new version every second for 30 s
+ * @throws BadExperiment
  */
 export const readExperiment = (path: string): Experiment => {
 	let text: string
@@ -41,66 +147,5 @@
 	} catch {
 		throw new BadExperiment(`${path}: cannot be read`)
 	}
-	const file = ini.parse(text) as Record<string, Record<string, unknown>>
-	const known: Record<string, string[]> = {
-		lab: ['name', 'seed', 'for_s', 'controllers', 'machines', 'history'],
-		state: ['rps', 'write_rps', 'latency_ms'],
-		load: ['jobs_per_s', 'tasks', 'run_s', 'old_polls_per_s'],
-		plugins: ['kinds', 'hold_at_most_s'],
-	}
-	for (const [section, keys] of Object.entries(file))
-		for (const key of Object.keys(keys))
-			if (!(section === 'troubles' ? /^at\.[\d.]+$/.test(key) : known[section]?.includes(key)))
-				throw new BadExperiment(`${path}: ${section}.${key}: no such key`)
-	const number = (section: string, key: string, otherwise: number): number => {
-		const raw = file[section]?.[key]
-		const value = raw === undefined ? otherwise : Number(raw)
-		if (!(value >= 0)) throw new BadExperiment(`${path}: ${section}.${key}: must be a number of 0 or more`)
-		return value
-	}
-	const controllers = number('lab', 'controllers', 3)
-	const troubles = Object.entries(file.troubles ?? {}).map(([key, line]): LabFault => {
-		const at = key.slice('at.'.length)
-		const [kind, ...rest] = String(line).split(' ')
-		const named = kind === 'kill' || kind === 'drain'
-		const who = named ? (rest[0] ?? '').split(',').map(Number) : []
-		const forS = Number(rest[named ? 1 : 0])
-		const fits =
-			Number(at) >= 0 &&
-			forS > 0 &&
-			(kind === 'outage' || kind === 'upgrade' || (named && who.every((w) => w >= 0 && w < controllers)))
-		if (!fits)
-			throw new BadExperiment(
-				`${path}: troubles.at.${at}: is not "kill 0,1 SECONDS", "drain 0 SECONDS", "outage SECONDS" or "upgrade SECONDS"`,
-			)
-		return { atS: Number(at), kind: kind as LabFault['kind'], who, forS }
-	})
-	const kinds = String(file.plugins?.kinds ?? '')
-		.split(',')
-		.map((k) => k.trim())
-		.filter((k) => k !== '')
-	const strange = kinds.find((k) => !PLUGIN_KINDS.includes(k))
-	if (strange !== undefined)
-		throw new BadExperiment(`${path}: plugins.kinds: ${strange} is none of ${PLUGIN_KINDS.join(', ')}`)
-	return {
-		name: String(file.lab?.name ?? 'experiment'),
-		seed: number('lab', 'seed', 1),
-		forS: number('lab', 'for_s', 60),
-		controllers,
-		machines: number('lab', 'machines', 20),
-		history: number('lab', 'history', 0),
-		state: {
-			rps: number('state', 'rps', 90),
-			writeRps: number('state', 'write_rps', 15),
-			latencyMs: number('state', 'latency_ms', 5),
-		},
-		load: {
-			jobsPerS: number('load', 'jobs_per_s', 2),
-			tasks: number('load', 'tasks', 4),
-			runS: number('load', 'run_s', 5),
-			oldPollsPerS: number('load', 'old_polls_per_s', 0),
-		},
-		plugins: { kinds, holdAtMostS: number('plugins', 'hold_at_most_s', 8) },
-		troubles,
-	}
+	return new ExperimentParser(path, ini.parse(text) as Sections).parse()
 }
--- a/packages/lab/src/index.ts
+++ b/packages/lab/src/index.ts
@@ -1,6 +1,7 @@
+/** The lab: experiments with real controller processes among fake services. */
 export * from './experiment.js'
-export * from './past.js'
-export * from './report.js'
-export * from './run.js'
-export * from './services.js'
-export * from './start.js'
+export * from './experiment-run.js'
+export * from './fake-servers.js'
+export * from './html-report.js'
+export * from './made-history.js'
+export * from './start-measurement.js'
