--- a/packages/testkit/src/random-days.ts
+++ b/packages/testkit/src/random-days.ts
@@ -1,6 +1,7 @@
 /** Days of random faults, all of which follow from a seed. */
 import { seededDraws } from './random-faults.js'
 import { arrayJob, type Fault, type FaultKind, type SimulatedDay } from './simulated-day.js'
+import type { DayJob } from './user-workload.js'
 
 /** The kinds of faults on such a day. */
 const KINDS: readonly FaultKind[] = [
@@ -25,44 +26,53 @@
 /** When random faults begin, and when the last one begins, in seconds. */
 const FAULTS = { fromS: 15, untilS: 160 }
 
+type Draws = ReturnType<typeof seededDraws>
+
+/** A fault with everything about it drawn. */
+const randomFault = ({ random, pick }: Draws, atS: number, controllers: number): Fault => {
+	const kind = pick(KINDS)
+	const affected = Array.from({ length: controllers }, (_, index) => index).filter(() => random() < 0.4)
+	const from = pick([undefined, 'state', 'workers', 'peers'] as const)
+	return {
+		atS,
+		kind,
+		who: affected.length > 0 ? affected : [Math.floor(random() * controllers)],
+		forS: 1 + random() * random() * 60,
+		zone: pick(['a', 'b']),
+		factor: kind === 'bootTimes' ? pick([0.1, 4]) : 6,
+		...(from === undefined ? {} : { from }),
+	}
+}
+
+/** A job with everything about it drawn; every ninth runs so long that only a cancellation can have ended it. */
+const randomJob = ({ random, pick }: Draws, index: number): DayJob => {
+	const long = index % 9 === 3
+	const atS = 1 + index * (1 + random() * 4)
+	return {
+		atS,
+		spec: arrayJob(`job-${String(index).padStart(6, '0')}`, {
+			tasks: 2 + Math.floor(random() * 30),
+			image: `img-${index % 3}`,
+			priority: pick(['urgent', 'normal', 'idle'] as const),
+			spot: random() < 0.8,
+			zone: random() < 0.1 ? 'a' : null,
+			checkpointS: random() < 0.3 ? 3 : 0,
+			saveS: 1,
+			expectedS: long ? 300 : 4 + random() * 20,
+		}),
+		...(long ? { cancelAtS: atS + 20 + random() * 60 } : {}),
+	}
+}
+
 /** A day of random faults of which everything follows from the seed. */
 export const randomDay = (seed: number): SimulatedDay => {
-	const { random, pick } = seededDraws(seed)
+	const draws = seededDraws(seed)
+	const { random, pick } = draws
 	const controllers = pick([3, 3, 5])
 	const faults: Fault[] = []
-	for (let atS = FAULTS.fromS; atS < FAULTS.untilS; atS += 3 + random() * 12) {
-		const kind = pick(KINDS)
-		const affected = Array.from({ length: controllers }, (_, index) => index).filter(() => random() < 0.4)
-		const from = pick([undefined, 'state', 'workers', 'peers'] as const)
-		faults.push({
-			atS,
-			kind,
-			who: affected.length > 0 ? affected : [Math.floor(random() * controllers)],
-			forS: 1 + random() * random() * 60,
-			zone: pick(['a', 'b']),
-			factor: kind === 'bootTimes' ? pick([0.1, 4]) : 6,
-			...(from === undefined ? {} : { from }),
-		})
-	}
-	const jobs = Array.from({ length: JOBS }, (_, index) => {
-		const long = index % 9 === 3
-		const atS = 1 + index * (1 + random() * 4)
-		return {
-			atS,
-			spec: arrayJob(`job-${String(index).padStart(6, '0')}`, {
-				tasks: 2 + Math.floor(random() * 30),
-				image: `img-${index % 3}`,
-				priority: pick(['urgent', 'normal', 'idle'] as const),
-				spot: random() < 0.8,
-				zone: random() < 0.1 ? 'a' : null,
-				checkpointS: random() < 0.3 ? 3 : 0,
-				saveS: 1,
-				// So long that only a cancellation can have ended it.
-				expectedS: long ? 300 : 4 + random() * 20,
-			}),
-			...(long ? { cancelAtS: atS + 20 + random() * 60 } : {}),
-		}
-	})
+	for (let atS = FAULTS.fromS; atS < FAULTS.untilS; atS += 3 + random() * 12)
+		faults.push(randomFault(draws, atS, controllers))
+	const jobs = Array.from({ length: JOBS }, (_, index) => randomJob(draws, index))
 	return {
 		seed,
 		untilS: 900,
--- a/tests/double-outage.test.ts
+++ b/tests/double-outage.test.ts
@@ -15,44 +15,44 @@
 const five = { controllers: 5, report: { reportS: 4, leaseS: 26, cancelS: 46 } }
 const still = { atS: -0.6, kind: 'freeze', who: [0], forS: 50 } as const
 
-const cases: { name: string; gap: Partial<DoubleOutage>; seed: number }[] = [
-	{ name: 'as it was met', gap: {}, seed: 1 },
-	{ name: 'refused long before the outage', gap: { beforeS: 30, outageS: 60 }, seed: 2 },
-	{ name: 'an outage shorter than a cancellation may take', gap: { beforeS: 4, outageS: 20 }, seed: 3 },
+const cases: { name: string; outage: Partial<DoubleOutage>; seed: number }[] = [
+	{ name: 'as it was met', outage: {}, seed: 1 },
+	{ name: 'refused long before the outage', outage: { beforeS: 30, outageS: 60 }, seed: 2 },
+	{ name: 'an outage shorter than a cancellation may take', outage: { beforeS: 4, outageS: 20 }, seed: 3 },
 	{
 		name: 'two refused in turn, one of five left',
-		gap: { ...five, refused: [0, 3], apartS: 3, beforeS: 4 },
+		outage: { ...five, refused: [0, 3], apartS: 3, beforeS: 4 },
 		seed: 4,
 	},
 	{
 		name: 'the others end right after they confirmed, and are back at once',
-		gap: { more: [1, 2].map((i) => ({ atS: -0.5, kind: 'crash', who: [i], forS: 0.3 })) },
+		outage: { more: [1, 2].map((i) => ({ atS: -0.5, kind: 'crash', who: [i], forS: 0.3 })) },
 		seed: 5,
 	},
 	{
 		name: 'peers cut as well',
-		gap: { more: [{ atS: -1, kind: 'cut', who: [1], from: 'peers', forS: 30 }] },
+		outage: { more: [{ atS: -1, kind: 'cut', who: [1], from: 'peers', forS: 30 }] },
 		seed: 6,
 	},
 	// Its workers' leases run out meanwhile; it would start the tasks anew.
 	{
 		name: 'the old leader stands still meanwhile',
-		gap: { outageS: 110, beforeS: 3, more: [still] },
+		outage: { outageS: 110, beforeS: 3, more: [still] },
 		seed: 1,
 	},
 	{
 		name: 'the same, first form',
-		gap: { outageS: 110, beforeS: 3, archives: false, more: [still] },
+		outage: { outageS: 110, beforeS: 3, archives: false, more: [still] },
 		seed: 1,
 	},
 	{
 		name: 'a leader whose grant is extended while it hears of no change',
-		gap: { outageS: 0, refused: [], more: [{ atS: -20, kind: 'watchLost', who: [0], forS: 90 }] },
+		outage: { outageS: 0, refused: [], more: [{ atS: -20, kind: 'watchLost', who: [0], forS: 90 }] },
 		seed: 7,
 	},
 	{
 		name: 'only a leader without state and peers is reached by the workers, and no machine can be returned',
-		gap: {
+		outage: {
 			outageS: 0,
 			refused: [],
 			more: [
@@ -65,13 +65,13 @@
 	},
 ]
 
-for (const { name, gap, seed } of cases)
-	test(`the gap: ${name}`, async () => {
-		const world = new Simulation(doubleOutageDay(seed, gap))
-		await world.play()
-		assert.deepEqual(world.invariants.violations, [])
-		assert.deepEqual(world.invariants.unfinished(), [], 'every job ends')
-		assert.ok(world.invariants.started > 50, `only ${world.invariants.started} tasks started`)
+for (const { name, outage, seed } of cases)
+	test(`double outage: ${name}`, async () => {
+		const simulation = new Simulation(doubleOutageDay(seed, outage))
+		await simulation.play()
+		assert.deepEqual(simulation.invariants.violations, [])
+		assert.deepEqual(simulation.invariants.unfinished(), [], 'every job ends')
+		assert.ok(simulation.invariants.started > 50, `only ${simulation.invariants.started} tasks started`)
 	})
 
 test('a cancellation is confirmed at once, or later where its tasks might not be gone in time otherwise', async () => {
@@ -79,23 +79,23 @@
 		[30, 0, 500],
 		[10.5, 1800, 4000],
 	]) {
-		const gap = { refused: [], outageS: 0, report: { reportS: 1, leaseS: 10, cancelS }, archives: false }
-		const world = new Simulation(doubleOutageDay(8, gap))
+		const outage = { refused: [], outageS: 0, report: { reportS: 1, leaseS: 10, cancelS }, archives: false }
+		const simulation = new Simulation(doubleOutageDay(8, outage))
 		const durable = new Map<string, number>()
-		world.state.durable = (key, data) => {
+		simulation.state.durable = (key, data) => {
 			const uid = /job\/(.*)$/.exec(key)?.[1]
 			if (uid !== undefined && (data as { final?: string }).final === 'aborted')
-				durable.set(uid, world.clock.nowMs)
+				durable.set(uid, simulation.clock.nowMs)
 		}
 		const waited: number[] = []
-		const { observeStatus } = world.invariants
-		world.invariants.observeStatus = (uid, status, state, known) => {
-			if (status === 200 && state === 'aborted' && world.invariants.observedState(uid) !== 'aborted')
-				waited.push(world.clock.nowMs - durable.get(uid)!)
-			observeStatus.call(world.invariants, uid, status, state, known)
+		const { observeStatus } = simulation.invariants
+		simulation.invariants.observeStatus = (uid, status, state, known) => {
+			if (status === 200 && state === 'aborted' && simulation.invariants.observedState(uid) !== 'aborted')
+				waited.push(simulation.clock.nowMs - durable.get(uid)!)
+			observeStatus.call(simulation.invariants, uid, status, state, known)
 		}
-		await world.play()
-		assert.deepEqual(world.invariants.violations, [])
+		await simulation.play()
+		assert.deepEqual(simulation.invariants.violations, [])
 		assert.ok(waited.length > 20)
 		const least = Math.min(...waited)
 		assert.ok(least >= leastMs && least < mostMs, `${cancelS} s: confirmed after ${least} ms at the earliest`)
--- a/tests/stream-days.test.ts
+++ b/tests/stream-days.test.ts
@@ -6,11 +6,11 @@
 const CONTROLLERS = 3
 
 test('fifty streams over days of crashes, outages and cuts: what they tell keeps the rules', async () => {
-	const days: { name: string; troubles: Fault[]; seed: number }[] = [
+	const days: { name: string; faults: Fault[]; seed: number }[] = [
 		{
 			name: 'one, two and all controllers crash',
 			seed: 51,
-			troubles: [
+			faults: [
 				{ atS: 22, kind: 'crash', who: [0] },
 				{ atS: 45, kind: 'crash', who: [1, 2] },
 				{ atS: 70, kind: 'crash', who: [0, 1, 2] },
@@ -19,7 +19,7 @@
 		{
 			name: 'the state is down, a controller is cut from it, another stands still',
 			seed: 52,
-			troubles: [
+			faults: [
 				{ atS: 25, kind: 'stateDown', forS: 12 },
 				{ atS: 55, kind: 'cut', who: [1], from: 'state', forS: 20 },
 				{ atS: 85, kind: 'freeze', who: [2], forS: 12 },
@@ -27,14 +27,14 @@
 			],
 		},
 	]
-	for (const { name, troubles, seed } of days) {
+	for (const { name, faults, seed } of days) {
 		const jobs = Array.from({ length: 24 }, (_, i) => ({
 			atS: 1 + i * 4,
 			spec: arrayJob(`job-0007${String(i).padStart(2, '0')}`, { tasks: 3 + (i % 9), expectedS: 6 }),
 			...(i % 8 === 7 ? { cancelAtS: 12 + i * 4 } : {}),
 		}))
-		const world = new Simulation({ seed, untilS: 300, jobs, faults: troubles, loss: 0.01 })
-		const streams = streamsOf(world)
+		const simulation = new Simulation({ seed, untilS: 300, jobs, faults, loss: 0.01 })
+		const streams = streamsOf(simulation)
 		const wrong: string[] = []
 		const uids = jobs.map((j) => j.spec.uid)
 		let reconnects = 0
@@ -43,7 +43,7 @@
 			const finals = new Map<string, string>()
 			const done = new Map<string, number>()
 			const hear = (e: JobEvent) => {
-				const known = world.invariants.observedState(e.uid)
+				const known = simulation.invariants.observedState(e.uid)
 				const status = e.state === 'cancelled' ? 'aborted' : e.state
 				if (finals.has(e.uid)) wrong.push(`${n}: ${e.uid} told ${e.state} after ${finals.get(e.uid)}`)
 				if (e.done < (done.get(e.uid) ?? 0)) wrong.push(`${n}: ${e.uid} went back to ${e.done}`)
@@ -51,19 +51,19 @@
 				if (status === 'done' || status === 'aborted') {
 					finals.set(e.uid, e.state)
 					// A state that is not final may be told a moment after another user heard the end; a final one never differs.
-					world.invariants.observeStatus(e.uid, 200, status, known)
+					simulation.invariants.observeStatus(e.uid, 200, status, known)
 				}
 			}
-			new StreamReader(world, streams, CONTROLLERS, selection, {
+			new StreamReader(simulation, streams, CONTROLLERS, selection, {
 				begun: () => reconnects++,
 				refused: (_controller, why) => wrong.push(`${n}: ${why}`),
 				heard: (_controller, e) => hear(e),
 			})
 			return { n, finals, selection }
 		})
-		await world.play()
-		assert.deepEqual(world.invariants.violations, [], name)
-		assert.deepEqual(world.invariants.unfinished(), [], name)
+		await simulation.play()
+		assert.deepEqual(simulation.invariants.violations, [], name)
+		assert.deepEqual(simulation.invariants.unfinished(), [], name)
 		assert.deepEqual(wrong.slice(0, 5), [], name)
 		assert.ok(reconnects > 500, `${reconnects} streams`)
 		// A team's stream begins with what is not over; the first job may have ended before a reader began.
