--- a/packages/testkit/src/plugin-days.ts
+++ b/packages/testkit/src/plugin-days.ts
@@ -20,13 +20,13 @@
 
 /** What came of a day with plug-ins. */
 export interface PluginDayResult {
-	world: Simulation
+	simulation: Simulation
 	/** violations, including starts that neither a plug-in nor the operator's settings allowed */
-	broken: string[]
+	violations: string[]
 	/** number of release checks */
-	asked: number
+	releaseChecks: number
 	/** number of release checks about jobs that had started well before */
-	late: number
+	lateChecks: number
 	/** starts of checked jobs, by what allowed them */
 	starts: { released: number; limit: number; unsure: number }
 	/** when each job's first task was placed, in ms */
@@ -106,9 +106,9 @@
 		const { result } = this
 		const { uid } = call.job
 		if (answer === undefined && call.hook === 'release') {
-			result.asked++
+			result.releaseChecks++
 			const startedMs = result.firstStart.get(uid) ?? Number.POSITIVE_INFINITY
-			if (call.nowMs - startedMs > UNDER_WAY_MS) result.late++
+			if (call.nowMs - startedMs > UNDER_WAY_MS) result.lateChecks++
 		} else if (typeof answer === 'object' && answer !== null && 'release' in answer) this.released.add(uid)
 	}
 
@@ -117,7 +117,7 @@
 		const { result } = this
 		const uid = task.split('/')[0]
 		if (result.firstStart.has(uid)) return
-		const { nowMs } = result.world.clock
+		const { nowMs } = result.simulation.clock
 		result.firstStart.set(uid, nowMs)
 		const job = this.jobs.get(uid)
 		if (job?.spec.jobClass !== CHECKED) return
@@ -125,7 +125,7 @@
 		if (this.released.has(uid) || (this.perClass && this.released.size > 0)) result.starts.released++
 		else if (nowMs >= limitAtMs) result.starts.limit++
 		else if (this.unsureStarts) result.starts.unsure++
-		else result.broken.push(`wrong_release at ${Math.round(nowMs)} ms: ${uid}`)
+		else result.violations.push(`wrong_release at ${Math.round(nowMs)} ms: ${uid}`)
 	}
 }
 
@@ -174,10 +174,10 @@
 	simulation.trace = trace
 	const { invariants, clock } = simulation
 	const result: PluginDayResult = {
-		world: simulation,
-		broken: invariants.violations,
-		asked: 0,
-		late: 0,
+		simulation,
+		violations: invariants.violations,
+		releaseChecks: 0,
+		lateChecks: 0,
 		starts: { released: 0, limit: 0, unsure: 0 },
 		firstStart: new Map(),
 		hosts: [],
--- a/packages/testkit/src/random-day-runner.ts
+++ b/packages/testkit/src/random-day-runner.ts
@@ -21,13 +21,13 @@
 /** What came of a day. */
 export interface RandomDayResult {
 	/** violations, and reasons why the day fails without one */
-	broken: string[]
+	violations: string[]
 	/** jobs that never ended */
 	unfinished: string[]
 	/** number of task placements */
 	started: number
 	/** how often the controllers logged each event that was to be counted */
-	said: Record<string, number>
+	eventCounts: Record<string, number>
 }
 
 /** Plays the day of a kind that follows from a seed. */
@@ -36,7 +36,7 @@
 	kind: RandomDayKind,
 	{ tell = () => {}, trace }: DayObservers = {},
 ): Promise<Simulation> => {
-	if (kind === 'plugins') return (await playPluginDay(randomPluginDay(seed), tell, trace)).world
+	if (kind === 'plugins') return (await playPluginDay(randomPluginDay(seed), tell, trace)).simulation
 	const createDay = { any: randomDay, gap: randomDoubleOutageDay, meetings: randomCompoundFaultDay }[kind]
 	const simulation = new Simulation(createDay(seed))
 	simulation.tell = tell
@@ -51,15 +51,15 @@
 	countedEvents: readonly string[] = [],
 	kind: RandomDayKind = 'any',
 ): Promise<RandomDayResult> => {
-	const said: Record<string, number> = Object.fromEntries(countedEvents.map((event) => [event, 0]))
+	const eventCounts: Record<string, number> = Object.fromEntries(countedEvents.map((event) => [event, 0]))
 	const tell = (line: string) => {
-		for (const event of countedEvents) if (line.includes(` ${event} {`)) said[event]++
+		for (const event of countedEvents) if (line.includes(` ${event} {`)) eventCounts[event]++
 	}
 	const { invariants } = await playRandomDay(seed, kind, { tell })
 	return {
-		broken: [...invariants.violations, ...invariants.failures()],
+		violations: [...invariants.violations, ...invariants.failures()],
 		unfinished: invariants.unfinished(),
 		started: invariants.started,
-		said,
+		eventCounts,
 	}
 }
--- a/scripts/hunt-days.mjs
+++ b/scripts/hunt-days.mjs
@@ -58,11 +58,11 @@
 		process.stdout.write(`seed ${seed}: ${problem}\n`)
 	}
 	const createWorker = () => new Worker(new URL(import.meta.url), { workerData: { countedEvents, kind } })
-	const addDay = (seed, { started, said, broken, unfinished }) => {
+	const addDay = (seed, { started, eventCounts, violations, unfinished }) => {
 		totals.started += started
-		for (const [event, count] of Object.entries(said))
+		for (const [event, count] of Object.entries(eventCounts))
 			totals.events[event] = (totals.events[event] ?? 0) + count
-		const problems = [...broken.slice(0, MAX_PRINTED), ...unfinished.map((uid) => `${uid} never ended`)]
+		const problems = [...violations.slice(0, MAX_PRINTED), ...unfinished.map((uid) => `${uid} never ended`)]
 		if (problems.length > 0) report(seed, problems.join('; '))
 	}
 	let next = from
--- a/tests/plugin-days.test.ts
+++ b/tests/plugin-days.test.ts
@@ -51,7 +51,7 @@
 	...more,
 })
 
-const troubles: readonly Fault[] = [
+const mixedFaults: readonly Fault[] = [
 	{ atS: 20, kind: 'crash', who: [0] },
 	{ atS: 33, kind: 'stateDown', forS: 12 },
 	{ atS: 50, kind: 'cut', who: [1], forS: 14 },
@@ -62,23 +62,26 @@
 
 const days: { name: string; day: Partial<PluginDay>; starts?: 'released' | 'limit' | 'unsure' }[] = [
 	{ name: 'a check that takes its time', day: {}, starts: 'released' },
-	{ name: 'over crashes, outages, cuts and standstills', day: { faults: troubles, loss: 0.01, drift: true } },
+	{
+		name: 'over crashes, outages, cuts and standstills',
+		day: { faults: mixedFaults, loss: 0.01, drift: true },
+	},
 	{
 		name: 'the same for a whole class at a time',
-		day: { faults: troubles, directory: { one: version('1', patient(8), { ask: 'class' }) } },
+		day: { faults: mixedFaults, directory: { one: version('1', patient(8), { ask: 'class' }) } },
 	},
 	{
 		name: 'controllers with different versions of one plug-in for a while, over drains and crashes',
 		day: {
 			lagS: 25,
 			upgrades: [{ atS: 15, name: 'one', to: version('2', patient(2)) }],
-			faults: [...troubles, { atS: 28, kind: 'drain', who: [1], forS: 4 }],
+			faults: [...mixedFaults, { atS: 28, kind: 'drain', who: [1], forS: 4 }],
 		},
 	},
 	{
 		name: 'two checks, both of which must release',
 		day: {
-			faults: troubles,
+			faults: mixedFaults,
 			plugins: { one: PLUGIN, two: PLUGIN },
 			directory: { one: version('1', patient(4)), two: version('1', patient(12)) },
 		},
@@ -113,10 +116,10 @@
 
 for (const row of days)
 	test(`checked jobs: ${row.name}`, async () => {
-		const { world, broken, starts, late } = await playPluginDay(day(row.day))
-		assert.deepEqual(broken, [])
-		assert.deepEqual(world.invariants.unfinished(), [], 'every job ends')
-		assert.equal(late, 0, 'nothing is asked about a job that has started')
+		const { simulation, violations, starts, lateChecks } = await playPluginDay(day(row.day))
+		assert.deepEqual(violations, [])
+		assert.deepEqual(simulation.invariants.unfinished(), [], 'every job ends')
+		assert.equal(lateChecks, 0, 'nothing is asked about a job that has started')
 		const all = starts.released + starts.limit + starts.unsure
 		assert.ok(all >= 12, `${all} checked jobs started`)
 		if (row.starts !== undefined) assert.equal(starts[row.starts], all, JSON.stringify(starts))
@@ -138,11 +141,11 @@
 		{ atS: 40, kind: 'drain', who: [1], forS: 4 },
 		{ atS: 110, kind: 'drain', who: [2], forS: 4 },
 	]
-	const { world, broken, starts, hosts } = await playPluginDay(
-		day({ upgrades, faults: [...troubles, ...drains], drift: true }),
+	const { simulation, violations, starts, hosts } = await playPluginDay(
+		day({ upgrades, faults: [...mixedFaults, ...drains], drift: true }),
 	)
-	assert.deepEqual(broken, [])
-	assert.deepEqual(world.invariants.unfinished(), [])
+	assert.deepEqual(violations, [])
+	assert.deepEqual(simulation.invariants.unfinished(), [])
 	assert.equal(starts.unsure, 0)
 	assert.ok(starts.released > starts.limit, JSON.stringify(starts))
 	const seen = hosts.flatMap((h) => h?.list() ?? [])
@@ -170,12 +173,12 @@
 	const refused = jobs(40).filter((j) => Number(j.spec.uid.slice(-4)) % 4 === 0).length
 	const hooks = ['admit', 'release'] as const
 	const one = await playPluginDay(
-		day({ directory: { one: version('1', admit, { hooks }) }, faults: troubles }),
+		day({ directory: { one: version('1', admit, { hooks }) }, faults: mixedFaults }),
 	)
-	assert.deepEqual(one.broken, [])
-	assert.equal(one.world.workload.submissions.get(422), refused)
+	assert.deepEqual(one.violations, [])
+	assert.equal(one.simulation.workload.submissions.get(422), refused)
 	const hung = await playPluginDay(day({ directory: { one: version('1', () => {}, { hooks }) } }))
-	assert.deepEqual(hung.broken, [])
-	assert.equal(hung.world.workload.submissions.get(422), undefined)
-	assert.deepEqual(hung.world.invariants.unfinished(), [])
+	assert.deepEqual(hung.violations, [])
+	assert.equal(hung.simulation.workload.submissions.get(422), undefined)
+	assert.deepEqual(hung.simulation.invariants.unfinished(), [])
 })
