--- a/packages/lab/src/experiment-run.ts
+++ b/packages/lab/src/experiment-run.ts
@@ -47,14 +47,14 @@
 	seconds: Second[]
 	latencies: Record<Kind, Histogram>
 	/** violations of the protocol, and wrong answers about archived jobs */
-	broken: string[]
+	violations: string[]
 	jobs: { accepted: number; over: number }
 	/** by class: time from a job's acceptance until its user observed that it is done, in ms */
 	classes: Record<string, Histogram>
 	/** how controllers ended by themselves */
 	ends: string[]
 	/** of each fault: seconds until each kind of request is answered again; null: never */
-	again: { atS: number; kind: string; after: Record<string, number | null> }[]
+	recoveries: { atS: number; kind: string; after: Record<string, number | null> }[]
 }
 
 const wait = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms))
@@ -106,7 +106,7 @@
 	async run(): Promise<Outcome> {
 		await this.start()
 		this.scheduleLoad()
-		for (const fault of this.experiment.troubles) setTimeout(() => this.inject(fault), fault.atS * 1000)
+		for (const fault of this.experiment.faults) setTimeout(() => this.inject(fault), fault.atS * 1000)
 		const seconds = await this.sampleSeconds()
 		this.close()
 		return this.outcome(seconds)
@@ -221,15 +221,15 @@
 			build: this.build,
 			seconds,
 			latencies: recorder.latencies,
-			broken: [...invariants.violations, ...wrongAnswers],
+			violations: [...invariants.violations, ...wrongAnswers],
 			jobs: { accepted: users.accepted, over },
 			classes: users.classes,
 			ends: this.controllers.flatMap((controller) => controller.ends),
-			again: experiment.troubles.map((fault) => this.recovery(fault)),
+			recoveries: experiment.faults.map((fault) => this.recovery(fault)),
 		}
 	}
 
-	private recovery({ atS, kind, forS }: LabFault): Outcome['again'][number] {
+	private recovery({ atS, kind, forS }: LabFault): Outcome['recoveries'][number] {
 		const first = Object.entries(this.recorder.firstAnswersAfter(atS + forS))
 		const after = Object.fromEntries(
 			first.map(([request, answeredS]) => [request, answeredS === null ? null : answeredS - atS]),
--- a/packages/lab/src/experiment.ts
+++ b/packages/lab/src/experiment.ts
@@ -28,7 +28,7 @@
 	load: { jobsPerS: number; tasks: number; runS: number; oldPollsPerS: number }
 	/** kinds of plug-ins, each for a class of jobs of its own, and how long they may hold a job */
 	plugins: { kinds: string[]; holdAtMostS: number }
-	troubles: LabFault[]
+	faults: LabFault[]
 }
 
 /** The file cannot be read or is not an experiment. */
@@ -78,7 +78,7 @@
 				oldPollsPerS: this.number('load', 'old_polls_per_s', 0),
 			},
 			plugins: { kinds, holdAtMostS: this.number('plugins', 'hold_at_most_s', 8) },
-			troubles: faults,
+			faults,
 		}
 	}
 
--- a/packages/lab/src/html-report.ts
+++ b/packages/lab/src/html-report.ts
@@ -85,16 +85,16 @@
 		.join('')
 
 const recoveryRows = (outcome: Outcome): string =>
-	outcome.again
+	outcome.recoveries
 		.map(({ kind, atS, after }) => {
 			const seconds = Object.values(after).map((time) => (time === null ? 'never' : time.toFixed(1)))
 			return row(`${kind} at ${atS} s`, seconds)
 		})
 		.join('')
 
-const violationsText = ({ broken }: Outcome): string => {
-	if (broken.length === 0) return 'no rule broken'
-	return `${broken.length} broken: ${escaped(broken.slice(0, MAX_SHOWN).join('; '))}`
+const violationsText = ({ violations }: Outcome): string => {
+	if (violations.length === 0) return 'no rule broken'
+	return `${violations.length} broken: ${escaped(violations.slice(0, MAX_SHOWN).join('; '))}`
 }
 
 /** The column of one build; `index`: its place among the columns. */
--- a/packages/lab/src/main.ts
+++ b/packages/lab/src/main.ts
@@ -47,7 +47,7 @@
 	}
 }
 
-const printRecoveries = (recoveries: Outcome['again']): void => {
+const printRecoveries = (recoveries: Outcome['recoveries']): void => {
 	for (const { kind, atS, after } of recoveries) {
 		const times = Object.entries(after).map(
 			([request, seconds]) => `${request} ${seconds === null ? 'never' : seconds.toFixed(1)}`,
@@ -68,15 +68,15 @@
 	points.map((point) => histogram.getValueAtPercentile(point))
 
 const printOutcome = (outcome: Outcome): void => {
-	const { jobs, broken, ends } = outcome
+	const { jobs, violations, ends } = outcome
 	printLatencies(outcome.latencies)
-	printRecoveries(outcome.again)
+	printRecoveries(outcome.recoveries)
 	printClasses(outcome.classes)
 	const peakMb = Math.max(...outcome.seconds.flatMap((second) => second.memoryMb))
 	print(
-		`${jobs.accepted} accepted, ${jobs.over} over, ${broken.length} broken, ${ends.length} ended, ${peakMb.toFixed(0)} MB at most`,
+		`${jobs.accepted} accepted, ${jobs.over} over, ${violations.length} broken, ${ends.length} ended, ${peakMb.toFixed(0)} MB at most`,
 	)
-	for (const violation of broken.slice(0, MAX_PRINTED)) process.stderr.write(`${violation}\n`)
+	for (const violation of violations.slice(0, MAX_PRINTED)) process.stderr.write(`${violation}\n`)
 }
 
 const run = async (file: string, options: RunOptions): Promise<void> => {
@@ -90,7 +90,7 @@
 	if (options.json !== undefined) writeFileSync(options.json, JSON.stringify(outcomes.at(-1)?.seconds))
 	writeFileSync(options.report, htmlReport(experiment, outcomes))
 	print(options.report)
-	process.exit(outcomes.some((outcome) => outcome.broken.length > 0) ? 1 : 0)
+	process.exit(outcomes.some((outcome) => outcome.violations.length > 0) ? 1 : 0)
 }
 
 const readyText = ({ readyS, ends }: StartFigures): string => {
--- a/tests/lab.test.ts
+++ b/tests/lab.test.ts
@@ -20,7 +20,7 @@
 		return readExperiment(path)
 	}
 	const e = read('[lab]\nfor_s = 20\ncontrollers = 5\n[troubles]\nat.3 = kill 0,4 2\nat.9 = outage 5\n')
-	assert.deepEqual(e.troubles, [
+	assert.deepEqual(e.faults, [
 		{ atS: 3, kind: 'kill', who: [0, 4], forS: 2 },
 		{ atS: 9, kind: 'outage', who: [], forS: 5 },
 	])
