--- a/packages/cli/src/daemon-tools.ts
+++ b/packages/cli/src/daemon-tools.ts
@@ -93,8 +93,14 @@
 
 const printPlugins = (target: AdminTarget, address: string, body: Body): void => {
 	const plugins = (body.plugins ?? []) as PluginInfo[]
-	if (target.json) return printLine(JSON.stringify({ controller: address, plugins }))
-	if (plugins.length === 0) return printLine(`${address}: no plug-ins`)
+	if (target.json) {
+		printLine(JSON.stringify({ controller: address, plugins }))
+		return
+	}
+	if (plugins.length === 0) {
+		printLine(`${address}: no plug-ins`)
+		return
+	}
 	printLine(`${address}:`)
 	for (const line of formatTable(plugins)) printLine(line)
 }
--- a/packages/cluster/src/handoff.ts
+++ b/packages/cluster/src/handoff.ts
@@ -40,7 +40,8 @@
 			if (home === this.context.limits.self) continue
 			const status = this.dependencies.gossip.eligibleStatus(home)
 			if (status === null || !this.isStable(shard, status)) continue
-			return this.handOff(shard, status, `handed back to ${home}`)
+			this.handOff(shard, status, `handed back to ${home}`)
+			return
 		}
 	}
 
@@ -73,7 +74,8 @@
 			if (best === undefined || lookups(best) < MIN_OWNER_LOOKUPS) continue
 			if (lookups(best) * UNREACHABLE_PER_LOOKUP < unreachable) continue
 			availability.cutFromWorkers = true
-			return this.handOff(shard, best, `its machines reach ${best.name} and not us`)
+			this.handOff(shard, best, `its machines reach ${best.name} and not us`)
+			return
 		}
 	}
 
--- a/packages/controller/src/heartbeat-handler.ts
+++ b/packages/controller/src/heartbeat-handler.ts
@@ -44,13 +44,16 @@
 	/** See `Shard.handleHeartbeat`. */
 	handle(heartbeat: Heartbeat, respond: RespondToHeartbeat): void {
 		const machine = this.state.machines.get(heartbeat.machineId)
-		if (machine === undefined || this.state.stopped || heartbeat.fencingToken > machine.fencingToken)
-			return respond(null)
+		if (machine === undefined || this.state.stopped || heartbeat.fencingToken > machine.fencingToken) {
+			respond(null)
+			return
+		}
 		const now = this.state.ports.now()
 		// An old heartbeat is late because packets were delayed: its task list is outdated, and its response is dropped.
 		if (!isNewerHeartbeat(heartbeat, machine)) {
 			machine.lastHeartbeatAt = now
-			return respond({ fencingToken: machine.fencingToken, commands: [] })
+			respond({ fencingToken: machine.fencingToken, commands: [] })
+			return
 		}
 		this.dependencies.reconciler.reconcile(machine, heartbeat, { followsResponse: true })
 		// Counts from its arrival, whenever it is answered: a machine that waits for its first response is not silent.
@@ -59,7 +62,10 @@
 		if (machine.drainReason === 'silent' && !machine.releasing) machine.drainReason = null
 		if (!machine.booted) this.onBooted(machine, now)
 		this.dependencies.scheduler.placeTasks([machine])
-		if (machine.addressRecorded || machine.drainReason !== null) return this.respond(machine, respond)
+		if (machine.addressRecorded || machine.drainReason !== null) {
+			this.respond(machine, respond)
+			return
+		}
 		this.dependencies.machineGroups.recordAddress(machine.groupName, machine.id, heartbeat.address)
 		this.delayResponse(machine, respond)
 	}
--- a/packages/controller/src/machine-adopter.ts
+++ b/packages/controller/src/machine-adopter.ts
@@ -17,7 +17,10 @@
 	 */
 	adopt(heartbeats: readonly Heartbeat[], done: () => void): void {
 		const unrecorded = heartbeats.filter((heartbeat) => !this.state.machines.has(heartbeat.machineId))
-		if (unrecorded.length === 0 || this.state.stopped) return done()
+		if (unrecorded.length === 0 || this.state.stopped) {
+			done()
+			return
+		}
 		const { shardId, fencingToken } = this.state
 		const { machineType, zone, spot } = unrecorded[0]
 		const addresses: Record<string, string | null> = {}
--- a/packages/controller/src/machine-group-writer.ts
+++ b/packages/controller/src/machine-group-writer.ts
@@ -116,7 +116,10 @@
 	/** Enqueues a write of the group's changes, or raises the priority of the one that waits. */
 	private flush(groupName: string, priority: number): void {
 		const changes = this.changesOf(groupName)
-		if (changes.write !== null) return this.state.ports.raisePriority(changes.write, priority)
+		if (changes.write !== null) {
+			this.state.ports.raisePriority(changes.write, priority)
+			return
+		}
 		let planned: PlannedChange = { kind: 'none' }
 		changes.write = this.state.ports.enqueueWrite({
 			priority,
--- a/packages/controller/src/progress-writer.ts
+++ b/packages/controller/src/progress-writer.ts
@@ -100,9 +100,15 @@
 	write(job: JobRun): void {
 		if (job.isTerminal || this.state.stopped) return
 		const isComplete = this.isComplete(job)
-		if (isComplete && this.state.usesTerminalPages) return this.terminalStates.add(job)
+		if (isComplete && this.state.usesTerminalPages) {
+			this.terminalStates.add(job)
+			return
+		}
 		const priority = isComplete ? WritePriority.outcome : WritePriority.progress
-		if (job.pendingWrite !== null) return this.state.ports.raisePriority(job.pendingWrite, priority)
+		if (job.pendingWrite !== null) {
+			this.state.ports.raisePriority(job.pendingWrite, priority)
+			return
+		}
 		let sent: SentWrite | null = null
 		job.pendingWrite = this.state.ports.enqueueWrite({
 			priority,
--- a/packages/controller/src/rental-executor.ts
+++ b/packages/controller/src/rental-executor.ts
@@ -110,7 +110,10 @@
 
 	private onRentalAnswered(name: string, record: MachineGroupRecord, result: RentResult): void {
 		if (this.state.stopped) return
-		if (result.kind === 'again') return this.rentRecordedGroup(name, record)
+		if (result.kind === 'again') {
+			this.rentRecordedGroup(name, record)
+			return
+		}
 		const machineIds = result.kind === 'rented' ? result.machineIds : []
 		const { offer } = this.rentalsByName.get(name) ?? this.toPendingRental(record)
 		this.state.ports.log('info', 'scale-out answered', {
--- a/packages/daemon/src/admin.ts
+++ b/packages/daemon/src/admin.ts
@@ -32,11 +32,14 @@
 	const host = daemon.plugins
 	switch (path) {
 		case '/admin/plugins':
-			return respond({ status: 200, body: { plugins: host?.list() ?? [] } })
+			respond({ status: 200, body: { plugins: host?.list() ?? [] } })
+			return
 		case '/admin/disable':
-			return respond(setPluginDisabled(host, body, true))
+			respond(setPluginDisabled(host, body, true))
+			return
 		case '/admin/enable':
-			return respond(setPluginDisabled(host, body, false))
+			respond(setPluginDisabled(host, body, false))
+			return
 		case '/admin/reload':
 			void daemon.reload().then(
 				(lines) => respond({ status: 200, body: { lines } }),
@@ -45,8 +48,10 @@
 			return
 		case '/admin/drain':
 			daemon.end()
-			return respond({ status: 202, body: { phase: daemon.drain.phase } })
+			respond({ status: 202, body: { phase: daemon.drain.phase } })
+			return
 		default:
-			return respond(refuse(404, 'no such path'))
+			respond(refuse(404, 'no such path'))
+			return
 	}
 }
--- a/packages/daemon/src/controller-process.ts
+++ b/packages/daemon/src/controller-process.ts
@@ -93,7 +93,8 @@
 	signalled(): void {
 		if (this.ending) {
 			this.log('info', 'immediate shutdown', { phase: this.drain.phase })
-			return this.exit(EXIT_IMMEDIATE)
+			this.exit(EXIT_IMMEDIATE)
+			return
 		}
 		this.end()
 	}
--- a/packages/inspect/src/archive-checker.ts
+++ b/packages/inspect/src/archive-checker.ts
@@ -48,14 +48,16 @@
 		try {
 			page = decodeArchivePage(level, key, data, modRevision)
 		} catch (error) {
-			return this.report(key, (error as Error).message)
+			this.report(key, (error as Error).message)
+			return
 		}
 		this.checkRange(key, page)
 		let jobs: ArchivedJob[]
 		try {
 			jobs = unpackJobs(page.packed)
 		} catch (error) {
-			return this.report(key, `cannot be unpacked (${(error as Error).message})`)
+			this.report(key, `cannot be unpacked (${(error as Error).message})`)
+			return
 		}
 		if (page.depth > maxDepth(level))
 			this.report(key, `was split ${page.depth} times, at most ${maxDepth(level)} on its level`)
--- a/packages/inspect/src/checker.ts
+++ b/packages/inspect/src/checker.ts
@@ -53,8 +53,14 @@
 	/** Checks one entry of the first walk. */
 	entry(entry: KeyValue): void {
 		this.keyCount++
-		if (entry.key.startsWith(ARCHIVE_PREFIX)) return this.archive.check(entry)
-		if (!entry.key.startsWith(KEY_PREFIX)) return this.report(entry.key, 'is none of ours')
+		if (entry.key.startsWith(ARCHIVE_PREFIX)) {
+			this.archive.check(entry)
+			return
+		}
+		if (!entry.key.startsWith(KEY_PREFIX)) {
+			this.report(entry.key, 'is none of ours')
+			return
+		}
 		this.archive.closeLevel()
 		this.records.check(entry)
 	}
--- a/packages/inspect/src/record-checker.ts
+++ b/packages/inspect/src/record-checker.ts
@@ -46,19 +46,26 @@
 		switch (kind) {
 			case 'part':
 			case 'last':
-				return this.checkShardRecord(key, id, decodeShardOwner(data) !== null)
+				this.checkShardRecord(key, id, decodeShardOwner(data) !== null)
+				return
 			case 'released':
-				return this.checkShardRecord(key, id, decodeReleasePage(data) !== null)
+				this.checkShardRecord(key, id, decodeReleasePage(data) !== null)
+				return
 			case 'fleet':
-				return this.checkMachineGroup(key, data)
+				this.checkMachineGroup(key, data)
+				return
 			case 'intake':
-				return this.checkAcceptedBatch(key, data)
+				this.checkAcceptedBatch(key, data)
+				return
 			case 'job':
-				return this.checkJobRecord(key, id, data)
+				this.checkJobRecord(key, id, data)
+				return
 			case 'done':
-				return this.checkProgress(key, data)
+				this.checkProgress(key, data)
+				return
 			case 'over':
-				return this.checkTerminalPage(key, Number(id), data)
+				this.checkTerminalPage(key, Number(id), data)
+				return
 		}
 		if (name === 'history') this.checkHistoryRecord(key, data)
 		else if (name !== 'catalog' && name !== 'installation') this.report(key, 'is of no kind that is known')
@@ -99,7 +106,10 @@
 
 	private checkMachineGroup(key: string, data: unknown): void {
 		const group = decodeMachineGroup(data)
-		if (group === null) return this.report(key, MALFORMED)
+		if (group === null) {
+			this.report(key, MALFORMED)
+			return
+		}
 		if (!(group.shardId >= 0 && this.isShard(group.shardId)))
 			this.report(key, `is of part ${group.shardId}; there are ${this.shardCount}`)
 		for (const machineId of Object.keys(group.addresses)) {
@@ -112,7 +122,10 @@
 
 	private checkAcceptedBatch(key: string, data: unknown): void {
 		const jobs = decodeAcceptedBatch(data)
-		if (jobs === null) return this.report(key, MALFORMED)
+		if (jobs === null) {
+			this.report(key, MALFORMED)
+			return
+		}
 		for (const { spec, shardId } of jobs) {
 			this.openJobs.set(spec.uid, key)
 			if (!this.isShard(shardId))
@@ -122,7 +135,10 @@
 
 	private checkJobRecord(key: string, uid: string, data: unknown): void {
 		const record = decodeJobRecord(data)
-		if (record === null) return this.report(key, MALFORMED)
+		if (record === null) {
+			this.report(key, MALFORMED)
+			return
+		}
 		if (record.finalState === undefined) {
 			if (record.spec === undefined) this.report(key, 'is of a job that is not over and has no description')
 			this.openJobs.set(uid, key)
@@ -136,7 +152,10 @@
 	private checkTerminalPage(key: string, shardId: number, data: unknown): void {
 		const page = decodeTerminalPage(data)
 		const jobs = page?.batches.flatMap((batch) => batch.jobs) ?? []
-		if (page === null || jobs.some((job) => job.finalState === undefined)) return this.report(key, MALFORMED)
+		if (page === null || jobs.some((job) => job.finalState === undefined)) {
+			this.report(key, MALFORMED)
+			return
+		}
 		if (page.shardId !== shardId) this.report(key, `is of part ${page.shardId}`)
 		for (const { uid, finalState, doneCount } of jobs) {
 			this.terminalJobs.add(uid)
--- a/packages/inspect/src/terminal-states.ts
+++ b/packages/inspect/src/terminal-states.ts
@@ -62,8 +62,10 @@
 	report: Report,
 ): void => {
 	const uid = jobIdOf(archived.ordinal)
-	if (occurrence.kind === 'open')
-		return report(occurrence.key, `${uid} is open there, and over in ${pageKey}`)
+	if (occurrence.kind === 'open') {
+		report(occurrence.key, `${uid} is open there, and over in ${pageKey}`)
+		return
+	}
 	if (occurrence.key === pageKey) return
 	if (occurrence.aborted !== archived.aborted || occurrence.doneCount !== archived.doneCount)
 		report(occurrence.key, `${uid} ended another way in ${pageKey}`)
--- a/packages/policy/src/packing.ts
+++ b/packages/policy/src/packing.ts
@@ -80,7 +80,10 @@
 		const moves: Move<M>[] = []
 		for (const task of machine.tasks) {
 			const to = this.findReceiver(machine, task)
-			if (to === undefined) return this.undo(moves)
+			if (to === undefined) {
+				this.undo(moves)
+				return
+			}
 			subtractResources(required(this.free, to), task.need)
 			moves.push({ to, need: task.need })
 		}
--- a/packages/server/src/archival-controller.ts
+++ b/packages/server/src/archival-controller.ts
@@ -111,7 +111,10 @@
 	tick(): void {
 		if (this.context.cache.revision < 0 || this.writer.stopped) return
 		const record = historyRecord(this.context)
-		if (record === null) return this.migration.begin()
+		if (record === null) {
+			this.migration.begin()
+			return
+		}
 		if (record.format > RECORD_FORMAT || !this.context.isStoreReachable()) return
 		this.loop.tick(record)
 		if (record.legacy) this.migration.startPass()
--- a/packages/server/src/heartbeat-router.ts
+++ b/packages/server/src/heartbeat-router.ts
@@ -33,11 +33,19 @@
 	 */
 	handle(body: unknown, respond: Respond): void {
 		const heartbeat = parseHeartbeat(body)
-		if (heartbeat === null) return respond({ status: 400, body: { error: 'not a report' } })
-		if (this.context.cache.revision < 0) return respond(UNAVAILABLE)
+		if (heartbeat === null) {
+			respond({ status: 400, body: { error: 'not a report' } })
+			return
+		}
+		if (this.context.cache.revision < 0) {
+			respond(UNAVAILABLE)
+			return
+		}
 		const shardId = this.shardIdOf(heartbeat)
-		if (this.context.shard(shardId) === undefined)
-			return this.redirectToOwner(heartbeat.machineId, shardId, respond)
+		if (this.context.shard(shardId) === undefined) {
+			this.redirectToOwner(heartbeat.machineId, shardId, respond)
+			return
+		}
 		if (this.context.machineGroups.groupOf(heartbeat.machineId) === undefined)
 			this.unregisteredMachines.handleHeartbeat(heartbeat, respond)
 		else this.forward(heartbeat, respond)
@@ -71,7 +79,10 @@
 
 	private forward(heartbeat: Heartbeat, respond: Respond): void {
 		const shard = this.context.shard(this.shardIdOf(heartbeat))
-		if (shard === undefined || this.context.membership.leadership() === 'none') return respond(UNAVAILABLE)
+		if (shard === undefined || this.context.membership.leadership() === 'none') {
+			respond(UNAVAILABLE)
+			return
+		}
 		shard.handleHeartbeat(heartbeat, (answer) => {
 			if (answer === null) return respond(UNAVAILABLE)
 			respond({ status: 200, body: encodeCommands(answer.fencingToken, answer.commands) })
--- a/packages/server/src/http-routes.ts
+++ b/packages/server/src/http-routes.ts
@@ -36,9 +36,15 @@
 export const internalRequestHandler =
 	({ membership }: Pick<ControllerContext, 'membership'>, adminHandler: () => AdminHandler | null) =>
 	({ method, path, body }: HttpRequest, respond: Respond): void => {
-		if (method !== 'POST') return respond({ status: 404 })
+		if (method !== 'POST') {
+			respond({ status: 404 })
+			return
+		}
 		const handleAdmin = adminHandler()
-		if (path.startsWith('/admin/') && handleAdmin !== null) return handleAdmin(path, body, respond)
+		if (path.startsWith('/admin/') && handleAdmin !== null) {
+			handleAdmin(path, body, respond)
+			return
+		}
 		const answer = membership.handlePeerRequest(path, body)
 		respond(answer === null ? { status: 404 } : { status: 200, body: answer })
 	}
--- a/packages/server/src/job-submission.ts
+++ b/packages/server/src/job-submission.ts
@@ -39,21 +39,37 @@
 	/** Handles the body of a submission. A job that is known is answered with its status. */
 	submit(body: unknown, respond: Respond): void {
 		const spec = parseSubmission(body)
-		if (spec instanceof InvalidSubmission)
-			return respond({ status: 400, body: { error: String(spec), field: spec.field } })
+		if (spec instanceof InvalidSubmission) {
+			respond({ status: 400, body: { error: String(spec), field: spec.field } })
+			return
+		}
 		const { uid } = spec
-		if (this.statusReader.record(uid) !== null || this.context.archive.cached(uid) !== undefined)
-			return this.runCall(this.statusReader.read(uid), respond)
-		if (!this.canJudge()) return respond(retryLater())
+		if (this.statusReader.record(uid) !== null || this.context.archive.cached(uid) !== undefined) {
+			this.runCall(this.statusReader.read(uid), respond)
+			return
+		}
+		if (!this.canJudge()) {
+			respond(retryLater())
+			return
+		}
 		const waiting = this.waitingResponses.get(uid)
 		if (waiting !== undefined) {
 			waiting.push(respond)
 			return
 		}
 		const refusal = this.refusalReason(spec)
-		if (refusal !== null) return this.runCall(this.refuseUnlessKnown(uid, refusal), respond)
-		if (!this.context.isStoreReachable()) return respond(retryLater())
-		if (!this.queue.hasCapacity(spec.team)) return this.rejectForCapacity(uid, respond)
+		if (refusal !== null) {
+			this.runCall(this.refuseUnlessKnown(uid, refusal), respond)
+			return
+		}
+		if (!this.context.isStoreReachable()) {
+			respond(retryLater())
+			return
+		}
+		if (!this.queue.hasCapacity(spec.team)) {
+			this.rejectForCapacity(uid, respond)
+			return
+		}
 		this.admit(spec, respond)
 	}
 
@@ -109,11 +125,16 @@
 		respond: Respond,
 	): void {
 		const { uid } = spec
-		if (outcome === 'refused') return respond(retryLater())
-		if (outcome === 'unclear')
-			return this.runCall(this.statusReader.read(uid), (status) =>
+		if (outcome === 'refused') {
+			respond(retryLater())
+			return
+		}
+		if (outcome === 'unclear') {
+			this.runCall(this.statusReader.read(uid), (status) =>
 				respond(status.status === 404 ? retryLater() : status),
 			)
+			return
+		}
 		const { jobClass, team, priority, tasks, cpus, expectedS, checkpointS } = spec
 		this.context.log('info', 'job accepted', {
 			uid,
--- a/packages/server/src/record-reads.ts
+++ b/packages/server/src/record-reads.ts
@@ -45,7 +45,10 @@
 
 	/** Calls back with true once the cache is at the revision, with false after `USER_ANSWER_TIMEOUT_MS`. */
 	waitForRevision(revision: number, done: (ok: boolean) => void): void {
-		if (this.cache.revision >= revision) return done(true)
+		if (this.cache.revision >= revision) {
+			done(true)
+			return
+		}
 		const waiter = { revision, done }
 		this.revisionWaiters.add(waiter)
 		setTimeout(() => {
--- a/packages/server/src/unregistered-machines.ts
+++ b/packages/server/src/unregistered-machines.ts
@@ -58,10 +58,14 @@
 		const { heartbeat, respond } = pending
 		const { machineGroups } = this.context
 		const shardId = this.ports.shardIdOf(heartbeat)
-		if (machineGroups.groupOf(heartbeat.machineId) !== undefined)
-			return this.ports.forward(heartbeat, respond)
-		if (machineGroups.hasPendingRental(heartbeat) || this.context.shard(shardId) === undefined)
-			return respond(UNAVAILABLE)
+		if (machineGroups.groupOf(heartbeat.machineId) !== undefined) {
+			this.ports.forward(heartbeat, respond)
+			return
+		}
+		if (machineGroups.hasPendingRental(heartbeat) || this.context.shard(shardId) === undefined) {
+			respond(UNAVAILABLE)
+			return
+		}
 		const key = `${shardId}/${heartbeat.machineType}/${heartbeat.zone}/${heartbeat.spot}`
 		groups.set(key, [...(groups.get(key) ?? []), pending])
 	}
--- a/packages/server/src/user-api.ts
+++ b/packages/server/src/user-api.ts
@@ -31,13 +31,26 @@
 	/** Handles a user's request, unknown paths included. */
 	handle({ method, path, body }: HttpRequest, respond: Respond): void {
 		if (path === JOBS_PATH) {
-			if (method !== 'POST') return respond(METHOD_NOT_ALLOWED)
-			return this.submissions.submit(body, respond)
+			if (method !== 'POST') {
+				respond(METHOD_NOT_ALLOWED)
+				return
+			}
+			this.submissions.submit(body, respond)
+			return
+		}
+		if (!path.startsWith(`${JOBS_PATH}/`)) {
+			respond(NO_SUCH_PATH)
+			return
 		}
-		if (!path.startsWith(`${JOBS_PATH}/`)) return respond(NO_SUCH_PATH)
 		const [uid, verb, ...rest] = path.slice(JOBS_PATH.length + 1).split('/')
-		if (rest.length > 0 || (verb !== undefined && verb !== CANCEL_VERB)) return respond(NO_SUCH_PATH)
-		if (method !== (verb === CANCEL_VERB ? 'POST' : 'GET')) return respond(METHOD_NOT_ALLOWED)
+		if (rest.length > 0 || (verb !== undefined && verb !== CANCEL_VERB)) {
+			respond(NO_SUCH_PATH)
+			return
+		}
+		if (method !== (verb === CANCEL_VERB ? 'POST' : 'GET')) {
+			respond(METHOD_NOT_ALLOWED)
+			return
+		}
 		this.runCall(verb === CANCEL_VERB ? this.canceller.cancel(uid) : this.statusReader.read(uid), respond)
 	}
 
--- a/packages/server/src/worker-probe.ts
+++ b/packages/server/src/worker-probe.ts
@@ -25,7 +25,10 @@
 			.flatMap((group) => Object.values(group.addresses))
 			.filter((address) => address !== null)
 		// Without machines nobody can be out of reach.
-		if (addresses.length === 0) return this.onResult(true)
+		if (addresses.length === 0) {
+			this.onResult(true)
+			return
+		}
 		const address = addresses[Math.floor(Math.random() * addresses.length)]
 		const timeoutMs = config.limits.controllerLeaseMs * PROBE_TIMEOUT_LEASES
 		const reply = this.workerClient.request(address, 'GET', '/inspect', undefined, timeoutMs)
--- a/packages/store/src/write-queue.ts
+++ b/packages/store/src/write-queue.ts
@@ -130,11 +130,16 @@
 			const priority = this.queues.findIndex((queue) => queue.length > 0)
 			if (priority < 0 || this.inFlight >= MAX_IN_FLIGHT) return
 			const backoffMs = this.backoff.remainingMs(now)
-			if (backoffMs > 0) return this.dequeueAfter(backoffMs)
+			if (backoffMs > 0) {
+				this.dequeueAfter(backoffMs)
+				return
+			}
 			this.bucket.refill(now)
 			const missingTokens = this.minLevel(priority) - this.bucket.level
-			if (missingTokens >= 0)
-				return this.dequeueAfter(this.bucket.timeToGainMs(missingTokens) + TOKEN_WAIT_MARGIN_MS)
+			if (missingTokens >= 0) {
+				this.dequeueAfter(this.bucket.timeToGainMs(missingTokens) + TOKEN_WAIT_MARGIN_MS)
+				return
+			}
 			const obsolete: QueuedWrite[] = []
 			const group = this.takeGroup(obsolete)
 			if (!group.isEmpty) this.send(group)
--- a/packages/wire/src/http-server.ts
+++ b/packages/wire/src/http-server.ts
@@ -82,7 +82,10 @@
 	request: http.IncomingMessage,
 	onBody: (body: unknown, unreadable: UnreadableBody | null) => void,
 ): void => {
-	if (Number(request.headers['content-length'] ?? 0) > MAX_BODY_BYTES) return onBody(null, 'too long')
+	if (Number(request.headers['content-length'] ?? 0) > MAX_BODY_BYTES) {
+		onBody(null, 'too long')
+		return
+	}
 	const chunks: Buffer[] = []
 	let receivedBytes = 0
 	let tooLong = false
