--- a/packages/cli/src/state-tools.ts
+++ b/packages/cli/src/state-tools.ts
@@ -106,10 +106,22 @@
 	withCloud: boolean,
 ): Promise<{ findings: Finding[]; keyCount: number }> => {
 	const checker = new Checker(config.limits.controllerNames.length, await IdSet.make())
-	await run(walk(client, limits, (entries) => entries.forEach((entry) => checker.checkEntry(entry))))
+	await run(
+		walk(client, limits, (entries) =>
+			entries.forEach((entry) => {
+				checker.checkEntry(entry)
+			}),
+		),
+	)
 	checker.finish()
 	if (checker.needsSecondWalk)
-		await run(walk(client, limits, (entries) => entries.forEach((entry) => checker.secondEntry(entry))))
+		await run(
+			walk(client, limits, (entries) =>
+				entries.forEach((entry) => {
+					checker.secondEntry(entry)
+				}),
+			),
+		)
 	const findings = [...checker.findings]
 	if (withCloud) findings.push(...(await compareWithCloud(config, httpClient, checker.recordedMachines)))
 	return { findings, keyCount: checker.keyCount }
--- a/packages/grpc/src/unary-calls.ts
+++ b/packages/grpc/src/unary-calls.ts
@@ -59,8 +59,10 @@
 		done: sendUnaryData<JobMessage>,
 		toMessage: (response: JobStatusResponse) => JobMessage,
 	): void {
-		if (this.isDraining())
-			return done(failure(status.UNAVAILABLE, 'this controller is ending', SHUTDOWN_RETRY_MS))
+		if (this.isDraining()) {
+			done(failure(status.UNAVAILABLE, 'this controller is ending', SHUTDOWN_RETRY_MS))
+			return
+		}
 		this.service.handleRequest(request, (reply: HttpReply) => {
 			const isJob = reply.status === 200 || reply.status === 201
 			if (isJob) return done(null, toMessage(reply.body as JobStatusResponse))
--- a/packages/grpc/src/watch-calls.ts
+++ b/packages/grpc/src/watch-calls.ts
@@ -82,13 +82,21 @@
 		const refuse = (callFailure: Failure) => void call.emit('error', callFailure)
 		const { uids, team, cursor } = call.request
 		const selection = readSelection(uids, team)
-		if ('code' in selection) return refuse(selection)
-		if (!this.isReady())
-			return refuse(failure(status.UNAVAILABLE, 'this controller cannot tell now', NOT_READY_RETRY_MS))
+		if ('code' in selection) {
+			refuse(selection)
+			return
+		}
+		if (!this.isReady()) {
+			refuse(failure(status.UNAVAILABLE, 'this controller cannot tell now', NOT_READY_RETRY_MS))
+			return
+		}
 		const jobIdCount = 'team' in selection ? 0 : selection.uids.length
 		const accountedTeam = this.accountedTeam(selection)
 		const refusal = this.admission.admit(accountedTeam, jobIdCount)
-		if (refusal !== null) return refuse(refusalFailure(refusal))
+		if (refusal !== null) {
+			refuse(refusalFailure(refusal))
+			return
+		}
 		const stream = new WatchStream(call, {
 			scheduler: this.scheduler,
 			now: this.service.now,
@@ -189,7 +197,10 @@
 	}
 
 	private subscribe(stream: WatchStream, selection: Selection, cursor: string): void {
-		if (this.hub === null || !this.isReady()) return this.failUnreadable(stream)
+		if (this.hub === null || !this.isReady()) {
+			this.failUnreadable(stream)
+			return
+		}
 		const subscription = this.hub.subscribe(selection, cursor, {
 			onEventsAvailable: () => stream.enqueue(),
 			onEnd: (reason) => stream.subscriptionEnded(reason),
--- a/packages/grpc/src/watch-stream.ts
+++ b/packages/grpc/src/watch-stream.ts
@@ -60,7 +60,10 @@
 
 	/** Begins to send the events of a subscription; ends it if the call has ended meanwhile. */
 	start(subscription: Subscription): void {
-		if (this.hasEnded) return subscription.end(null)
+		if (this.hasEnded) {
+			subscription.end(null)
+			return
+		}
 		this.subscription = subscription
 		// The headers go first: a stream without events for long that breaks before its first one must resume where it
 		// began, or jobs that became terminal meanwhile would never be delivered.
--- a/packages/lab/src/controller-process.ts
+++ b/packages/lab/src/controller-process.ts
@@ -83,7 +83,10 @@
 	/** Drains it as an operator does; calls back when it has ended. */
 	drain(ended: () => void): void {
 		const { child } = this
-		if (child === null) return ended()
+		if (child === null) {
+			ended()
+			return
+		}
 		this.sample()
 		this.child = null
 		child.once('exit', ended)
--- a/packages/plugins/src/plugin-host.ts
+++ b/packages/plugins/src/plugin-host.ts
@@ -209,7 +209,10 @@
 		const admissionSlots = slots.filter((slot) => slot.covers('admit', job))
 		const releaseSlots = slots.filter((slot) => slot.covers('release', job) && !slot.isGrouped)
 		const answerCount = admissionSlots.length + releaseSlots.length
-		if (answerCount === 0) return done(null, [])
+		if (answerCount === 0) {
+			done(null, [])
+			return
+		}
 		const pending = new PendingAdmission(answerCount, done)
 		for (const slot of admissionSlots) this.askAdmission(slot, job, pending)
 		for (const slot of releaseSlots) this.askEarlyRelease(slot, job, pending)
@@ -251,7 +254,10 @@
 
 	ask(name: string, job: Job, context: CheckContext, done: (verdict: Verdict) => void): void {
 		const slot = this.slots.get(name)
-		if (slot === undefined) return done({ kind: 'unsure', why: 'no section', againMs: NO_SECTION_RETRY_MS })
+		if (slot === undefined) {
+			done({ kind: 'unsure', why: 'no section', againMs: NO_SECTION_RETRY_MS })
+			return
+		}
 		const { callTimeoutMs: callMs } = this.settingsOf(name)
 		const facts = this.facts(slot, job, context)
 		const options = {
--- a/packages/plugins/src/plugin-slot.ts
+++ b/packages/plugins/src/plugin-slot.ts
@@ -164,8 +164,10 @@
 			else this.callCounts.unsure++
 			done(result)
 		}
-		if (this.queued >= MAX_PENDING_CALLS)
-			return finish({ kind: 'unsure', why: 'too many questions wait', againMs: tryTimeoutMs })
+		if (this.queued >= MAX_PENDING_CALLS) {
+			finish({ kind: 'unsure', why: 'too many questions wait', againMs: tryTimeoutMs })
+			return
+		}
 		const call: PluginCall = {
 			id: this.nextCallId(),
 			hook,
@@ -250,7 +252,10 @@
 	}
 
 	onCallEnded(instance: PluginInstance, call: PluginCall, outcome: CallOutcome): void {
-		if (outcome.kind === 'failure') return this.callFailed(instance, call, outcome.why)
+		if (outcome.kind === 'failure') {
+			this.callFailed(instance, call, outcome.why)
+			return
+		}
 		instance.breaker.recordSuccess()
 		instance.faults.recordSuccess(call.subject)
 		this.rollout.recordAnswer(instance)
@@ -273,12 +278,14 @@
 		if (instance !== active) {
 			// A version that was replaced while the call was under way: its failure says nothing of the active one.
 			this.rollout.endIfUnused(instance)
-			return this.retry(call)
+			this.retry(call)
+			return
 		}
 		if (previous !== null && previous.faults.failureCount(call.subject) === 0) {
 			// The version is on probation: the previous one answers this call and all that are pending.
 			this.rollout.rollBack(previous, instance, why)
-			return this.retry(call)
+			this.retry(call)
+			return
 		}
 		if (!isSubjectAtFault) this.recordFailure(instance, why)
 		this.queue.settle(call, { kind: 'unsure', why, againMs: this.faultRetryMs(instance, call.subject) })
@@ -307,8 +314,10 @@
 
 	/** Calls again, at the active version; an answer to the earlier try is ignored from now on. */
 	private retry(call: PluginCall): void {
-		if (this.context.now() >= call.deadline)
-			return this.queue.settle(call, { kind: 'unsure', why: 'no time is left', againMs: call.tryTimeoutMs })
+		if (this.context.now() >= call.deadline) {
+			this.queue.settle(call, { kind: 'unsure', why: 'no time is left', againMs: call.tryTimeoutMs })
+			return
+		}
 		call.id = this.nextCallId()
 		this.queue.prepend(call)
 		this.dispatch()
--- a/packages/plugins/src/worker-threads.ts
+++ b/packages/plugins/src/worker-threads.ts
@@ -101,7 +101,10 @@
 	private handle(message: FromThread): void {
 		const runtime = this.runtimes.get(message.runtimeId)
 		if (runtime === undefined) return
-		if (message.kind === 'ended') return this.runtimeEnded(message.runtimeId, runtime, message.why)
+		if (message.kind === 'ended') {
+			this.runtimeEnded(message.runtimeId, runtime, message.why)
+			return
+		}
 		if (runtime.unloadTimer !== null) return
 		const { listener } = runtime
 		if (message.kind === 'ready') listener.ready()
--- a/packages/testkit/src/fake-state-store.ts
+++ b/packages/testkit/src/fake-state-store.ts
@@ -122,10 +122,17 @@
 		this.requests++
 		if (this.exceedsLimits(route, body)) {
 			this.refused++
-			return reply(error(429))
+			reply(error(429))
+			return
+		}
+		if (route === '/watch') {
+			this.watch(this.pendingWatch(path, client, reply))
+			return
+		}
+		if (this.denies(client)) {
+			reply(error(503))
+			return
 		}
-		if (route === '/watch') return this.watch(this.pendingWatch(path, client, reply))
-		if (this.denies(client)) return reply(error(503))
 		reply(this.respond(method, path, body))
 	}
 
@@ -219,7 +226,10 @@
 	/** Responds to a watch if there is something to respond with; otherwise looks again later. */
 	private watch(watch: PendingWatch): void {
 		const response = this.watchResponse(watch)
-		if (response !== null) return watch.reply(response)
+		if (response !== null) {
+			watch.reply(response)
+			return
+		}
 		this.clock.after(WATCH_CHECK_MS, () => this.watch(watch))
 	}
 
--- a/packages/testkit/src/fake-worker.ts
+++ b/packages/testkit/src/fake-worker.ts
@@ -143,7 +143,10 @@
 
 	/** Runs `action` once the machine does not hang; a lease that expired meanwhile ends first. */
 	private whenNotHung(action: () => void): void {
-		if (!this.hung) return action()
+		if (!this.hung) {
+			action()
+			return
+		}
 		this.ports.clock.after(this.hungUntilMs - this.ports.clock.nowMs, () =>
 			this.whenNotHung(() => {
 				this.checkLease()
@@ -256,9 +259,18 @@
 		const active = [...this.tasks.values()].filter((other) => other.status !== 'ended')
 		const usedCpus = active.reduce((cpus, other) => cpus + (this.ports.task(other.task)?.cpus ?? 0), 0)
 		this.tasks.set(key, task)
-		if (profile === null) return this.reject(task, 'no_such')
-		if (active.some((other) => other.task === name)) return this.reject(task, 'in_use')
-		if (usedCpus + profile.cpus > this.type.cpus) return this.reject(task, 'no_room')
+		if (profile === null) {
+			this.reject(task, 'no_such')
+			return
+		}
+		if (active.some((other) => other.task === name)) {
+			this.reject(task, 'in_use')
+			return
+		}
+		if (usedCpus + profile.cpus > this.type.cpus) {
+			this.reject(task, 'no_room')
+			return
+		}
 		this.afterUnlessGone(task, profile.fetchMs, () => this.run(task, profile))
 	}
 
--- a/packages/testkit/src/invariant-checker.ts
+++ b/packages/testkit/src/invariant-checker.ts
@@ -151,11 +151,16 @@
 			if (status === 200) this.violation('invented', `${uid} is called ${state}`)
 			return
 		}
-		if (status === 404 && knownState !== null) return this.violation('forgotten', uid)
+		if (status === 404 && knownState !== null) {
+			this.violation('forgotten', uid)
+			return
+		}
 		if (!accepted) return
 		if (status === 201 && knownState !== null) this.violation('accepted_again', `${uid} was ${knownState}`)
-		if (isTerminal(knownState) && state !== knownState)
-			return this.violation('went_back', `${uid} was ${knownState}, now ${state}`)
+		if (isTerminal(knownState) && state !== knownState) {
+			this.violation('went_back', `${uid} was ${knownState}, now ${state}`)
+			return
+		}
 		if (state === 'aborted' && !job.cancelRequested)
 			this.violation('went_back', `${uid} is cancelled, nobody asked`)
 		if (counts !== undefined) this.checkDoneCounts(job, counts)
@@ -171,7 +176,10 @@
 		machines.add(machine)
 		this.machinesByTask.set(task, machines)
 		const job = this.jobs.get(jobOf(task))
-		if (job === undefined) return this.violation('invented', `${task} was never submitted`)
+		if (job === undefined) {
+			this.violation('invented', `${task} was never submitted`)
+			return
+		}
 		job.begunAt ??= this.now()
 		const { spec } = job
 		const wrongPlace =
--- a/packages/testkit/src/user-workload.ts
+++ b/packages/testkit/src/user-workload.ts
@@ -252,8 +252,14 @@
 		const { uid } = spec
 		const state = invariants.observedState(uid)
 		const turn = this.oddRequests++
-		if (turn % 3 === 0 && state !== null) return this.request(uid, controller, this.submission(spec))
-		if (turn % 3 === 1 && state === 'done') return this.request(uid, controller, this.cancellation(uid))
+		if (turn % 3 === 0 && state !== null) {
+			this.request(uid, controller, this.submission(spec))
+			return
+		}
+		if (turn % 3 === 1 && state === 'done') {
+			this.request(uid, controller, this.cancellation(uid))
+			return
+		}
 		this.sendInvalidSubmission(spec, turn, controller)
 	}
 
--- a/tests/inspect.test.ts
+++ b/tests/inspect.test.ts
@@ -111,11 +111,19 @@
 	const { client } = serveState(keys)
 	const checker = new Checker(3, await IdSet.make())
 	await Effect.runPromise(
-		walk(client, LIMITS, (entries) => entries.forEach((entry) => checker.checkEntry(entry))),
+		walk(client, LIMITS, (entries) =>
+			entries.forEach((entry) => {
+				checker.checkEntry(entry)
+			}),
+		),
 	)
 	checker.finish()
 	await Effect.runPromise(
-		walk(client, LIMITS, (entries) => entries.forEach((entry) => checker.secondEntry(entry))),
+		walk(client, LIMITS, (entries) =>
+			entries.forEach((entry) => {
+				checker.secondEntry(entry)
+			}),
+		),
 	)
 	return checker.findings.map(({ key, what }) => `${key}: ${what}`)
 }
