--- a/tests/stream-days.test.ts
+++ b/tests/stream-days.test.ts
@@ -4,6 +4,7 @@
 import { arrayJob, type Fault, Simulation, StreamReader, streamsOf } from '@heathroad/testkit'
 
 const CONTROLLERS = 3
+const READERS = 50
 
 test('fifty streams over days of crashes, outages and cuts: what they tell keeps the rules', async () => {
 	const days: { name: string; faults: Fault[]; seed: number }[] = [
@@ -38,28 +39,30 @@
 		const wrong: string[] = []
 		const uids = jobs.map((j) => j.spec.uid)
 		let reconnects = 0
-		const readers = Array.from({ length: 50 }, (_, n) => {
-			const selection: Selection = n % 2 === 0 ? { team: 'core' } : { uids }
-			const finals = new Map<string, string>()
+		const readers = Array.from({ length: READERS }, (_, reader) => {
+			const selection: Selection = reader % 2 === 0 ? { team: 'core' } : { uids }
+			const terminalStates = new Map<string, string>()
 			const done = new Map<string, number>()
-			const hear = (e: JobEvent) => {
-				const known = simulation.invariants.observedState(e.uid)
-				const status = e.state === 'cancelled' ? 'aborted' : e.state
-				if (finals.has(e.uid)) wrong.push(`${n}: ${e.uid} told ${e.state} after ${finals.get(e.uid)}`)
-				if (e.done < (done.get(e.uid) ?? 0)) wrong.push(`${n}: ${e.uid} went back to ${e.done}`)
-				done.set(e.uid, e.done)
+			const observe = (event: JobEvent) => {
+				const known = simulation.invariants.observedState(event.uid)
+				const status = event.state === 'cancelled' ? 'aborted' : event.state
+				if (terminalStates.has(event.uid))
+					wrong.push(`${reader}: ${event.uid} told ${event.state} after ${terminalStates.get(event.uid)}`)
+				if (event.done < (done.get(event.uid) ?? 0))
+					wrong.push(`${reader}: ${event.uid} went back to ${event.done}`)
+				done.set(event.uid, event.done)
 				if (status === 'done' || status === 'aborted') {
-					finals.set(e.uid, e.state)
-					// A state that is not final may be told a moment after another user heard the end; a final one never differs.
-					simulation.invariants.observeStatus(e.uid, 200, status, known)
+					terminalStates.set(event.uid, event.state)
+					// A state that is not terminal may arrive a moment after another user observed the end; a terminal one never differs.
+					simulation.invariants.observeStatus(event.uid, 200, status, known)
 				}
 			}
 			new StreamReader(simulation, streams, CONTROLLERS, selection, {
 				begun: () => reconnects++,
-				refused: (_controller, why) => wrong.push(`${n}: ${why}`),
-				heard: (_controller, e) => hear(e),
+				refused: (_controller, why) => wrong.push(`${reader}: ${why}`),
+				heard: (_controller, event) => observe(event),
 			})
-			return { n, finals, selection }
+			return { reader, terminalStates, selection }
 		})
 		await simulation.play()
 		assert.deepEqual(simulation.invariants.violations, [], name)
@@ -67,9 +70,9 @@
 		assert.deepEqual(wrong.slice(0, 5), [], name)
 		assert.ok(reconnects > 500, `${reconnects} streams`)
 		// A team's stream begins with what is not over; the first job may have ended before a reader began.
-		for (const { n, finals, selection } of readers)
+		for (const { reader, terminalStates, selection } of readers)
 			for (const uid of uids)
 				if ('uids' in selection || uid !== uids[0])
-					assert.ok(finals.has(uid), `${name}: ${n} never heard of ${uid}`)
+					assert.ok(terminalStates.has(uid), `${name}: ${reader} never heard of ${uid}`)
 	}
 })
