--- a/packages/cli/src/client-commands.ts
+++ b/packages/cli/src/client-commands.ts
@@ -1,4 +1,4 @@
-/** The commands of users: `submit`, `status`, `cancel` and `watch`. */
+/** Defines the commands for users: `submit`, `status`, `cancel` and `watch`. */
 
 import { PRIORITIES } from '@heathroad/wire'
 import { type Command, Option } from 'commander'
@@ -8,7 +8,7 @@
 
 const DEFAULT_SERVER = '127.0.0.1:8080'
 
-/** Loaded on use, so that a controller does not load the client. */
+/** Imports the client on use, so that `serve` does not load it. */
 const loadVerbs = () => import('./verbs.js')
 
 interface ClientOptions {
@@ -25,7 +25,7 @@
 	deadlineS,
 })
 
-/** Adds the options of every command that calls a service. */
+/** Adds the options that all commands for users share. */
 const withClientOptions = (command: Command): Command =>
 	command
 		.addOption(
@@ -35,13 +35,13 @@
 			).argParser(collectAddresses),
 		)
 		.addOption(
-			new Option('--grpc <address>', "a controller's face for gRPC; may be given again").argParser(
+			new Option('--grpc <address>', "a controller's gRPC address, as IP:PORT; may be given again").argParser(
 				collectAddresses,
 			),
 		)
-		.option('--json', 'print JSON, as into a pipe')
-		.option('--no-json', 'print for a person, as on a terminal')
-		.option('--deadline-s <n>', 'give up after so many seconds', parseNumber)
+		.option('--json', 'print JSON (default if the output is not a terminal)')
+		.option('--no-json', 'print text (default on a terminal)')
+		.option('--deadline-s <n>', 'timeout in seconds', parseNumber)
 
 interface SubmitOptions extends ClientOptions {
 	class: string
@@ -93,29 +93,34 @@
 	command
 		.requiredOption('--class <name>', 'class of jobs')
 		.requiredOption('--team <name>', 'team whose guarantee and limit apply')
-		.requiredOption('--image <name>', 'image the tasks need')
-		.option('--image-gb <n>', 'size of the image', parseNumber, 0)
+		.requiredOption('--image <name>', 'image of the tasks')
+		.option('--image-gb <n>', 'size of the image in GB', parseNumber, 0)
 		.addOption(new Option('--kind <kind>').choices(['sweep', 'daemon', 'gang']).default('sweep'))
 		.addOption(new Option('--priority <priority>').choices([...PRIORITIES]).default('normal'))
 		.option('--tasks <n>', 'number of tasks', parseNumber, 1)
-		.option('--cpus <n>', 'CPUs of a task', parseNumber, 1)
-		.option('--gpus <n>', 'GPUs of a task', parseNumber, 0)
-		.option('--ram-gb <n>', 'memory of a task', parseNumber, 1)
+		.option('--cpus <n>', 'CPUs per task', parseNumber, 1)
+		.option('--gpus <n>', 'GPUs per task', parseNumber, 0)
+		.option('--ram-gb <n>', 'memory per task in GB', parseNumber, 1)
 		.option('--types <a,b>', 'allowed machine types', parseList)
 		.option('--zone <zone>', 'the only allowed zone')
 		.option('--same-place', 'all tasks in one zone')
 		.option('--apart', 'at most half of the tasks in one zone')
 		.option('--spot', 'may use spot machines')
-		.option('--expected-s <n>', 'run time of a task', parseNumber, 60)
-		.option('--checkpoint-s <n>', 'a task saves its progress this often; 0: never', parseNumber, 0)
-		.option('--save-s <n>', 'time a task needs to save', parseNumber, 0)
-		.option('--due-s <n>', 'deadline after submission', parseNumber)
-		.option('--wait', 'until the job is over')
+		.option('--expected-s <n>', 'expected run time of a task in seconds', parseNumber, 60)
+		.option(
+			'--checkpoint-s <n>',
+			'checkpoint interval of a task in seconds; 0: no checkpoints',
+			parseNumber,
+			0,
+		)
+		.option('--save-s <n>', 'time that a task needs for a checkpoint, in seconds', parseNumber, 0)
+		.option('--due-s <n>', 'deadline in seconds after the submission', parseNumber)
+		.option('--wait', 'wait until the job has finished')
 
 const addSubmit = (program: Command): void => {
 	const command = withClientOptions(program.command('submit'))
 		.description('submit a job')
-		.argument('[uid]', 'job id, such as job-000412; made for you if left out')
+		.argument('[uid]', 'job id, such as job-000412; generated if left out')
 	withJobOptions(command).action(async (uid: string | undefined, options: SubmitOptions) => {
 		const { submit } = await loadVerbs()
 		await submit(targetOf(options), submissionOf(uid, options), { wait: options.wait === true })
@@ -124,7 +129,7 @@
 
 const addStatus = (program: Command): void => {
 	withClientOptions(program.command('status'))
-		.description('ask for the state of a job')
+		.description('print the state of a job')
 		.argument('<uid>')
 		.action(async (uid: string, options: ClientOptions) => (await loadVerbs()).status(targetOf(options), uid))
 }
@@ -153,14 +158,14 @@
 
 const addWatch = (program: Command): void => {
 	withClientOptions(program.command('watch'))
-		.description('print the states of jobs as they change, until all of them are over')
-		.argument('[uids...]', 'jobs, submitted already or not')
-		.option('--team <name>', "all of a team's jobs instead, without an end")
-		.option('--cursor <text>', 'go on behind an earlier event of the same jobs')
+		.description('print the states of jobs as they change, until all of them have finished')
+		.argument('[uids...]', 'job ids; the jobs may be submitted later')
+		.option('--team <name>', 'watch all jobs of a team instead, until interrupted')
+		.option('--cursor <text>', 'resume after an earlier event of the same jobs')
 		.action(watch)
 }
 
-/** Adds the commands of users. */
+/** Adds the commands for users. */
 export const addClientCommands = (program: Command): void => {
 	addSubmit(program)
 	addStatus(program)
--- a/packages/cli/src/daemon-tools.ts
+++ b/packages/cli/src/daemon-tools.ts
@@ -1,4 +1,4 @@
-/** What the commands of operators do: call running controllers, and check a plug-in's folder. */
+/** Implements the commands for operators: calls running controllers, and checks a plug-in's folder. */
 
 import { readManifest } from '@heathroad/plugin-api'
 import { type PluginInfo, scanFolder } from '@heathroad/plugins'
@@ -6,7 +6,7 @@
 import { Effect } from 'effect'
 import { EXIT, printError, printLine } from './output.js'
 
-/** The controllers that a command calls, at their internal addresses, and how to print. */
+/** Internal addresses of the controllers that a command calls, and the output format. */
 export interface AdminTarget {
 	addresses: readonly string[]
 	json: boolean
@@ -16,11 +16,11 @@
 
 type AdminAnswer = { kind: 'ok'; body: Body } | { kind: 'failed'; reason: string }
 
-/** How long a controller may take to answer. */
+/** Timeout of a request to a controller, in ms. */
 const ANSWER_TIMEOUT_MS = 10_000
-/** Controllers are called one after the other. */
+/** One connection suffices, since controllers are called one after the other. */
 const CONNECTIONS = 1
-/** The first status that is no success. */
+/** Lowest HTTP status that counts as a failure. */
 const FIRST_FAILURE_STATUS = 300
 
 const call = async (
@@ -41,7 +41,7 @@
 		),
 	)
 
-/** Calls each controller in turn. A failure of one is printed and sets the exit code; the others are called as well. */
+/** Calls each controller in turn. A failure is printed and sets the exit code; the others are still called. */
 const callEach = async (
 	target: AdminTarget,
 	path: string,
@@ -76,7 +76,7 @@
 	'rollbacks',
 ] as const
 
-/** Plug-ins as a table for a person: a header and a line each. */
+/** Formats plug-ins as a table: a header, and one line per plug-in. */
 export const formatTable = (plugins: readonly PluginInfo[]): string[] => {
 	const rows = [
 		COLUMNS.map(String),
@@ -117,7 +117,7 @@
 export const enable = (target: AdminTarget, name: string): Promise<void> =>
 	callEach(target, '/admin/enable', { name }, (address, body) => printPlugins(target, address, body))
 
-/** Makes each controller read its settings again, and prints what it could not apply. */
+/** Makes each controller reload its settings, and prints what it could not apply. */
 export const reload = (target: AdminTarget): Promise<void> =>
 	callEach(target, '/admin/reload', {}, (address, body) => {
 		const lines = Array.isArray(body.lines) ? body.lines.map(String) : []
@@ -126,13 +126,13 @@
 		for (const line of lines) printLine(`  ${line}`)
 	})
 
-/** Makes each controller drain and end. */
+/** Makes each controller drain and exit. */
 export const drain = (target: AdminTarget): Promise<void> =>
 	callEach(target, '/admin/drain', {}, (address) =>
 		printLine(target.json ? JSON.stringify({ controller: address, draining: true }) : `${address}: draining`),
 	)
 
-/** Reads a plug-in's folder as a controller would, and prints what it holds or what is wrong with it. */
+/** Validates a plug-in's folder as a controller does, and prints the plug-in or the problem. */
 export const check = async (directory: string): Promise<void> => {
 	const result = await scanFolder(directory, readManifest)
 	if ('manifest' in result) {
--- a/packages/cli/src/main.ts
+++ b/packages/cli/src/main.ts
@@ -1,4 +1,4 @@
-/** The command line of heathroad: defines the commands and runs the one that is named. */
+/** Entry point of the command line: defines all commands and runs one. */
 
 import { Command } from 'commander'
 import { addClientCommands } from './client-commands.js'
@@ -10,7 +10,9 @@
 const VERSION = '0.1.0'
 
 const program = new Command('heathroad')
-	.description('A cluster scheduler: rents machines, places array jobs, keeps its promises under failure.')
+	.description(
+		'A cluster scheduler: rents machines, places job arrays and keeps its guarantees during failures.',
+	)
 	.version(VERSION)
 	.exitOverride((error) => process.exit(error.exitCode === 0 ? 0 : EXIT.usage))
 
--- a/packages/cli/src/serve-commands.ts
+++ b/packages/cli/src/serve-commands.ts
@@ -1,4 +1,4 @@
-/** The commands `serve` and `check-config`. */
+/** Defines the commands `serve` and `check-config`. */
 
 import { printedLimits } from '@heathroad/config'
 import { ControllerProcess, createLog } from '@heathroad/daemon'
@@ -17,7 +17,7 @@
 	}
 	process.on('uncaughtException', (error) => service.recoverFromError(error))
 	process.on('unhandledRejection', (error) => service.recoverFromError(error))
-	for (const signal of ['SIGTERM', 'SIGINT'] as const) process.on(signal, () => controller.signalled())
+	for (const signal of ['SIGTERM', 'SIGINT'] as const) process.on(signal, () => controller.handleSignal())
 	process.on('SIGHUP', () => void controller.reload().catch((error) => service.recoverFromError(error)))
 	try {
 		await controller.start()
@@ -38,11 +38,11 @@
 		program
 			.command('serve')
 			.description(
-				'run one controller until it is killed or told to drain (SIGTERM; a second one ends it at once)',
+				'run one controller until it is killed or drained (SIGTERM; a second one ends it at once)',
 			),
 	).action(serve)
 
 	withConfigFiles(
-		program.command('check-config').description('say what is wrong with settings, and where'),
+		program.command('check-config').description('validate the settings and print errors with their location'),
 	).action(checkConfig)
 }
--- a/packages/cli/src/state-commands.ts
+++ b/packages/cli/src/state-commands.ts
@@ -1,30 +1,30 @@
-/** The commands below `state`: look at, save and restore the service's state. */
+/** Defines `state` and its subcommands, which check, export, import and compare the stored state. */
 
 import type { Command } from 'commander'
 import { type ConfigFiles, loadConfigOrExit } from './options.js'
 
-/** Loaded on use, so that a controller does not load the tools. */
+/** Imports the tools on use, so that `serve` does not load them. */
 const loadStateTools = () => import('./state-tools.js')
 
 const withStateConfig = (command: Command): Command =>
 	command
 		.requiredOption('--config <file>', "the platform's settings (JSON)")
-		.option('--ini <file>', "operators' own settings")
+		.option('--ini <file>', "operators' settings (INI)")
 
-/** Adds `state` and the commands below it. */
+/** Adds `state` and its subcommands. */
 export const addStateCommands = (program: Command): void => {
-	const state = program.command('state').description("look at, save and restore the service's state")
+	const state = program.command('state').description('check, export, import and compare the stored state')
 
 	withStateConfig(state.command('check'))
-		.description('say what does not fit, a line each; exit code 1 if anything does not')
-		.option('--cloud', "compare with the cloud's list of machines too")
+		.description('print inconsistencies in the state, one per line; exit code 1 if there are any')
+		.option('--cloud', "also compare with the cloud's list of machines")
 		.action(async (options: ConfigFiles & { cloud?: boolean }) => {
 			const { check } = await loadStateTools()
 			await check(loadConfigOrExit(options), { withCloud: options.cloud === true })
 		})
 
 	withStateConfig(state.command('export'))
-		.description('write the whole state as of one moment to a file')
+		.description('write a consistent snapshot of the whole state to a file')
 		.argument('<file>')
 		.action(async (file: string, options: ConfigFiles) => {
 			const { save } = await loadStateTools()
@@ -32,7 +32,7 @@
 		})
 
 	withStateConfig(state.command('import'))
-		.description('write a saved state into an empty state service; goes on where it was stopped')
+		.description('write an exported state into an empty state service; an interrupted import can be resumed')
 		.argument('<file>')
 		.action(async (file: string, options: ConfigFiles) => {
 			const { restore } = await loadStateTools()
@@ -41,7 +41,7 @@
 
 	state
 		.command('diff')
-		.description('keys in which two saved states differ; exit code 1 if any')
+		.description('print the keys in which two exported states differ; exit code 1 if there are any')
 		.argument('<before>')
 		.argument('<after>')
 		.action(async (before: string, after: string) => (await loadStateTools()).compare(before, after))
--- a/packages/cli/src/state-tools.ts
+++ b/packages/cli/src/state-tools.ts
@@ -1,4 +1,4 @@
-/** The commands below `heathroad state`: check, export, import and compare the state. */
+/** Implements the subcommands of `heathroad state`: check, export, import and compare the state. */
 
 import type { Config } from '@heathroad/config'
 import {
@@ -21,27 +21,27 @@
 import { Effect } from 'effect'
 import { printError, printLine } from './output.js'
 
-/** Exit codes: 0 no findings, 1 findings, differences or no answer, 2 a file or settings that cannot be used. */
+/** Exit codes: 0: no findings; 1: findings, differences or no answer; 2: unusable file or settings. */
 const EXIT = { clean: 0, findings: 1, unusable: 2 } as const
 
-/** Connections to one service. */
+/** Number of connections to one service. */
 const CONNECTIONS = 2
-/** Of a controller's share of the requests, what these tools use: controllers may run beside them. */
-const RATE_SHARE = 0.5
-/** Of the state service's rate of changes, what an import uses: nothing else runs on an empty state. */
-const IMPORT_RATE_SHARE = 0.8
-/** Of the controller lease, how long a request to the state service may take. */
+/** Fraction of one controller's request rates that these tools use, since controllers may run at the same time. */
+const READ_RATE_FRACTION = 0.5
+/** Fraction of the state service's write rate that an import uses; on an empty state nothing else runs. */
+const IMPORT_WRITE_RATE_FRACTION = 0.8
+/** Timeout of a request to the state service, in controller leases. */
 const STATE_TIMEOUT_LEASES = 0.6
-/** Of the controller lease, how long a call to the cloud may take. */
+/** Timeout of a call to the cloud, in controller leases. */
 const CLOUD_TIMEOUT_LEASES = 2
-/** Tries of one request: a minute of an outage, at a try a second. */
-const TRIES = 60
-/** Largest transaction of an import. */
-const IMPORT_BYTES = 48 * 1024
-/** Pause between two lists of machines, in lags of the list. */
-const LIST_PAUSE_LAGS = 2
+/** Maximum number of tries of one request: at one try per second they outlast an outage of a minute. */
+const MAX_TRIES = 60
+/** Maximum size of an import's transaction, in bytes. */
+const MAX_IMPORT_TRANSACTION_BYTES = 48 * 1024
+/** Interval between two lists of machines, as a multiple of the list's maximum lag. */
+const LIST_INTERVAL_LAGS = 2
 
-/** Runs a command and sets its exit code; an unusable file or service is printed in one line. */
+/** Runs a command and sets the exit code; an unusable file or service is reported in one line. */
 const runCommand = async (command: () => Promise<number>): Promise<void> => {
 	try {
 		process.exitCode = await command()
@@ -58,15 +58,19 @@
 	limits: WalkLimits
 }
 
-/** Opens connections to the services of an installation. */
+/** Creates the clients for the services of an installation. */
 const connect = ({ settings, limits }: Config): Connection => {
 	const httpClient = createHttpClient(CONNECTIONS)
 	const timeoutMs = limits.controllerLeaseMs * STATE_TIMEOUT_LEASES
 	const client = createStoreClient(httpClient, settings.services.state, timeoutMs, () => {})
-	return { httpClient, client, limits: { requestsPerS: limits.readsPerS * RATE_SHARE, maxTries: TRIES } }
+	return {
+		httpClient,
+		client,
+		limits: { requestsPerS: limits.readsPerS * READ_RATE_FRACTION, maxTries: MAX_TRIES },
+	}
 }
 
-/** Opens connections for a command's work, and closes them at its end. */
+/** Runs `work` with a new connection, and closes the connection afterwards. */
 const withConnection = async <A>(
 	config: Config,
 	work: (connection: Connection) => Promise<A>,
@@ -81,7 +85,7 @@
 
 const run = <A>(effect: Effect.Effect<A, ServiceUnavailable>): Promise<A> => Effect.runPromise(effect)
 
-/** Compares recorded machines with two lists of the cloud, some time apart. */
+/** Compares recorded machines with two of the cloud's lists, taken some time apart. */
 const compareWithCloud = async (
 	{ settings, limits }: Config,
 	httpClient: HttpClient,
@@ -90,16 +94,16 @@
 	const lagS = settings.deployment.cloud.list_lag_s
 	const request = {
 		address: settings.services.cloud,
-		callsPerS: limits.cloudCallsPerS * RATE_SHARE,
+		callsPerS: limits.cloudCallsPerS * READ_RATE_FRACTION,
 		timeoutMs: limits.controllerLeaseMs * CLOUD_TIMEOUT_LEASES,
 	}
 	const first = await run(listMachines(httpClient, request))
-	await new Promise((done) => setTimeout(done, lagS * 1000 * LIST_PAUSE_LAGS))
+	await new Promise((done) => setTimeout(done, lagS * 1000 * LIST_INTERVAL_LAGS))
 	const second = await run(listMachines(httpClient, request))
 	return compareMachines([first, second], recorded, lagS)
 }
 
-/** Reads the whole state and finds what is inconsistent; with `withCloud` compares the cloud's machines too. */
+/** Reads the whole state and returns inconsistencies; `withCloud`: also compares it with the cloud's machines. */
 const inspect = async (
 	config: Config,
 	{ httpClient, client, limits }: Connection,
@@ -127,7 +131,7 @@
 	return { findings, keyCount: checker.keyCount }
 }
 
-/** Prints what is inconsistent in the state, a line each. */
+/** Prints the inconsistencies in the state, one per line. */
 export const check = (config: Config, { withCloud }: { withCloud: boolean }): Promise<void> =>
 	runCommand(async () => {
 		const { findings, keyCount } = await withConnection(config, (connection) =>
@@ -156,9 +160,9 @@
 		const { keys } = await withConnection(config, ({ client, limits }) =>
 			importState(client, snapshot, {
 				...limits,
-				changesPerS: state.write_rps * IMPORT_RATE_SHARE,
+				changesPerS: state.write_rps * IMPORT_WRITE_RATE_FRACTION,
 				maxOperations: state.txn_ops,
-				maxTransactionBytes: IMPORT_BYTES,
+				maxTransactionBytes: MAX_IMPORT_TRANSACTION_BYTES,
 			}),
 		)
 		printLine(`${file}: ${keys} keys restored`)
--- a/packages/cli/src/verbs.ts
+++ b/packages/cli/src/verbs.ts
@@ -1,4 +1,4 @@
-/** What the commands of users do: submit, show, cancel and watch jobs. */
+/** Implements the commands for users: submit, show, cancel and watch jobs. */
 
 import {
 	Client,
@@ -11,16 +11,16 @@
 } from '@heathroad/client'
 import { EXIT, printError, printLine } from './output.js'
 
-/** Where the service is and how to print. */
+/** Addresses of the service, and the output format. */
 export interface ClientTarget {
 	httpAddresses: readonly string[]
 	grpcAddresses: readonly string[]
-	/** null: unless the standard output is a terminal */
+	/** null: JSON unless standard output is a terminal */
 	json: boolean | null
 	deadlineS?: number
 }
 
-/** Which jobs to watch: by id, or all of a team's. */
+/** The jobs to watch: by id, or all jobs of a team. */
 export type WatchSelection = { uids: readonly string[] } | { team: string }
 
 type PrintableJob = JobInfo & { tasks?: number }
@@ -33,11 +33,11 @@
 	return running > 0 ? `${doneText}, ${running} running` : doneText
 }
 
-/** A job as a line for a person. */
+/** Formats a job as one line of text. */
 export const formatJob = (job: PrintableJob): string =>
 	`${job.uid}  ${job.state.padEnd(9)}  ${formatCounts(job)}`
 
-/** A job by the names of the wire protocol, which programs read since the first version. */
+/** Returns a job with the names of the wire protocol, which scripts have relied on since the first version. */
 const jsonOf = (job: JobInfo): Record<string, unknown> => ({
 	uid: job.uid,
 	status: job.state === 'cancelled' ? 'aborted' : job.state,
@@ -61,7 +61,7 @@
 	return `${error.message}${hint}`
 }
 
-/** Runs a command with a client, until it ends or is interrupted (SIGINT), and sets the exit code. */
+/** Runs a command with a client until it finishes or is interrupted (SIGINT), and sets the exit code. */
 const withClient = async (
 	target: ClientTarget,
 	work: (client: Client, signal: AbortSignal) => Promise<void>,
@@ -75,7 +75,7 @@
 	})
 	const interrupt = new AbortController()
 	process.once('SIGINT', () => interrupt.abort())
-	// An exit code instead of `exit`: output into a pipe may still be pending.
+	// Sets the exit code instead of calling `exit`, since output to a pipe may still be pending.
 	process.exitCode = 0
 	try {
 		await work(client, interrupt.signal)
@@ -88,7 +88,7 @@
 	}
 }
 
-/** Submits a job and prints it; with `wait` prints its events until it is terminal, as JSON the last one only. */
+/** Submits a job and prints it; with `wait`, prints its events until it is terminal (in JSON only the last one). */
 export const submit = (target: ClientTarget, job: Submission, { wait }: { wait: boolean }): Promise<void> =>
 	withClient(target, async (client, signal) => {
 		const accepted = await client.submit(job, { signal })
@@ -106,7 +106,7 @@
 export const cancel = (target: ClientTarget, uid: string): Promise<void> =>
 	withClient(target, async (client, signal) => printJob(target, await client.cancel(uid, { signal })))
 
-/** Prints the events of jobs, from after the cursor if there is one. */
+/** Prints the events of jobs, starting after the cursor if one is given. */
 export const watch = (target: ClientTarget, selection: WatchSelection, cursor?: string): Promise<void> =>
 	withClient(target, async (client, signal) => {
 		for await (const event of client.watch(selection, { signal, cursor })) printEvent(target, event)
--- a/packages/daemon/src/admin.ts
+++ b/packages/daemon/src/admin.ts
@@ -1,18 +1,18 @@
-/** Operators' calls to a running controller, at its internal address. */
+/** Handles operators' requests to a running controller, which arrive at its internal address. */
 
 import type { PluginHost } from '@heathroad/plugins'
 import type { Respond } from '@heathroad/server'
 import { type HttpReply, isMap } from '@heathroad/wire'
 import type { Drain } from './drain.js'
 
-/** What operators may ask of a running controller. */
+/** Operations of a running controller that operators can request. */
 export interface AdminTarget {
-	/** null: no plug-ins are loaded */
+	/** null if no plug-ins are loaded */
 	readonly plugins: PluginHost | null
 	readonly drain: Drain
-	/** Reads the INI file and the plug-in directory again; returns what could not be applied, a line each. */
+	/** Reads the INI file and the plug-in directory again; returns what could not be applied, one item per line. */
 	reload(): Promise<string[]>
-	/** Begins the drain; the process ends after it. */
+	/** Begins the drain; the process exits after it. */
 	beginDrain(): void
 }
 
@@ -27,8 +27,13 @@
 	return { status: 200, body: { plugins: host.list() } }
 }
 
-/** Answers one call, synchronously except for a reload. */
-export const answerAdmin = (daemon: AdminTarget, path: string, body: unknown, respond: Respond): void => {
+/** Handles one request; responds synchronously except for a reload. */
+export const handleAdminRequest = (
+	daemon: AdminTarget,
+	path: string,
+	body: unknown,
+	respond: Respond,
+): void => {
 	const host = daemon.plugins
 	switch (path) {
 		case '/admin/plugins':
--- a/packages/daemon/src/controller-process.ts
+++ b/packages/daemon/src/controller-process.ts
@@ -1,40 +1,40 @@
-/** One controller as a long-lived process: the service and what is optional beside it, reloads, signals and the end. */
+/** The process of one controller: starts the service and its optional parts, handles reloads, signals and shutdown. */
 
 import { type Config, type OperatorSettings, readOperatorSettings } from '@heathroad/config'
 import type { GrpcServer } from '@heathroad/grpc'
 import type { Log } from '@heathroad/logging'
 import type { PluginHost } from '@heathroad/plugins'
 import { Service } from '@heathroad/server'
-import { type AdminTarget, answerAdmin } from './admin.js'
+import { type AdminTarget, handleAdminRequest } from './admin.js'
 import { Drain } from './drain.js'
 import { openPlugins } from './open-plugins.js'
 
 /** Sections of the operators' settings that a reload applies. */
-const RELOADABLE: readonly (keyof OperatorSettings)[] = ['tuning', 'plugins']
+const RELOADABLE_SECTIONS: readonly (keyof OperatorSettings)[] = ['tuning', 'plugins']
 
-/** How long gRPC calls under way may take at the end, in ms. */
+/** Grace period for gRPC calls in flight at shutdown, in ms. */
 const GRPC_GRACE_MS = 500
 
 const EXIT_DRAINED = 0
 const EXIT_IMMEDIATE = 1
 
-/** Sections that differ and that only a restart applies. */
+/** Returns the sections that have changed and take effect only after a restart. */
 export const sectionsNeedingRestart = (before: Config, after: OperatorSettings): string[] =>
 	(Object.keys(after) as (keyof OperatorSettings)[])
-		.filter((section) => !RELOADABLE.includes(section))
+		.filter((section) => !RELOADABLE_SECTIONS.includes(section))
 		.filter((section) => JSON.stringify(before[section]) !== JSON.stringify(after[section]))
 
-/** A controller process. Optional parts are loaded only if the settings have a section for them. */
+/** A controller process. Plug-ins, gRPC and metrics are loaded only if the settings have a section for them. */
 export class ControllerProcess implements AdminTarget {
 	readonly service: Service
 	readonly drain: Drain
 	plugins: PluginHost | null = null
 	private grpc: GrpcServer | null = null
 	private metrics: { close(): void } | null = null
-	private ending = false
+	private isEnding = false
 
 	/**
-	 * @param iniPath the operators' settings, read again by a reload; undefined: there is no file
+	 * @param iniPath file of the operators' settings, which a reload reads again; undefined if there is none
 	 * @param exit ends the process with an exit code
 	 */
 	constructor(
@@ -45,15 +45,15 @@
 	) {
 		this.service = new Service(config, log)
 		this.drain = new Drain(this.service, config.daemon, log)
-		this.service.adminHandler = (path, body, respond) => answerAdmin(this, path, body, respond)
+		this.service.adminHandler = (path, body, respond) => handleAdminRequest(this, path, body, respond)
 	}
 
-	/** Starts to serve. Rejects if an address cannot be listened at. */
+	/** Starts to serve. Rejects if it cannot listen at an address. */
 	async start(): Promise<void> {
 		const { plugins, grpc, metrics } = this.config
-		// Before the first user: a job accepted without its admission checks would never undergo them.
+		// Before the first submission: a job accepted without its admission checks would never undergo them.
 		if (plugins !== null) this.plugins = await openPlugins(this.service, plugins)
-		// Before the first full read: what that read leaves out of memory is told to observers only.
+		// Before the first full read: records that it does not keep in memory are only delivered to observers.
 		if (grpc !== null) {
 			const { GrpcServer } = await import('@heathroad/grpc')
 			this.grpc = new GrpcServer(this.service, grpc)
@@ -63,19 +63,19 @@
 		if (metrics !== null) {
 			const { serveMetrics } = await import('@heathroad/metrics')
 			this.metrics = await serveMetrics(metrics.listen, {
-				figures: () => this.service.figures(),
+				stats: () => this.service.figures(),
 				plugins: () => this.plugins?.list() ?? [],
 			})
 		}
 	}
 
-	/** Applies changed settings; returns what could not be applied, a line each. Rejects if the file is invalid. */
+	/** Applies changed settings; returns what could not be applied, one item per line. Rejects if the file is invalid. */
 	async reload(): Promise<string[]> {
 		const settings = readOperatorSettings(this.iniPath)
 		const lines = sectionsNeedingRestart(this.config, settings).map(
 			(section) => `[${section}] has changed: restart to take it over`,
 		)
-		// In place: shards read the tuning from this object whenever they need it.
+		// Updated in place, since shards read the tuning from this object whenever they need it.
 		Object.assign(this.config.tuning, settings.tuning)
 		lines.push(...(await this.reloadPlugins(settings)))
 		this.config.plugins = settings.plugins
@@ -83,16 +83,16 @@
 		return lines
 	}
 
-	/** Drains, then ends the process. Further calls do nothing. */
+	/** Drains the controller, then ends the process. Further calls do nothing. */
 	beginDrain(): void {
-		if (this.ending) return
-		this.ending = true
+		if (this.isEnding) return
+		this.isEnding = true
 		void this.drain.begin().then(() => this.close())
 	}
 
-	/** Handles a signal to end: the first one begins the drain, the second one ends the process at once. */
-	signalled(): void {
-		if (this.ending) {
+	/** Handles a termination signal: the first one begins the drain, a second one ends the process at once. */
+	handleSignal(): void {
+		if (this.isEnding) {
 			this.log('info', 'immediate shutdown', { phase: this.drain.phase })
 			this.exit(EXIT_IMMEDIATE)
 			return
--- a/packages/daemon/src/drain.ts
+++ b/packages/daemon/src/drain.ts
@@ -1,41 +1,41 @@
-/** Drains a controller: ends its work so that neither users nor machines notice. */
+/** Drains a controller: hands off its shards and finishes its requests, so that users and machines are not affected. */
 
 import type { DaemonSettings } from '@heathroad/config'
 import type { Log } from '@heathroad/logging'
 import type { Service } from '@heathroad/server'
 
 /**
- * `serving`: no drain. `leaving`: the load balancer is notified. `handing`: no new jobs, shards are handed off. `over`:
- * nothing depends on this controller any more. The names appear in answers and in the log.
+ * `serving`: no drain. `leaving`: the load balancer's health checks fail, requests are still served. `handing`: new
+ * jobs are rejected, shards are handed off. `over`: the process may end. The names appear in responses and in the log.
  */
 export type DrainPhase = 'serving' | 'leaving' | 'handing' | 'over'
 
-/** What the next phase depends on. */
+/** Inputs of `nextPhase`. */
 export interface DrainState {
 	phase: DrainPhase
-	/** since the drain began, in ms */
+	/** time since the drain began, in ms */
 	sinceMs: number
-	/** shards that this controller owns */
+	/** number of shards that this controller owns */
 	shards: number
-	/** submissions that wait for their answer */
+	/** number of submissions that have not been answered */
 	submissions: number
-	/** are there other controllers to hand shards to? */
+	/** whether there are other controllers, which can take the shards */
 	hasPeers: boolean
 }
 
-/** Interval of the drain's steps, in ms. */
+/** Interval at which the drain checks for its next phase, in ms. */
 const STEP_INTERVAL_MS = 100
 
 /**
- * Share of the drain's time after which shards are handed off even if they are busy; the rest of the time is for that
- * handoff.
+ * Fraction of the drain timeout after which shards are handed off even if they are busy; the rest of the time is for
+ * that handoff.
  */
-const FORCED_HANDOFF_SHARE = 0.7
+const FORCED_HANDOFF_FRACTION = 0.7
 
 /**
- * The next phase. Each phase lasts until its condition is met: the time that the load balancer needs to stop sending
- * requests, then the handoff of all shards and the answers to pending submissions. At the end of the drain's time it
- * ends with whatever is left; the shards are then freed when the controller lease ends, as after a crash.
+ * Returns the next phase. `leaving` lasts for the time that the load balancer needs to stop sending requests, `handing`
+ * until all shards are handed off and all pending submissions are answered. At the drain timeout the drain ends with
+ * whatever is left; remaining shards become free when the controller lease expires, as after a crash.
  */
 export const nextPhase = (
 	{ phase, sinceMs, shards, submissions, hasPeers }: DrainState,
@@ -48,7 +48,7 @@
 	return shards > 0 && hasPeers ? 'handing' : 'over'
 }
 
-/** The drain of one controller; it happens at most once. */
+/** Drains one controller, at most once. */
 export class Drain {
 	private currentPhase: DrainPhase = 'serving'
 	private startedAtMs = 0
@@ -70,7 +70,7 @@
 		return this.currentPhase
 	}
 
-	/** Begins the drain, if it has not begun; resolves when the process may end. */
+	/** Begins the drain if it has not begun; resolves when the process may end. */
 	begin(): Promise<void> {
 		if (this.currentPhase !== 'serving') return this.finished
 		this.startedAtMs = this.service.now()
@@ -102,11 +102,11 @@
 		this.enter(phase, sinceMs)
 	}
 
-	/** Applies a phase; also when it has not changed, since a forced handoff begins within its phase. */
+	/** Applies a phase. Called at every step, since the forced handoff begins within `handing`. */
 	private enter(phase: DrainPhase, sinceMs: number): void {
 		if (phase === 'leaving') this.service.beginDrain()
 		else if (phase === 'handing') {
-			const atOnce = sinceMs > this.settings.drainTimeoutS * 1000 * FORCED_HANDOFF_SHARE
+			const atOnce = sinceMs > this.settings.drainTimeoutS * 1000 * FORCED_HANDOFF_FRACTION
 			this.service.handOffShards(atOnce)
 		} else if (phase === 'over') this.finish()
 	}
--- a/packages/daemon/src/index.ts
+++ b/packages/daemon/src/index.ts
@@ -1,4 +1,4 @@
-/** One controller as a long-lived process: start, reload, operators' calls, drain and end. */
+/** The process of one controller: start, reload, operators' requests, drain and shutdown. */
 
 export * from './admin.js'
 export * from './controller-process.js'
--- a/packages/daemon/src/log.ts
+++ b/packages/daemon/src/log.ts
@@ -1,4 +1,4 @@
-/** The process's log. */
+/** Creates the log of the process. */
 
 import type { Log, LogLevel } from '@heathroad/logging'
 import pino from 'pino'
@@ -11,7 +11,7 @@
 const isLevel = (name: string): name is LogLevel => LEVELS.some((level) => level === name)
 
 /**
- * Makes a log that writes one JSON object a line to standard error, at the level that `LOG_LEVEL` names or `info`.
+ * Creates a log that writes one JSON object per line to standard error, at the level of `LOG_LEVEL` (default: `info`).
  */
 export const createLog = (requestedLevel = process.env.LOG_LEVEL ?? DEFAULT_LEVEL): Log => {
 	const isKnown = isLevel(requestedLevel)
@@ -23,7 +23,7 @@
 			timestamp: () => `,"time":"${new Date().toISOString()}"`,
 			formatters: { level: (level) => ({ level }) },
 		},
-		// Synchronous: a process that ends without a signal must have written everything.
+		// Synchronous, so that no line is lost when the process exits by itself.
 		pino.destination({ dest: STANDARD_ERROR, sync: true }),
 	)
 	if (!isKnown) logger.error({ asked: requestedLevel }, 'unknown LOG_LEVEL, using info')
--- a/packages/daemon/src/open-plugins.ts
+++ b/packages/daemon/src/open-plugins.ts
@@ -5,7 +5,7 @@
 import type { PluginHost } from '@heathroad/plugins'
 import type { Service } from '@heathroad/server'
 
-/** What plug-ins may know of a team; a team that the settings do not name has no guarantee and no limit. */
+/** Returns a team's guarantee and limit for plug-ins; a team that the settings do not name has neither (0). */
 const describeTeam = (service: Service, name: string) => {
 	const settings = service.config.settings.deployment.teams.find((team) => team.name === name)
 	return {
@@ -17,7 +17,7 @@
 	}
 }
 
-/** Loads the plug-in host and the plug-ins in their directory; from then on the service consults them. */
+/** Starts the plug-in host, loads the plug-ins in its directory, and registers it as the service's admission checks. */
 export const openPlugins = async (service: Service, settings: PluginsSettings): Promise<PluginHost> => {
 	const { PluginHost, scanDirectory, workerThreadRuntimes, THREAD_FILE } = await import('@heathroad/plugins')
 	const host = new PluginHost(settings, {
--- a/packages/metrics/src/gauges.ts
+++ b/packages/metrics/src/gauges.ts
@@ -1,19 +1,19 @@
-/** The gauges of a controller's metrics page, and how they are set. */
+/** The gauges of a controller's metrics page. */
 
 import type { PluginInfo } from '@heathroad/plugins'
 import { Gauge, Registry } from 'prom-client'
 
-/** Where the values come from; each is computed when the page is requested. */
+/** Source of the values, which are computed when the page is requested. */
 export interface MetricsSource {
-	figures(): Record<string, number | string | boolean>
+	stats(): Record<string, number | string | boolean>
 	plugins(): readonly PluginInfo[]
 }
 
 /** Prefix of all metrics. */
 const PREFIX = 'heathroad_'
 
-/** By figure: name and help text of its gauge. */
-const FIGURE_GAUGES: Record<string, { name: string; help: string }> = {
+/** Name and help text of each statistic's gauge. */
+const STAT_GAUGES: Record<string, { name: string; help: string }> = {
 	parts: { name: 'parts', help: 'parts that this controller owns' },
 	openJobs: { name: 'open_jobs', help: 'jobs of the service that are not over, as known here' },
 	ownJobs: { name: 'own_jobs', help: 'jobs of the parts that this controller owns, held ones left out' },
@@ -24,17 +24,17 @@
 	healthy: { name: 'healthy', help: '1: users can be served' },
 }
 
-/** Values of the label `right`: the kinds of leadership, by their names on the wire. */
+/** Values of the label `right`: the kinds of leadership status, by their names on the wire. */
 const LEADERSHIP_LABELS = ['grant', 'promise', 'none']
 
-/** Counts of a plug-in that have a gauge each. */
+/** Fields of `PluginInfo` that have a gauge each. */
 const PLUGIN_COUNTS = ['queued', 'asked', 'answered', 'unsure', 'upgrades', 'rollbacks'] as const
 
-/** All gauges, in a registry of their own. Their order of creation is their order on the page. */
+/** All gauges, in a separate registry. The page lists them in order of creation. */
 export class ControllerGauges {
 	private readonly registry = new Registry()
-	private readonly byFigure = new Map(
-		Object.entries(FIGURE_GAUGES).map(([figure, { name, help }]) => [figure, this.gauge(name, help)]),
+	private readonly gaugesByStat = new Map(
+		Object.entries(STAT_GAUGES).map(([stat, { name, help }]) => [stat, this.gauge(name, help)]),
 	)
 	private readonly memory = this.gauge('memory_bytes', 'resident memory of the process')
 	private readonly leadership = this.gauge(
@@ -42,7 +42,7 @@
 		'1 for what this controller may act by: grant, promise, none',
 		'right',
 	)
-	private readonly byPluginCount = new Map(
+	private readonly gaugesByPluginCount = new Map(
 		PLUGIN_COUNTS.map((count) => [
 			count,
 			this.gauge(
@@ -60,15 +60,15 @@
 		return this.registry.contentType
 	}
 
-	/** Sets all gauges to the values of this moment and renders the page. */
+	/** Sets all gauges to the current values and renders the page. */
 	render(): Promise<string> {
-		const figures = this.source.figures()
-		for (const [figure, gauge] of this.byFigure) gauge.set(Number(figures[figure] ?? 0))
+		const stats = this.source.stats()
+		for (const [stat, gauge] of this.gaugesByStat) gauge.set(Number(stats[stat] ?? 0))
 		for (const label of LEADERSHIP_LABELS)
-			this.leadership.set({ right: label }, Number(figures.right === label))
+			this.leadership.set({ right: label }, Number(stats.right === label))
 		this.memory.set(process.memoryUsage.rss())
 		const plugins = this.source.plugins()
-		for (const [count, gauge] of this.byPluginCount) {
+		for (const [count, gauge] of this.gaugesByPluginCount) {
 			gauge.reset()
 			for (const plugin of plugins) gauge.set({ plugin: plugin.name }, plugin[count])
 		}
--- a/packages/metrics/src/index.ts
+++ b/packages/metrics/src/index.ts
@@ -1,4 +1,4 @@
-/** The metrics page for Prometheus, at an address of its own. */
+/** Serves the metrics page for Prometheus at a separate address. */
 
 import * as http from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -8,7 +8,7 @@
 
 const PATH = '/metrics'
 
-/** A scraper needs one connection; a few more allow for others. */
+/** A scraper needs one connection; a few more are allowed for other clients. */
 const MAX_CONNECTIONS = 8
 
 const listenAt = (server: http.Server, address: string): Promise<void> => {
@@ -20,8 +20,8 @@
 }
 
 /**
- * Serves the page at an address, as IP:PORT; nothing is computed between two requests for it. Rejects if the address
- * cannot be listened at. The server does not keep the process alive.
+ * Serves the page at an address, as IP:PORT; values are computed only on request. Rejects if it cannot listen at the
+ * address. The server does not keep the process alive.
  */
 export const serveMetrics = async (
 	listen: string,
--- a/tests/daemon.test.ts
+++ b/tests/daemon.test.ts
@@ -8,9 +8,9 @@
 import { ConfigError, DEFAULT_OPERATOR_SETTINGS, readOperatorSettings } from '@heathroad/config'
 import {
 	type AdminTarget,
-	answerAdmin,
 	type Drain,
 	type DrainState,
+	handleAdminRequest,
 	nextPhase,
 	sectionsNeedingRestart,
 } from '@heathroad/daemon'
@@ -224,7 +224,7 @@
 		beginDrain: () => calls.push('end'),
 	})
 	const call = (daemon: AdminTarget, path: string, body: unknown = {}) =>
-		new Promise<HttpReply>((done) => answerAdmin(daemon, path, body, done))
+		new Promise<HttpReply>((done) => handleAdminRequest(daemon, path, body, done))
 	const rows: [path: string, body: unknown, plugins: PluginHost | null, status: number][] = [
 		['/admin/plugins', {}, host, 200],
 		['/admin/plugins', {}, null, 200],
@@ -250,7 +250,7 @@
 test('metrics: one page with the values of the moment, no other path', async () => {
 	let openJobs = 3
 	const { port, close } = await serveMetrics('127.0.0.1:0', {
-		figures: () => ({ openJobs, right: 'grant', healthy: true }),
+		stats: () => ({ openJobs, right: 'grant', healthy: true }),
 		plugins: () => [
 			{
 				name: 'one',
--- a/tests/golden-faces.test.ts
+++ b/tests/golden-faces.test.ts
@@ -7,7 +7,7 @@
 import { test } from 'node:test'
 import { credentials, type Metadata, makeGenericClientConstructor } from '@grpc/grpc-js'
 import { defaultGrpcSettings } from '@heathroad/config'
-import { type AdminTarget, answerAdmin, Drain } from '@heathroad/daemon'
+import { type AdminTarget, Drain, handleAdminRequest } from '@heathroad/daemon'
 import { CursorCodec } from '@heathroad/events'
 import { GrpcServer } from '@heathroad/grpc'
 import { archivePageKey, encodeArchivePage, ordinalOf, packJobs } from '@heathroad/history'
@@ -49,7 +49,7 @@
 
 test('metrics: the page of a controller', async () => {
 	const { port, close } = await serveMetrics('127.0.0.1:0', {
-		figures: () => figures,
+		stats: () => figures,
 		plugins: () => [plugin],
 	})
 	const page = await (await fetch(`http://127.0.0.1:${port}/metrics`)).text()
@@ -143,7 +143,7 @@
 	]
 	const answers = []
 	for (const [path, body] of calls)
-		answers.push({ path, answer: await new Promise((done) => answerAdmin(daemon, path, body, done)) })
+		answers.push({ path, answer: await new Promise((done) => handleAdminRequest(daemon, path, body, done)) })
 	fixture.same('admin calls', answers)
 }
 
