--- a/packages/history/src/archive-page.ts
+++ b/packages/history/src/archive-page.ts
@@ -1,4 +1,4 @@
-/** Archive pages: one key of the archive each, holding the terminal states of one range of ordinals. */
+/** Archive pages. Each is stored under one key and holds the terminal states of one range of ordinals. */
 
 import { isMap } from '@heathroad/wire'
 import { levelPrefix } from './archive-keys.js'
@@ -11,22 +11,22 @@
 	from: string
 	/** end of its range, exclusive */
 	to: string
-	/** how often its range was split */
+	/** number of splits that led to its range */
 	depth: number
 	/** the level below may hold jobs of its range */
 	deeper: boolean
-	/** its jobs, by `packJobs` */
+	/** its jobs, encoded by `packJobs` */
 	packed: string
-	/** of its key; 0: the level has no page yet, and this one stands for it */
+	/** mod revision of its key; 0: it is not stored yet */
 	modRevision: number
 }
 
-/** Does the page's range include the ordinal? */
+/** Returns whether the page's range includes the ordinal. */
 export const covers = (page: ArchivePage, ordinal: string): boolean =>
 	page.from <= ordinal && ordinal < page.to
 
-/** The page that stands for a level without any page: empty, covering all ordinals. */
-export const emptyLevel = (): ArchivePage => ({
+/** The page to start from in a level that has no stored pages: it is empty and covers all ordinals. */
+export const emptyLevelPage = (): ArchivePage => ({
 	from: '',
 	to: ORDINAL_END,
 	depth: 0,
@@ -53,7 +53,7 @@
 	typeof data.deeper === 'boolean' &&
 	data.from < to
 
-/** Decodes a page. Throws `InvalidArchivePage`, naming the key. */
+/** Decodes a page; throws an `InvalidArchivePage` that names the key if the data is malformed. */
 export const decodeArchivePage = (
 	level: number,
 	key: string,
--- a/packages/history/src/archive-reader.ts
+++ b/packages/history/src/archive-reader.ts
@@ -1,4 +1,4 @@
-/** Looks up jobs whose terminal states are in the archive. */
+/** Lookup of jobs in the archive. */
 
 import type { RequestPacer, StoreClient } from '@heathroad/store'
 import type { KeyValue } from '@heathroad/wire'
@@ -12,20 +12,20 @@
 import { findInPacked } from './packed-lookup.js'
 import { type CachedPage, PageCache } from './page-cache.js'
 
-/** Limits on memory and reads. */
+/** Limits on the reader's memory and on the size of its reads. */
 export interface ArchiveReaderLimits {
-	/** of all cached pages' packed texts, in characters */
+	/** total size of the cached pages' packed texts, in characters */
 	maxCacheChars: number
-	/** look-ups that may be pending at a time */
+	/** maximum number of lookups that are pending at a time */
 	maxPendingLookups: number
-	/** pages that one request reads at most, where many look-ups are pending */
+	/** maximum number of pages that one request reads when many lookups are pending */
 	maxPagesPerRead: number
 }
 
-/** A revision before every other. */
+/** Less than every revision of the state service. */
 const NO_REVISION = -1
 
-/** The latest revision of the states on stored pages; infinite if a page is invalid. */
+/** The latest revision of any terminal state on the stored pages; infinity if a page is invalid. */
 const latestRevisionOf = (entries: readonly KeyValue[]): number => {
 	try {
 		const revisions = entries.flatMap(({ key, data, modRevision }) => {
@@ -40,21 +40,22 @@
 }
 
 /**
- * Answers look-ups of jobs that are terminal and not in memory: reads pages on demand, shares them between look-ups
- * and caches some.
+ * Looks up jobs that are terminal and not in memory. It reads pages on demand, shares each read between lookups and
+ * caches recently used pages.
  *
- * Within the archive, terminal states never change and only ever move down the levels, so whatever is found anywhere is
- * true, and whoever reads from the top down misses none. Absence from the archive is proven only by pages that are new
- * enough: on the first level, as new as the last time a state of their range left memory, which the caller reports
- * (`onJobsLeftMemory`); on each further level, as new as the page above, since what that page handed down is then in it.
+ * Within the archive, terminal states never change and only move down the levels. A state that is found is therefore
+ * valid on whichever page it is, and a reader that goes from the top level down misses none. Only sufficiently recent
+ * pages prove that a job is absent: on the first level, a page read no earlier than a state of its range last left
+ * memory, which the caller reports (`onJobsLeftMemory`); on each further level, a page read no earlier than the mod
+ * revision of the page above it, as it then contains everything that the page above moved down.
  *
  * Absence from the archive does not prove that a job was never accepted. Terminal states also move up: the record
- * migration moves them from jobs' own keys to pages in memory. `JobLocator` looks at all places in a sound order.
+ * migration moves them from jobs' own keys to pages in memory. `JobLocator` checks all places in a safe order.
  */
 export class ArchiveReader {
 	private readonly cache: PageCache
 	private readonly queue: LookupQueue
-	/** reads before this revision may lack states that have left memory since */
+	/** first-level pages that were read before this revision may lack states that have left memory since */
 	private minFirstLevelRevision = NO_REVISION
 
 	constructor(
@@ -75,12 +76,12 @@
 		})
 	}
 
-	/** Reads so far, for measurements. */
+	/** Number of reads since the start, for measurements. */
 	get reads(): number {
 		return this.queue.reads
 	}
 
-	/** The job's terminal state, if a cached page holds it. */
+	/** Returns the job's terminal state if a cached page contains it. */
 	cached(uid: string): ArchivedJob | undefined {
 		if (!this.hasLevels()) return undefined
 		const ordinal = ordinalOf(uid)
@@ -94,33 +95,33 @@
 		}
 	}
 
-	/** Do the cached pages prove, without any read, that the job is not archived? */
+	/** Returns whether the cached pages prove, without a read, that the job is not archived. */
 	provesAbsent(uid: string): boolean {
-		return !this.hasLevels() || this.advance(this.firstStep(uid, () => {})) === 'absent'
+		return !this.hasLevels() || this.advance(this.createLookup(uid, () => {})) === 'absent'
 	}
 
-	/** The job's archived terminal state; may take several reads. */
+	/** Looks up the job's archived terminal state, which may take several reads. */
 	lookUp(uid: string): Effect.Effect<ArchiveLookup> {
 		return Effect.callback<ArchiveLookup>((resume) => {
 			const resolve = (result: ArchiveLookup) => resume(Effect.succeed(result))
 			if (!this.hasLevels()) return resolve('absent')
-			const lookup = this.firstStep(uid, resolve)
+			const lookup = this.createLookup(uid, resolve)
 			const immediate = this.advance(lookup)
 			if (immediate !== null) return resolve(immediate)
-			// A look-up that would wait for longer than any caller does is answered at once.
+			// With this many pending lookups, another one would wait for longer than any caller does.
 			if (this.queue.size >= this.limits.maxPendingLookups) return resolve('unsure')
 			this.queue.add(lookup)
 			return Effect.sync(() => this.queue.remove(lookup))
 		})
 	}
 
-	private firstStep(uid: string, resolve: (result: ArchiveLookup) => void): PendingLookup {
+	private createLookup(uid: string, resolve: (result: ArchiveLookup) => void): PendingLookup {
 		return { uid, ordinal: ordinalOf(uid), level: FIRST_LEVEL, minRevision: NO_REVISION, resolve }
 	}
 
 	/**
-	 * The latest revision at which an archived state became durable: -1 if nothing is archived, infinite if the archive is
-	 * too large to be read for that; null: it could not be read. States that are archived meanwhile may be left out.
+	 * Reads the latest revision at which an archived state became durable: -1 if nothing is archived, infinity if the
+	 * archive does not fit into one read, null if the read failed. States archived during the read may be left out.
 	 */
 	latestRevision(): Effect.Effect<number | null> {
 		if (!this.hasLevels()) return Effect.succeed(NO_REVISION)
@@ -135,7 +136,7 @@
 		})
 	}
 
-	/** These jobs left memory with the change of this revision: pages read earlier may lack them. */
+	/** To be called when jobs left memory with the change of this revision: pages read earlier may lack them. */
 	onJobsLeftMemory(uids: Iterable<string>, revision: number): void {
 		this.minFirstLevelRevision = Math.max(this.minFirstLevelRevision, revision)
 		for (const uid of uids) {
@@ -145,13 +146,13 @@
 		}
 	}
 
-	/** Changes up to this revision may have been missed: drops the cache. */
+	/** Drops the cache, to be called when changes up to this revision may have been missed. */
 	reset(revision: number): void {
 		this.minFirstLevelRevision = Math.max(this.minFirstLevelRevision, revision)
 		this.cache.clear()
 	}
 
-	/** What a cached page holds of a job; an invalid page proves neither presence nor absence. */
+	/** Finds a job in a cached page; 'unsure': the page is invalid and proves neither presence nor absence. */
 	private findInPage(cachedPage: CachedPage, ordinal: string): ArchivedJob | 'unsure' | undefined {
 		try {
 			return findInPacked(cachedPage.page.packed, ordinal)
@@ -161,7 +162,7 @@
 		}
 	}
 
-	/** Continues a look-up through the cached pages; null: it needs a read at its level. */
+	/** Continues a lookup through the cached pages; null: it needs a read at the level that it has reached. */
 	private advance(lookup: PendingLookup): ArchiveLookup | null {
 		for (;;) {
 			const cachedPage = this.cache.find(lookup.level, lookup.ordinal)
@@ -176,10 +177,10 @@
 	}
 
 	private cachePages(level: number, pages: ArchivePage[], revision: number): void {
-		// A state that left memory after this read may be missing in it: such pages are not cached and are read again.
+		// Pages read before a state left memory may lack that state, so they are not cached and will be read again.
 		const isFresh = level > FIRST_LEVEL || revision >= this.minFirstLevelRevision
 		if (!isFresh) return
-		// The first page is added last: where the cache is small, its neighbours must not push it out.
+		// The first page is the requested one. It is added last, so that its neighbours cannot evict it from a small cache.
 		for (const page of pages.reverse()) this.cache.add(level, page, revision)
 	}
 }
--- a/packages/history/src/archived-job.ts
+++ b/packages/history/src/archived-job.ts
@@ -1,13 +1,13 @@
-/** Archived jobs: the terminal state that is kept of a job, and operations on lists sorted by ordinal. */
+/** Archived terminal states of jobs, and operations on lists of them that are sorted by ordinal. */
 
-/** The terminal state of a job, as it is archived. Counts are numbers of tasks. */
+/** A job's archived terminal state. Counts are numbers of tasks. */
 export interface ArchivedJob {
-	/** `ordinalOf` its id */
+	/** `ordinalOf` the job's id */
 	ordinal: string
 	aborted: boolean
 	taskCount: number
 	doneCount: number
-	/** of the change that made the state durable; event streams compare it with their cursor */
+	/** revision at which the state became durable; event streams compare it with their cursor */
 	revision: number
 }
 
@@ -16,7 +16,7 @@
 	return a.ordinal < b.ordinal ? -1 : 1
 }
 
-/** Finds a job in a sorted list by binary search. */
+/** Finds a job in a list sorted by ordinal. */
 export const findByOrdinal = (jobs: readonly ArchivedJob[], ordinal: string): ArchivedJob | undefined => {
 	let low = 0
 	let high = jobs.length
@@ -28,7 +28,7 @@
 	return jobs[low]?.ordinal === ordinal ? jobs[low] : undefined
 }
 
-/** Two terminal states of one job differ, though a terminal state never changes. */
+/** A job has two different terminal states, although a terminal state never changes. */
 export class ConflictingTerminalStates extends Error {}
 
 /**
--- a/packages/history/src/index.ts
+++ b/packages/history/src/index.ts
@@ -1,4 +1,4 @@
-/** The archive: terminal states of jobs of long ago, in pages outside memory. */
+/** The archive: old terminal states of jobs, stored in pages at the state service and not kept in memory. */
 
 export { ARCHIVE_PREFIX, archivePageKey, maxDepth } from './archive-keys.js'
 export {
@@ -14,7 +14,7 @@
 	findByOrdinal,
 	mergeArchivedJobs,
 } from './archived-job.js'
-export { Archiver, type ArchiverPorts } from './archiver.js'
+export { Archiver, type ArchiverDependencies } from './archiver.js'
 export { type LegacyRead, LegacyRecordReader } from './legacy-record-reader.js'
 export type { ArchiveLookup } from './lookup-queue.js'
 export type { ArchiveWriteLimits } from './merge-step.js'
--- a/packages/history/src/legacy-record-reader.ts
+++ b/packages/history/src/legacy-record-reader.ts
@@ -1,4 +1,4 @@
-/** Reads terminal states of the first record format, each under its job's own key, that are not in memory. */
+/** Reads terminal states in the first record format, each under its job's own key, that are not in memory. */
 
 import type { RangePage, RequestPacer, StoreClient, StoreFailure } from '@heathroad/store'
 import { isRateLimited, KEY_PREFIX } from '@heathroad/store'
@@ -8,17 +8,17 @@
 import { ordinalOf } from './ordinals.js'
 import { SerialReads } from './serial-reads.js'
 
-/** What a job's own key holds. */
+/** Result of reading a job's own key. */
 export type LegacyRead =
 	| { kind: 'found'; job: ArchivedJob }
-	/** the key did not exist at this revision of the store; its state may have moved to a page before */
+	/** the key did not exist at revision `readAt`; the job's state may have moved to a page earlier */
 	| { kind: 'not found'; readAt: number }
-	/** the key holds the record of an open job, or one that can't be decoded */
+	/** the key holds the record of an open job or one that cannot be decoded */
 	| { kind: 'not terminal' }
-	/** the key could not be read, or too many reads wait */
+	/** the key could not be read, or too many reads are pending */
 	| { kind: 'unreadable' }
 
-/** What a read of the keys from a job's own key on tells of the job. */
+/** Interprets the range response of a read that starts at a job's own key. */
 const resultOf = (uid: string, key: string, { entries, revision }: RangePage): LegacyRead => {
 	const entry = entries.find((candidate) => candidate.key === key)
 	if (entry === undefined) return { kind: 'not found', readAt: revision }
@@ -32,14 +32,14 @@
 }
 
 /**
- * Reads jobs' own keys on demand. That a key holds no terminal state proves nothing by itself: the record migration moves
- * terminal states from own keys to pages, which controllers hold in memory.
+ * Reads jobs' own keys on demand. A key without a terminal state does not prove that the job is not terminal: the
+ * record migration moves terminal states from own keys to pages, which controllers hold in memory.
  */
 export class LegacyRecordReader {
 	private pending: PendingRead[] = []
 	private readonly serialReads: SerialReads
 
-	/** `maxPending`: reads that may wait at a time; further ones are answered as unreadable at once. */
+	/** @param maxPending maximum number of pending reads; further ones return 'unreadable' at once */
 	constructor(
 		private readonly client: Pick<StoreClient, 'list'>,
 		pacer: RequestPacer,
@@ -77,7 +77,7 @@
 		)
 	}
 
-	/** A read refused for its rate is no outage: it is made again in a later turn. */
+	/** A read that was rejected by the rate limit stays pending and is retried in a later turn. */
 	private onReadFailed(read: PendingRead, failure: StoreFailure): void {
 		if (!isRateLimited(failure)) this.resolve(read, { kind: 'unreadable' })
 	}
--- a/packages/history/src/legacy-record.ts
+++ b/packages/history/src/legacy-record.ts
@@ -1,9 +1,9 @@
-/** Terminal states of the first record format, each in its job's own key. */
+/** Terminal states in the first record format, each stored under its job's own key. */
 
 import { isMap } from '@heathroad/wire'
 import type { ArchivedJob } from './archived-job.js'
 
-/** Reads the terminal state in a job's own key; null: the record has none. */
+/** Decodes the terminal state in the record of a job's own key; null: the record has none. */
 export const decodeLegacyTerminalState = (
 	ordinal: string,
 	data: unknown,
--- a/packages/history/src/merge-step.ts
+++ b/packages/history/src/merge-step.ts
@@ -1,28 +1,28 @@
-/** Plans the transactions by which archived jobs are put into a level. Nothing here reads or writes the store. */
+/** Plans the transactions that insert archived jobs into a level. Nothing here reads or writes the state service. */
 
 import { maxDepth } from './archive-keys.js'
 import { type ArchivePage, covers } from './archive-page.js'
 import { type ArchivedJob, mergeArchivedJobs } from './archived-job.js'
 import { packJobs, unpackJobs } from './packed-jobs.js'
 
-/** What one transaction may hold. */
+/** Limits of one transaction. */
 export interface ArchiveWriteLimits {
-	/** sets and deletions */
+	/** number of set and delete operations */
 	maxOperations: number
-	/** of one value, counted as JSON */
+	/** size of one value as JSON, in characters */
 	maxValueChars: number
-	/** of all values together */
+	/** size of all values together */
 	maxBytes: number
 }
 
-/** The next thing to do to put jobs into a level. */
+/** The next step of inserting jobs into a level. */
 export type MergeStep =
-	/** Write these pages, each conditional on its own mod revision; they hold the first `jobCount` of the jobs. */
+	/** Write these pages, each conditional on its mod revision; they contain the first `jobCount` of the jobs. */
 	| { kind: 'write'; pages: ArchivePage[]; jobCount: number }
-	/** Hand down the content of this page first: it is full and cannot be split any more. */
-	| { kind: 'hand-down'; page: ArchivePage }
+	/** First move the content of this page to the level below: it is full and cannot be split any more. */
+	| { kind: 'move-down'; page: ArchivePage }
 
-/** Characters of a stored page beside its packed text: field names and the bounds of the range. */
+/** Characters of a stored page in addition to its packed text: field names and the bounds of the range. */
 const ENVELOPE_CHARS = 160
 
 const storedChars = (page: ArchivePage): number => page.packed.length + ENVELOPE_CHARS
@@ -32,7 +32,7 @@
 	packed: packJobs(jobs),
 })
 
-/** Splits a page in two halves; the lower half gets a new key, which no page has used before. */
+/** Splits a page into two halves; the lower half gets a new key that no page has used before. */
 const splitPage = (page: ArchivePage, jobs: readonly ArchivedJob[]): [ArchivePage, ArchivePage] => {
 	const middle = jobs.length >> 1
 	const { ordinal } = jobs[middle]
@@ -44,8 +44,8 @@
 }
 
 /**
- * Adds jobs to a page: the result is one page, or two if one would be too large. Adds as many of them as fit, at least
- * one; null: none fits, since the page is full and as deep as its level allows.
+ * Adds as many of the jobs as fit, at least one, to a page; splits it in two if it would be too large. Returns null if
+ * none fits, because the page is full and its level allows no further split.
  */
 const addToPage = (
 	level: number,
@@ -64,12 +64,13 @@
 			if (halves.every(fits)) return { pages: halves, jobCount }
 		} else if (present.length > 0) return null
 	}
-	throw new RangeError(`a value of ${maxValueChars} characters holds no final state`)
+	throw new RangeError(`a value limit of ${maxValueChars} characters is too small for one terminal state`)
 }
 
 /**
- * The next step of putting jobs into a level. `pages`: a run of neighbouring pages as they were read, of which the
- * first covers the first job; `jobs`: sorted. Jobs beyond the last of these pages are left to later steps.
+ * Plans the next step of inserting jobs into a level. Jobs beyond the last of the given pages are left to later steps.
+ * @param pages neighbouring pages as they were read, the first of which covers the first job
+ * @param jobs sorted
  */
 export const nextMergeStep = (
 	level: number,
@@ -86,9 +87,9 @@
 		if (end === jobCount) continue
 		const added = addToPage(level, page, jobs.slice(jobCount, end), limits.maxValueChars)
 		if (added === null) {
-			// What was planned so far is written first; the next step meets the full page again.
+			// The pages planned so far are written first; the next step starts at the full page.
 			if (written.length > 0) break
-			return { kind: 'hand-down', page }
+			return { kind: 'move-down', page }
 		}
 		const size = added.pages.reduce((sum, addedPage) => sum + storedChars(addedPage), 0)
 		const exceeds =
--- a/packages/history/src/packed-jobs.ts
+++ b/packages/history/src/packed-jobs.ts
@@ -1,23 +1,23 @@
-/** The packed form of archived jobs: columns as JSON, deflated, as base64 text. */
+/** The packed encoding of archived jobs: their columns as JSON, compressed with deflate, as base64 text. */
 
 import { deflateRawSync, inflateRawSync } from 'node:zlib'
 import type { ArchivedJob } from './archived-job.js'
 import { ordinalDigits, ordinalPrefix, ordinalWidth } from './ordinals.js'
 
-/** A page of the archive that this program cannot read. */
+/** An archive page is malformed or cannot be decoded. */
 export class InvalidArchivePage extends Error {}
 
-/** What is packed, by columns, since similar numbers compress well together. The names are those of the stored form. */
+/** The packed data, in columns because similar numbers compress well together. Field names are those of stored data. */
 export interface Columns {
-	/** by width of the ids: the width, and the numbers as differences, each from the number before it */
+	/** one entry for each width of ids: the width, and the numbers, each as the difference from the one before */
 	ids: [width: number, differences: string][]
 	/** done tasks of each job */
 	done: number[]
-	/** of the aborted jobs: index and number of tasks; all tasks of the other jobs are done */
+	/** index and number of tasks of each aborted job; all tasks of the other jobs are done */
 	aborted: [index: number, taskCount: number][]
-	/** least revision */
+	/** the lowest revision of all jobs */
 	epoch: number
-	/** of each job: its revision less the least one */
+	/** each job's revision, less `epoch` */
 	epochs: number[]
 }
 
@@ -37,7 +37,7 @@
 	return groups.map(({ width, differences }) => [width, differences.join(',')])
 }
 
-/** Packs jobs, which must be sorted and distinct. */
+/** Packs jobs, which must be sorted by ordinal without duplicates. */
 export const packJobs = (jobs: readonly ArchivedJob[]): string => {
 	if (jobs.length === 0) return ''
 	const leastRevision = jobs.reduce((least, job) => Math.min(least, job.revision), Number.POSITIVE_INFINITY)
@@ -51,7 +51,7 @@
 	return deflateRawSync(JSON.stringify(columns)).toString('base64')
 }
 
-/** Reads the columns of packed jobs. Throws whatever inflating or parsing throws. */
+/** Decodes the columns of packed jobs; throws the error of the decompression or of the JSON parser. */
 export const readColumns = (packed: string): Columns =>
 	JSON.parse(inflateRawSync(Buffer.from(packed, 'base64')).toString()) as Columns
 
@@ -76,7 +76,7 @@
 			(index === 0 || jobs[index - 1].ordinal < job.ordinal),
 	)
 
-/** Unpacks jobs, sorted. Throws `InvalidArchivePage`. */
+/** Unpacks jobs, sorted by ordinal; throws `InvalidArchivePage` if the text is malformed. */
 export const unpackJobs = (packed: string): ArchivedJob[] => {
 	if (packed === '') return []
 	try {
@@ -95,7 +95,7 @@
 			jobs[index].taskCount = taskCount
 		}
 		if (!isComplete(jobs) || columns.done.length !== jobs.length)
-			throw new Error('columns that do not fit together')
+			throw new Error('columns are incomplete, unsorted or of different lengths')
 		return jobs
 	} catch (error) {
 		throw new InvalidArchivePage((error as Error).message)
--- a/packages/history/src/packed-lookup.ts
+++ b/packages/history/src/packed-lookup.ts
@@ -1,6 +1,6 @@
 /**
- * Look-up of one job among packed jobs without unpacking the others, which takes half the time: bursts of requests for
- * old jobs are answered on a third of a core.
+ * Lookup of one job among packed jobs without unpacking the others. This takes half the time, which matters because
+ * bursts of requests for old jobs are answered on a third of a core.
  */
 
 import type { ArchivedJob } from './archived-job.js'
@@ -10,7 +10,7 @@
 /** Numbers of up to this many digits are exact as floating-point numbers. */
 const EXACT_DIGITS = 15
 
-/** Index at which the sum of the differences equals the digits; -1: no sum does. */
+/** Index of the number whose value, the sum of the differences up to it, equals the digits; -1: there is none. */
 const indexOfDigits = <Value extends number | bigint>(
 	differences: readonly string[],
 	digits: string,
@@ -20,7 +20,7 @@
 	const wanted = parse(digits)
 	let value = zero
 	for (let index = 0; index < differences.length; index++) {
-		// Both are of the one type that `parse` returns; the compiler cannot add two values of a type parameter.
+		// Both values have the type that `parse` returns, but the compiler cannot add two values of a type parameter.
 		value = ((value as number) + (parse(differences[index]) as number)) as Value
 		if (value >= wanted) return value === wanted ? index : -1
 	}
@@ -58,7 +58,7 @@
 	return undefined
 }
 
-/** Finds one of the packed jobs. Throws `InvalidArchivePage`. */
+/** Finds one of the packed jobs; throws `InvalidArchivePage` if the text is malformed. */
 export const findInPacked = (packed: string, ordinal: string): ArchivedJob | undefined => {
 	if (packed === '') return undefined
 	try {
--- a/packages/history/src/page-cache.ts
+++ b/packages/history/src/page-cache.ts
@@ -1,11 +1,11 @@
-/** Cache of archive pages in memory: least recently used pages are removed first. */
+/** In-memory LRU cache of archive pages. */
 
 import { type ArchivePage, covers } from './archive-page.js'
 
-/** A page as it was read. */
+/** A page with the revision at which it was read. */
 export interface CachedPage {
 	page: ArchivePage
-	/** revision of the store at which it was read */
+	/** revision of the state service at which it was read */
 	readAt: number
 }
 
@@ -17,7 +17,7 @@
 
 const overlaps = (a: ArchivePage, b: ArchivePage): boolean => a.from < b.to && b.from < a.to
 
-/** Index of the first end that is greater than the ordinal, by binary search. */
+/** Index of the first range end that is greater than the ordinal, by binary search. */
 const indexOfEndAfter = (ends: readonly string[], ordinal: string): number => {
 	let low = 0
 	let high = ends.length
@@ -29,18 +29,18 @@
 	return low
 }
 
-/** Pages by level and range. The pages of one level never overlap. */
+/** LRU cache of pages by level and range. The cached pages of one level never overlap. */
 export class PageCache {
-	/** in the order of last use */
+	/** least recently used first */
 	private readonly entries = new Map<string, Entry>()
-	/** by level: ends of the cached pages' ranges, sorted */
+	/** sorted range ends of the cached pages, by level */
 	private readonly endsByLevel = new Map<number, string[]>()
 	private chars = 0
 
-	/** @param maxChars limit on all packed texts together, in characters */
+	/** @param maxChars limit on the total size of the packed texts, in characters */
 	constructor(private readonly maxChars: number) {}
 
-	/** The page that covers an ordinal; it counts as used. */
+	/** Returns the page that covers an ordinal and marks it as most recently used. */
 	find(level: number, ordinal: string): CachedPage | undefined {
 		const ends = this.endsOf(level)
 		const index = indexOfEndAfter(ends, ordinal)
@@ -53,7 +53,7 @@
 		return entry
 	}
 
-	/** Adds a page, removing those it replaces and those for which there is no room any more. */
+	/** Adds a page, removes those that it replaces, and evicts others if the cache exceeds its limit. */
 	add(level: number, page: ArchivePage, readAt: number): void {
 		this.removeOverlapping(level, page)
 		this.entries.set(cacheKey(level, page.to), { level, page, readAt })
@@ -83,7 +83,7 @@
 		this.chars = 0
 	}
 
-	/** What overlaps a page just read is older: a page that was split or replaced since. */
+	/** Cached pages that overlap one just read are outdated: they have been split or replaced since. */
 	private removeOverlapping(level: number, page: ArchivePage): void {
 		for (const to of [...this.endsOf(level)]) {
 			const entry = this.entries.get(cacheKey(level, to))
--- a/packages/history/src/serial-reads.ts
+++ b/packages/history/src/serial-reads.ts
@@ -1,16 +1,17 @@
-/** Reads of the store that are made one at a time, each in a slot of a shared pacer. */
+/** Reads of the state service that are made one at a time, each in a slot of a shared pacer. */
 
 import type { RequestPacer } from '@heathroad/store'
 import { Effect } from 'effect'
 
-/** Makes reads as long as something waits for one. */
+/** Makes one read after the other for as long as requests are waiting. */
 export class SerialReads {
 	private reading = false
 	private readCount = 0
 
 	/**
-	 * @param nextRead chosen when its slot has come; null: nothing waits any more. A failed read must not fail the effect.
-	 * @param onDefect reports an unexpected error of a read
+	 * @param nextRead called when the slot has come; null: no request is waiting any more. A failed read must not fail
+	 *   the effect.
+	 * @param onDefect called with an unexpected error of a read
 	 */
 	constructor(
 		private readonly pacer: RequestPacer,
@@ -19,12 +20,12 @@
 		private readonly onDefect: (cause: unknown) => void,
 	) {}
 
-	/** Reads so far, for measurements. */
+	/** Number of reads since the start, for measurements. */
 	get count(): number {
 		return this.readCount
 	}
 
-	/** Starts to read, unless a read is in flight or nothing waits for one. */
+	/** Starts a read, unless one is in flight or no request is waiting. */
 	start(): void {
 		if (this.reading || !this.isWaiting()) return
 		this.reading = true
