--- a/packages/events/src/change-log.ts
+++ b/packages/events/src/change-log.ts
@@ -1,18 +1,18 @@
-/** Log of changed jobs of one team, compacted to the latest change of each job. */
+/** Log of the changed jobs of one team, compacted to the latest change of each job. */
 
 /** One change of a job. */
 export interface ChangeEntry {
-	/** position in the hub's order of changes */
+	/** position in the order of changes, assigned by the hub */
 	sequence: number
 	uid: string
 }
 
-/** Entries that may be superseded before the log is compacted, beside twice the number of jobs in it. */
+/** The log is compacted when its length exceeds twice the number of its jobs by more than this number of entries. */
 const COMPACTION_SLACK = 64
 
 /**
- * Holds each changed job once, as of its latest change, in the order of these changes. Every reader keeps a sequence
- * number of its own, so the cost of recording a change depends neither on the number of readers nor on their lag.
+ * Keeps each changed job once, at the position of its latest change. Every reader keeps its own sequence number, so the
+ * cost of recording a change depends neither on the number of readers nor on their lag.
  */
 export class ChangeLog {
 	private readonly latestSequence = new Map<string, number>()
@@ -26,12 +26,12 @@
 			this.entries = this.entries.filter((entry) => this.isLatest(entry))
 	}
 
-	/** Removes a job, whose further changes are not delivered from this log. */
+	/** Removes a job, whose later changes are not delivered from this log. */
 	forget(uid: string): void {
 		this.latestSequence.delete(uid)
 	}
 
-	/** The next change after a sequence number that is still the latest one of its job; null: there is none. */
+	/** The first change after a sequence number that is still the latest one of its job; null: there is none. */
 	nextAfter(sequence: number): ChangeEntry | null {
 		for (let i = this.firstIndexAfter(sequence); i < this.entries.length; i++) {
 			const entry = this.entries[i]
@@ -44,7 +44,7 @@
 		return this.latestSequence.get(entry.uid) === entry.sequence
 	}
 
-	/** Binary search, as the entries are ordered by sequence number. */
+	/** Binary search in the entries, which are sorted by sequence number. */
 	private firstIndexAfter(sequence: number): number {
 		let low = 0
 		let high = this.entries.length
--- a/packages/events/src/hub.ts
+++ b/packages/events/src/hub.ts
@@ -1,4 +1,4 @@
-/** Distributes changes of the job records to the subscriptions of one controller. */
+/** Distributes changes of job records to the subscriptions of one controller. */
 import type { LogPosition, TerminalState } from '@heathroad/cluster'
 import { type ChangeEntry, ChangeLog } from './change-log.js'
 import { CursorCodec, type Selection, type StreamPosition } from './cursor.js'
@@ -7,48 +7,52 @@
 import { livePosition, type StreamEndReason, Subscription } from './subscription.js'
 import { SubscriptionIndex } from './subscription-index.js'
 
-/** Why a stream cannot begin at its cursor. */
+/** Why a stream cannot start at its cursor. */
 export type SubscribeError =
-	/** not a cursor of this installation and selection */
+	/** the cursor is malformed or of another installation or selection */
 	| 'invalid cursor'
-	/** of a later revision than the records, or from before what is retained */
+	/** its revision is later than that of the records, or terminal states after it are not retained any more */
 	| 'out of range'
 
-/** Callbacks of whoever reads a subscription. */
+/** Callbacks of the reader of a subscription. */
 export interface Subscriber {
-	/** new events may be there */
+	/** new events may be available */
 	onEventsAvailable(): void
-	/** the stream ended before it delivered everything */
+	/** the stream ended before it delivered all events */
 	onEnd(reason: StreamEndReason): void
 }
 
-/** A published state with its team, which events do not hold. */
+/** A published state with the job's team, which is not part of events. */
 type PublishedState = JobState & { team: string }
 
 const isSameState = (first: JobState, second: JobState): boolean =>
 	first.state === second.state && first.done === second.done && first.running === second.running
 
 /**
- * Computes what subscriptions deliver. A job without subscribers costs nothing; one with subscribers is computed once
- * for all of them, at most once per publish interval; terminal states need no computation, as every stream finds its
- * position in their order.
+ * Computes the states that subscriptions deliver. A job without subscribers costs nothing. The state of a job with
+ * subscribers is computed once for all of them, at most once per publish interval. Terminal states need no computation:
+ * every stream keeps its own position in their order.
  */
 export class EventHub implements SubscriptionSource {
 	private readonly subscriptions = new SubscriptionIndex()
-	/** change logs of the teams that have subscribers */
+	/** change logs by team, for teams with subscribers */
 	private readonly changeLogs = new Map<string, ChangeLog>()
 	private readonly snapshots = new Map<string, TeamSnapshot>()
 	/** the latest published state of each open job with subscribers */
 	private readonly published = new Map<string, PublishedState>()
-	/** jobs that changed since the latest publication */
+	/** jobs that have changed since the latest publication */
 	private readonly changedJobs = new Set<string>()
-	/** numbers of running tasks at the latest publication */
+	/** number of running tasks of each job at the latest publication */
 	private runningTasks = new Map<string, number>()
-	/** recorded terminal states of later revisions than the one up to which all records are visible */
+	/** recorded terminal states with a later revision than the one up to which all records are visible */
 	private pendingTerminalStates: TerminalState[] = []
 	private sequence = 0
 
-	/** `installation`: its id, which signs cursors; `publishIntervalMs`: between two calls of `look`; `now`: steady ms. */
+	/**
+	 * @param installation id of the installation, with which cursors are signed
+	 * @param publishIntervalMs interval between two calls of `publishChanges`
+	 * @param now monotonic clock, in ms
+	 */
 	constructor(
 		private readonly records: JobRecords,
 		private readonly installation: string,
@@ -58,10 +62,10 @@
 
 	// ---- changes of the records ----
 
-	/** To be called when a job's records changed. */
+	/** To be called when a job's records have changed. */
 	jobChanged(uid: string): void {
 		const terminal = this.records.terminalStates.get(uid)
-		// Kept even while there are no subscriptions: one that begins before the state is visible is woken by it.
+		// Kept even without subscriptions: one that starts before the state is visible must be notified of it.
 		if (terminal !== undefined) this.pendingTerminalStates.push(terminal)
 		if (this.subscriptions.isEmpty) return
 		this.changedJobs.add(uid)
@@ -69,7 +73,7 @@
 		for (const subscription of this.subscriptions.ofJob(uid)) subscription.terminalStateRecorded(terminal)
 	}
 
-	/** To be called when the records are visible up to a later revision. */
+	/** To be called when the records have become visible up to a later revision. */
 	revisionAdvanced(): void {
 		if (this.pendingTerminalStates.length === 0) return
 		const revision = this.revision()
@@ -87,7 +91,7 @@
 		for (const subscription of toNotify) subscription.notify()
 	}
 
-	/** Publishes the jobs that changed since the call before; to be called once per publish interval. */
+	/** Publishes the jobs that have changed since the previous call; to be called once per publish interval. */
 	publishChanges(): void {
 		if (this.subscriptions.isEmpty) return
 		this.findChangedRunningTasks()
@@ -104,7 +108,7 @@
 			if (this.runningTasks.get(uid) !== count) this.changedJobs.add(uid)
 			this.runningTasks.delete(uid)
 		}
-		// The rest of the earlier map had running tasks before and has none now.
+		// Jobs left in the previous map had running tasks at the latest publication and have none now.
 		for (const uid of this.runningTasks.keys()) this.changedJobs.add(uid)
 		this.runningTasks = current
 	}
@@ -134,7 +138,7 @@
 
 	/**
 	 * The state of a job that is not terminal; null: it is terminal or unknown. While the number of running tasks is
-	 * unknown, after a takeover for instance, the published number stays in force.
+	 * unknown, for instance after a takeover, the published number remains valid.
 	 */
 	private computeState(uid: string): PublishedState | null {
 		const job = this.records.openJob(uid)
@@ -147,8 +151,9 @@
 	// ---- subscriptions ----
 
 	/**
-	 * Opens a subscription at a cursor, or at the present state if the cursor is empty. The caller must have done a
-	 * linearizable read that began after the request, so that nothing older is delivered than was delivered before.
+	 * Opens a subscription at a cursor, or with a snapshot of the present state if the cursor is empty. The caller must
+	 * have completed a linearizable read that began after the request, so that no state is delivered that is older than
+	 * one that was delivered before.
 	 */
 	subscribe(selection: Selection, cursor: string, subscriber: Subscriber): Subscription | SubscribeError {
 		const cursors = new CursorCodec(this.installation, selection)
@@ -156,7 +161,7 @@
 		if (cursor !== '') {
 			const decoded = cursors.decode(cursor)
 			if (decoded === null) return 'invalid cursor'
-			// After the linearizable read no valid cursor is ahead of the records, unless the state was replaced.
+			// After the linearizable read, a valid cursor is ahead of the records only if the stored state was replaced.
 			if (decoded.revision > this.revision()) return 'out of range'
 			position = decoded
 		}
@@ -178,14 +183,14 @@
 		return subscription
 	}
 
-	/** Ends every subscription; the readers resume at other controllers. */
+	/** Ends all subscriptions; their readers resume at other controllers. */
 	endAll(reason: StreamEndReason): void {
 		for (const subscription of this.subscriptions.list()) subscription.end(reason)
 	}
 
 	private unsubscribe(subscription: Subscription): void {
 		this.subscriptions.remove(subscription)
-		// Without subscribers no changes are followed: what was published would be outdated for the next subscriber.
+		// Changes are not tracked without subscribers: published states would be outdated for the next subscriber.
 		if (this.subscriptions.isEmpty) this.clear()
 		const { selection } = subscription
 		if ('team' in selection && this.subscriptions.ofTeam(selection.team).size === 0) {
@@ -202,17 +207,18 @@
 		this.snapshots.clear()
 	}
 
-	// ---- what subscriptions read ----
+	// ---- the source that subscriptions read from ----
 
 	revision(): number {
 		return this.records.revision()
 	}
 
 	currentState(uid: string): JobState | null {
-		// Terminal since the latest publication: only its terminal state is delivered from now on.
+		// If the job became terminal since the latest publication, only its terminal state is delivered from now on.
 		if (this.records.openJob(uid) === undefined) return null
-		// A job that changed since the latest publication is delivered as it is now, since a resumed stream may have
-		// delivered this state elsewhere. It stays marked as changed, so the publication delivers it to all others.
+		// The present state of a job that changed since the latest publication is delivered, since another controller may
+		// have delivered it to a stream that is resumed here. The job stays marked as changed, so that the next
+		// publication delivers the state to all other subscriptions.
 		const isChanged = this.changedJobs.has(uid)
 		const known = isChanged ? undefined : this.published.get(uid)
 		const current = known ?? this.computeState(uid)
--- a/packages/events/src/index.ts
+++ b/packages/events/src/index.ts
@@ -1,4 +1,4 @@
-/** Event streams of jobs: who may open one, what it delivers, in which order, and where it resumes. */
+/** Event streams of jobs: admission, the events delivered and their order, and the cursors to resume at. */
 export * from './cursor.js'
 export * from './hub.js'
 export * from './job-records.js'
--- a/packages/events/src/job-records.ts
+++ b/packages/events/src/job-records.ts
@@ -1,10 +1,10 @@
-/** What event streams read of the service's records. */
+/** The service's records, as event streams read them. */
 import type { TerminalStateSource } from '@heathroad/cluster'
 
-/** A job's state as streams deliver it. */
+/** The state of a job that streams deliver. */
 export type State = 'pending' | 'running' | 'done' | 'cancelled'
 
-/** A job's state and its numbers of tasks. The field names are those of the events sent to users. */
+/** A job's state and its numbers of tasks. The field names are those in the events sent to users. */
 export interface JobState {
 	uid: string
 	state: State
@@ -17,24 +17,24 @@
 export interface OpenJob {
 	team: string
 	taskCount: number
-	/** done tasks that are recorded durably, so that every controller delivers the same number */
+	/** number of done tasks that is recorded durably, so that every controller delivers the same one */
 	doneCount: number
-	/** running tasks; null: neither this controller nor the job's owner has a complete number */
+	/** number of running tasks; null: neither this controller nor the job's owner has a complete one */
 	runningCount: number | null
 }
 
 /**
- * The records that streams deliver from. All of them but the number of running tasks are durable, so a delivered state
- * is never revoked.
+ * The records from which streams are delivered. Everything except the number of running tasks is durable, so a
+ * delivered state is never revoked.
  */
 export interface JobRecords {
-	/** Every change up to this revision is visible here; -1: none is. */
+	/** The revision up to which every change is visible here; -1: no change is. */
 	revision(): number
-	/** An accepted job that is not terminal. */
+	/** Returns an accepted job that is not terminal; undefined: there is none with this id. */
 	openJob(uid: string): OpenJob | undefined
 	/** Ids of a team's jobs that are not terminal. */
 	openJobsOfTeam(team: string): Iterable<string>
-	/** Jobs that have running tasks according to their owners' latest status, with the number of these tasks. */
+	/** The jobs that have running tasks according to their owners' latest status, with the number of these tasks. */
 	runningTasks(): Iterable<[uid: string, count: number]>
 	readonly terminalStates: TerminalStateSource
 }
--- a/packages/events/src/selection-feed.ts
+++ b/packages/events/src/selection-feed.ts
@@ -1,27 +1,27 @@
-/** What a subscription reads for its selection: for named jobs, and for the jobs of a team. */
+/** Feeds from which a subscription takes the states of its selection: named jobs, or the jobs of a team. */
 import { comparePositions, type LogPosition, type TerminalState } from '@heathroad/cluster'
 import type { ChangeEntry } from './change-log.js'
 import type { StreamPosition } from './cursor.js'
 import type { JobState } from './job-records.js'
 
-/** The open jobs of a team at one moment, shared by all streams that begin at about that moment. */
+/** The open jobs of a team at one moment, shared by the streams that start within one publish interval. */
 export interface TeamSnapshot {
-	/** steady time in ms */
+	/** monotonic time in ms */
 	takenAt: number
-	/** changes after this sequence number are not part of it */
+	/** changes after this sequence number are not part of the snapshot */
 	sequence: number
 	/** ids, sorted */
 	uids: readonly string[]
 }
 
-/** What subscriptions read of their hub. */
+/** The data that subscriptions read from their hub. */
 export interface SubscriptionSource {
 	/** every terminal state up to this revision may be delivered */
 	revision(): number
-	/** the state of a job that is not terminal, as it is delivered to all subscribers; null: there is none */
+	/** the state of a job to deliver to all of its subscribers; null: the job is terminal or unknown */
 	currentState(uid: string): JobState | null
 	terminalState(uid: string): TerminalState | undefined
-	/** a team's next terminal state after a position that may be delivered; null: there is none yet */
+	/** a team's next terminal state after a position; null: there is none yet that may be delivered */
 	nextTerminalState(team: string, after: LogPosition): TerminalState | null
 	/** number of a team's terminal states after a position */
 	countTerminalStatesAfter(team: string, after: LogPosition): number
@@ -32,11 +32,11 @@
 	nextChange(team: string, after: number): ChangeEntry | null
 }
 
-/** What one subscription delivers beside its position; it differs by the kind of selection. */
+/** The states that one subscription has to deliver; the implementation depends on the kind of selection. */
 export interface SelectionFeed {
 	/** ids of the initial snapshot, sorted */
 	readonly initialJobIds: readonly string[]
-	/** every terminal state that could be delivered was */
+	/** whether the terminal state of every named job was delivered; always false for a team */
 	readonly isComplete: boolean
 	/** whether every terminal state after a position can still be delivered */
 	retainsAllAfter(position: LogPosition): boolean
@@ -46,15 +46,15 @@
 	takeTerminalState(after: LogPosition): TerminalState | null
 	/** id of the next changed job; null: none changed */
 	takeChangedJob(): string | null
-	/** takes a job's terminal state if that belongs to the initial snapshot and was not delivered; null: it does not */
+	/** takes a job's terminal state from the initial snapshot; null: it is not part of it or was delivered */
 	takeFromSnapshot(uid: string): TerminalState | null
-	/** a terminal state of a selected job was recorded */
+	/** to be called when a terminal state of a selected job was recorded */
 	terminalStateRecorded(state: TerminalState): void
-	/** a selected job changed and is not terminal */
+	/** to be called when a selected job changed that is not terminal */
 	jobChanged(uid: string): void
 }
 
-/** Feed of a team. The hub keeps its terminal states and changes; the feed keeps a sequence number only. */
+/** Feed of a team. The hub keeps the team's terminal states and changes; the feed keeps only a sequence number. */
 export class TeamFeed implements SelectionFeed {
 	readonly initialJobIds: readonly string[]
 	readonly isComplete = false
@@ -88,33 +88,33 @@
 		return change.uid
 	}
 
-	/** The snapshot of a team holds open jobs only. */
+	/** The snapshot of a team contains only open jobs. */
 	takeFromSnapshot(): null {
 		return null
 	}
 
-	/** Read from the hub instead. */
+	/** Does nothing: terminal states are read from the hub. */
 	terminalStateRecorded(): void {}
 
-	/** Read from the hub's change log instead. */
+	/** Does nothing: changed jobs are read from the hub's change log. */
 	jobChanged(): void {}
 }
 
-/** Feed of named jobs. It holds their undelivered terminal states and the ids of those that changed. */
+/** Feed of named jobs. It keeps their undelivered terminal states and the ids of changed jobs. */
 export class NamedJobsFeed implements SelectionFeed {
 	readonly initialJobIds: readonly string[]
 	/**
-	 * Undelivered terminal states that belong to the initial snapshot. Held from the beginning, since they may leave memory
-	 * before a slow reader takes them.
+	 * Undelivered terminal states that belong to the initial snapshot. They are kept from the start, since the records may
+	 * drop them from memory before a slow reader takes them.
 	 */
 	private readonly snapshotStates = new Map<string, TerminalState>()
-	/** undelivered terminal states that follow the initial snapshot, in order */
+	/** undelivered terminal states that follow the initial snapshot, in the order in which they became durable */
 	private readonly terminalStates: TerminalState[] = []
 	/** jobs that changed and were not terminal at that time */
 	private readonly changedJobs = new Set<string>()
 	/**
-	 * Jobs whose terminal state was not delivered yet. By id and not as a number: a record of a delivered job may change
-	 * again, and must neither be delivered nor counted twice.
+	 * Jobs whose terminal state was not delivered yet. These are ids instead of a count, because a record of a delivered
+	 * job may change again and its terminal state must neither be delivered nor counted twice.
 	 */
 	private readonly undelivered = new Set<string>()
 
@@ -138,7 +138,7 @@
 		return this.undelivered.size === 0
 	}
 
-	/** The records keep the terminal state of a job that is named, however old it is. */
+	/** Always true: the records keep the terminal state of a named job, however old it is. */
 	retainsAllAfter(): boolean {
 		return true
 	}
@@ -152,7 +152,7 @@
 			const [first] = this.terminalStates
 			if (first === undefined || first.revision > this.source.revision()) return null
 			this.terminalStates.shift()
-			// Otherwise the snapshot delivered it after it was recorded once more.
+			// A state that was recorded again may have been delivered by the snapshot meanwhile: it is skipped.
 			if (this.undelivered.delete(first.uid)) return first
 		}
 	}
@@ -172,8 +172,8 @@
 	}
 
 	/**
-	 * Inserts the state at its position in the order, unless it was delivered or is held already. A state that becomes known
-	 * late, with a position that the stream has passed, is delivered all the same.
+	 * Inserts the state at its position in the order, unless it was delivered or is in the feed already. A state that
+	 * becomes known only after the stream has passed its position is delivered nevertheless.
 	 */
 	terminalStateRecorded(state: TerminalState): void {
 		if (!this.undelivered.has(state.uid) || this.snapshotStates.has(state.uid)) return
@@ -189,12 +189,12 @@
 	}
 }
 
-/** Whether an earlier stream delivered the terminal state before the position at which this one starts. */
+/** Returns whether an earlier stream, which this one resumes at its start position, delivered the terminal state. */
 const wasDeliveredBefore = (start: StreamPosition, terminal: TerminalState): boolean => {
 	if (start.phase === 'live') return comparePositions(terminal, start) <= 0
 	return terminal.revision <= start.revision && terminal.uid <= start.uid
 }
 
-/** Whether the terminal state is delivered as part of the initial snapshot. */
+/** Returns whether the terminal state is delivered as part of the initial snapshot. */
 const isInSnapshot = (start: StreamPosition, terminal: TerminalState): boolean =>
 	start.phase === 'present' && terminal.revision <= start.revision
--- a/packages/events/src/send-scheduler.ts
+++ b/packages/events/src/send-scheduler.ts
@@ -2,19 +2,19 @@
 
 /** A stream that sends one event at a time. */
 export interface Sender {
-	/** Sends the next event; false: nothing is left to send, or the reader's flow control blocks. */
+	/** Sends the next event; false: there is nothing left to send, or the reader's flow control blocks. */
 	send(): boolean
 }
 
 /**
- * Lets streams send in turn, a bounded number of events before the event loop runs anything else: a burst for hundreds
- * of readers must not delay the heartbeats of machines.
+ * Lets streams send one event each in turn, and yields to the event loop after a bounded number of events, so that a
+ * burst for hundreds of readers does not delay the heartbeats of machines.
  */
 export class SendScheduler {
 	private readonly readySenders = new Set<Sender>()
 	private scheduled = false
 
-	/** `defer` runs a callback in a later iteration of the event loop. */
+	/** `defer` must run its callback in a later iteration of the event loop. */
 	constructor(
 		private readonly eventsPerTurn: number,
 		private readonly defer: (callback: () => void) => void,
@@ -46,7 +46,7 @@
 		while (remaining > 0 && this.readySenders.size > 0)
 			for (const sender of this.readySenders) {
 				if (remaining-- <= 0) return
-				// Inserted again behind the others, a sender with more events waits for its next turn.
+				// A sender with more events moves to the end of the set and waits until the others have sent.
 				this.readySenders.delete(sender)
 				if (sender.send()) this.readySenders.add(sender)
 			}
--- a/packages/events/src/stream-admission.ts
+++ b/packages/events/src/stream-admission.ts
@@ -1,20 +1,22 @@
-/** Admission control for event streams: their number, the ids they name, and the rate at which they begin. */
+/**
+ * Admission control for event streams: limits their number, the job ids that they name, and the rate of new streams.
+ */
 
-/** Bounds of all streams of one controller together. */
+/** Limits of one controller's streams. */
 export interface StreamLimits {
-	/** open streams of all teams */
+	/** maximum number of open streams of all teams */
 	streams: number
-	/** open streams of one team */
+	/** maximum number of open streams of one team */
 	streamsPerTeam: number
-	/** ids that one stream may name */
+	/** maximum number of job ids that one stream may name */
 	jobIdsPerStream: number
-	/** ids that all open streams together may name */
+	/** maximum number of job ids that all open streams together may name */
 	jobIds: number
-	/** streams that may begin in a second */
+	/** maximum number of streams that may start in a second */
 	opensPerSecond: number
 }
 
-/** Why a stream may not begin, and when its reader may try again. */
+/** Why a stream was refused, and when its reader may try again. */
 export type StreamRefusal = {
 	reason: 'too many streams' | 'too many ids' | 'too many begin'
 	retryAfterMs: number
@@ -26,20 +28,20 @@
 const MIN_RETRY_AFTER_MS = 1000
 
 /**
- * Decides which streams may begin. When a controller ends, thousands of readers reconnect to the others at once: a token
- * bucket admits as many as may begin, and every other reader gets a retry time of its own, evenly spaced, so that they
- * do not all return together.
+ * Decides which streams may start. When a controller exits, thousands of readers reconnect to the others at once: a
+ * token bucket limits how many streams start, and every refused reader gets a distinct retry time, evenly spaced, so
+ * that they do not all return together.
  */
 export class StreamAdmission {
 	private readonly streamsByTeam = new Map<string, number>()
 	private openStreams = 0
 	private openJobIds = 0
-	/** retry time given to the latest refused reader */
+	/** retry time of the reader that was refused last */
 	private latestRetryAt = Number.NEGATIVE_INFINITY
 	private tokens: number
 	private refilledAt: number
 
-	/** `now`: steady time in ms. */
+	/** `now` is a monotonic clock in ms. */
 	constructor(
 		private readonly limits: StreamLimits,
 		private readonly now: () => number,
@@ -53,7 +55,7 @@
 		return this.openStreams
 	}
 
-	/** Admits a stream that names `jobIdCount` ids, or says why not; null: it is admitted and must be released. */
+	/** Admits or refuses a stream that names `jobIdCount` ids; null: it is admitted and must be released. */
 	admit(team: string, jobIdCount: number): StreamRefusal | null {
 		if (jobIdCount > this.limits.jobIdsPerStream)
 			return { reason: 'too many ids', retryAfterMs: MAX_RETRY_AFTER_MS }
@@ -67,7 +69,7 @@
 		return null
 	}
 
-	/** Returns what an admitted stream took, after its end. */
+	/** Frees what an admitted stream occupied, after its end. */
 	release(team: string, jobIdCount: number): void {
 		this.openStreams--
 		this.openJobIds -= jobIdCount
@@ -95,7 +97,7 @@
 		this.refilledAt = now
 	}
 
-	/** Reserves the next retry time and returns the delay until then, in ms. */
+	/** Reserves the next retry time and returns the delay until it, in ms. */
 	private nextRetryMs(): number {
 		const now = this.now()
 		const earliest = now + MIN_RETRY_AFTER_MS
--- a/packages/events/src/subscription-index.ts
+++ b/packages/events/src/subscription-index.ts
@@ -16,17 +16,17 @@
 		return this.subscriptions.size === 0
 	}
 
-	/** All subscriptions at this moment; the list is not changed by later additions and removals. */
+	/** A copy of the list of all subscriptions, which later additions and removals do not change. */
 	list(): readonly Subscription[] {
 		return [...this.subscriptions]
 	}
 
-	/** Subscriptions that name a job. */
+	/** The subscriptions that name a job. */
 	ofJob(uid: string): ReadonlySet<Subscription> {
 		return this.byJob.get(uid) ?? NONE
 	}
 
-	/** Subscriptions that select a team. */
+	/** The subscriptions that select a team. */
 	ofTeam(team: string): ReadonlySet<Subscription> {
 		return this.byTeam.get(team) ?? NONE
 	}
