--- a/tests/mixed-versions.test.ts
+++ b/tests/mixed-versions.test.ts
@@ -16,6 +16,7 @@
 import { type JobsClient, jobsClient, type WatchMessage } from '@heathroad/proto'
 import { arrayJob, RealClock, Simulation } from '@heathroad/testkit'
 import { GrpcServers } from '../packages/testkit/src/grpc-servers.js'
+import { Deadline } from './deadline.js'
 import { takeEvents } from './fake-event-controller.js'
 import { ScriptedGrpcServer, type ScriptedStream, type Serve } from './scripted-grpc-server.js'
 import { INSTALLATION, Records, SteppedController, Stream } from './stepped-controller.js'
@@ -25,6 +26,14 @@
 const delay = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms))
 const TEAM = { team: 'core' }
 const DEADLINE_MS = 30_000
+const TEARDOWN_MS = 10_000
+
+/** A deadline that begins now and ends with the test. */
+const startDeadline = (t: TestContext, ms: number): Deadline => {
+	const deadline = new Deadline(ms)
+	t.after(() => deadline.clear())
+	return deadline
+}
 
 /** A client of the service's calls; it is closed after the test. */
 const callsAt = (t: TestContext, address: string): JobsClient => {
@@ -125,37 +134,74 @@
 		clock,
 	)
 	const servers = new GrpcServers(simulation, CONTROLLERS)
+	// Before the servers' teardown, so that what is left of a failed test ends first.
+	const deadline = startDeadline(t, 2 * DEADLINE_MS)
 	t.after(async () => {
 		clock.stop()
-		await servers.stopAll()
-		await simulation.end()
+		const teardown = new Deadline(TEARDOWN_MS)
+		try {
+			await teardown.within(() => 'the servers stop', servers.stopAll())
+			await teardown.within(() => 'the controllers end', simulation.end())
+		} finally {
+			teardown.clear()
+		}
 	})
 	simulation.begin()
 	const uids = Array.from({ length: 6 }, (_, index) => `job-00100${index}`)
 	const reader = new ReaderOfBefore(uids)
-	const deadline = Date.now() + 2 * DEADLINE_MS
 	const lastCrashAfter = Math.max(...CRASHES_AFTER)
 	let streams = 0
-	const submission = (async () => {
-		while (servers.ports.includes(0)) await delay(PAUSE_MS)
+	const describe = (what: string) => `${what}; ${streams} streams, told: ${reader.told.join(' ')}`
+	const submitJobs = async (): Promise<void> => {
 		const client = new Client({ grpc: servers.ports.map((port) => `127.0.0.1:${port}`) })
-		t.after(() => client.close())
-		for (const uid of uids) {
-			// However slow the machine is, the watch is not over before the last crash.
-			while (uid === uids.at(-1) && streams <= lastCrashAfter) await delay(PAUSE_MS)
-			await client.submit(arrayJob(uid, { tasks: 2, cpus: 0.5, expectedS: 0.3, imageGb: 0.05, spot: false }))
+		try {
+			for (const uid of uids) {
+				// However slow the machine is, the watch is not over before the last crash.
+				if (uid === uids.at(-1))
+					await deadline.until(
+						() => describe('the last crash'),
+						() => streams > lastCrashAfter,
+						PAUSE_MS,
+					)
+				const job = arrayJob(uid, { tasks: 2, cpus: 0.5, expectedS: 0.3, imageGb: 0.05, spot: false })
+				const submitted = client.submit(job, { signal: deadline.signal })
+				await deadline.within(() => describe(`${uid} is accepted`), submitted)
+			}
+		} finally {
+			client.close()
 		}
-	})()
-	for (let isOver = false; !isOver && Date.now() < deadline; streams++) {
-		const port = servers.ports[streams % CONTROLLERS]
-		if (CRASHES_AFTER.includes(streams)) simulation.crash((streams + 1) % CONTROLLERS, RESTART_S)
-		await delay(PAUSE_MS)
-		if (port === 0) continue
+	}
+	/** No event can come before the last job is submitted, and that is submitted only after the last crash. */
+	const isIdle = (): boolean => reader.told.length === uids.length - 1 && streams <= lastCrashAfter
+	const readStream = async (port: number): Promise<boolean> => {
 		const calls = new (jobsClient())(`127.0.0.1:${port}`, credentials.createInsecure())
-		isOver = (await reader.read(calls, CUTS[streams % CUTS.length])) === 'complete'
-		calls.close()
+		const options = {
+			// A stream that would wait for the last job is cut, so that the crashes come all the same.
+			cutAfter: () => (isIdle() ? 0 : CUTS[streams % CUTS.length]),
+			signal: deadline.signal,
+		}
+		try {
+			const read = reader.read(calls, options)
+			return (await deadline.within(() => describe(`the stream at port ${port} ends`), read)) === 'complete'
+		} finally {
+			calls.close()
+		}
 	}
-	await submission
+	const readStreams = async (): Promise<void> => {
+		for (let isOver = false; !isOver; streams++) {
+			const port = servers.ports[streams % CONTROLLERS]
+			if (CRASHES_AFTER.includes(streams)) simulation.crash((streams + 1) % CONTROLLERS, RESTART_S)
+			await deadline.within(() => describe('a complete stream'), delay(PAUSE_MS))
+			if (port !== 0) isOver = await readStream(port)
+		}
+	}
+	// From here on each crash is one of a server that the reader reads at.
+	await deadline.until(
+		() => describe(`each server listens, ports ${servers.ports}`),
+		() => !servers.ports.includes(0),
+		PAUSE_MS,
+	)
+	await Promise.all([submitJobs(), readStreams()])
 	assert.deepEqual([...reader.told].sort(), uids, `${streams} streams`)
 	assert.deepEqual(reader.dropped, [], 'no server told an event again')
 	assert.ok(streams > lastCrashAfter, `${streams} streams`)
@@ -180,6 +226,8 @@
 test('the requests of the present client are those of before, and of named jobs each is one of a first stream', async (t) => {
 	const event = { uid: OPEN, state: 'STATE_DONE', done: 1, running: 0, tasks: 1, cursor: 'after 1' } as const
 	const last = { ...event, uid: LOST }
+	const deadline = startDeadline(t, DEADLINE_MS)
+	const { signal } = deadline
 	const watch = async (selection: Selection, cursor?: string): Promise<string[]> => {
 		const server = await startServer(t, (_, stream) =>
 			stream < 2
@@ -188,7 +236,10 @@
 		)
 		const client = new Client({ grpc: [server.address] }, () => 0)
 		t.after(() => client.close())
-		for await (const _ of client.watch(selection, { cursor }));
+		const watchAll = async () => {
+			for await (const _ of client.watch(selection, { cursor, signal }));
+		}
+		await deadline.within(() => `the end of a watch of ${JSON.stringify(selection)}`, watchAll())
 		assert.deepEqual(server.headerNames, [HEADERS_OF_BEFORE, HEADERS_OF_BEFORE, HEADERS_OF_BEFORE])
 		return server.requests
 	}
@@ -200,7 +251,8 @@
 	// The stand-in for the client of before sends what that sent.
 	const server = await startServer(t, () => ({ headers: 'present', events: [event], end: 'broken' }))
 	const reader = new ReaderOfBefore(NAMED.uids)
-	for (const _ of [1, 2]) await reader.read(callsAt(t, server.address))
+	for (const stream of [1, 2])
+		await deadline.within(() => `stream ${stream} ends`, reader.read(callsAt(t, server.address), { signal }))
 	assert.deepEqual(server.requests, [named, namedAtCursor])
 	assert.deepEqual(server.headerNames, [HEADERS_OF_BEFORE, HEADERS_OF_BEFORE])
 })
@@ -281,6 +333,8 @@
 })
 
 test('a rolling upgrade: a client of before loses an event only behind a stream at a server that lacks it', async (t) => {
+	const deadline = startDeadline(t, DEADLINE_MS)
+	const { signal } = deadline
 	const present = new SteppedController(endBoth())
 	let losses = 0
 	for (const lost of NAMED.uids) {
@@ -289,10 +343,12 @@
 			const server = await startServer(t, serveSequence(sequence, before, present))
 			const calls = callsAt(t, server.address)
 			const reader = new ReaderOfBefore(NAMED.uids)
-			while ((await reader.read(calls)) !== 'complete');
+			const context = `${lost} is lacking: ${name}`
+			const readNext = () =>
+				deadline.within(() => `the stream ends, ${context}`, reader.read(calls, { signal }))
+			while ((await readNext()) !== 'complete');
 			const told = [...reader.told].sort()
 			const hasLost = told.length < NAMED.uids.length
-			const context = `${lost} is lacking: ${name}`
 			assert.deepEqual(reader.dropped, [], context)
 			assert.deepEqual(told, hasLost ? NAMED.uids.filter((uid) => uid !== lost) : NAMED.uids, context)
 			// The cursor that claims the state is of an event that a server of before told.
--- a/tests/versions-of-before.ts
+++ b/tests/versions-of-before.ts
@@ -11,6 +11,14 @@
 /** After the last id. */
 const LAST = '~'
 
+/** How a reader ends a stream by itself. */
+export interface ReadOptions {
+	/** after how many events the reader cuts the stream, asked anew after each event; 0: as soon as the stream began */
+	cutAfter?: () => number
+	/** cancels the stream when it is aborted */
+	signal?: AbortSignal
+}
+
 const isTerminal = (state: string): boolean => state === 'STATE_DONE' || state === 'STATE_CANCELLED'
 
 /**
@@ -27,24 +35,31 @@
 
 	constructor(private readonly uids: readonly string[]) {}
 
-	/** Reads one stream; after so many events the reader cuts it, after none as soon as it began. */
-	async read(client: JobsClient, atMost = Number.POSITIVE_INFINITY): Promise<'complete' | 'cut or broken'> {
+	/** Reads one stream. */
+	async read(
+		client: JobsClient,
+		{ cutAfter = () => Number.POSITIVE_INFINITY, signal }: ReadOptions = {},
+	): Promise<'complete' | 'cut or broken'> {
 		const metadata = new Metadata()
 		metadata.set('watch-id', 'a watch of before')
 		const call = client.Watch({ uids: [...this.uids], cursor: this.cursor }, metadata)
 		const begun = this.begin(call)
+		const cancel = (): void => call.cancel()
+		signal?.addEventListener('abort', cancel)
+		if (signal?.aborted) cancel()
 		try {
-			if (atMost === 0) {
+			if (cutAfter() === 0) {
 				await begun
 				return 'cut or broken'
 			}
-			return (await this.takeEvents(call, atMost)) ? 'complete' : 'cut or broken'
+			return (await this.takeEvents(call, cutAfter)) ? 'complete' : 'cut or broken'
 		} catch (error) {
 			const { code } = error as ServiceError
 			// The cursor was rejected: the next stream begins with the present state.
 			if (code === status.OUT_OF_RANGE || code === status.INVALID_ARGUMENT) this.cursor = ''
 			return 'cut or broken'
 		} finally {
+			signal?.removeEventListener('abort', cancel)
 			call.on('error', () => {})
 			call.cancel()
 		}
@@ -63,7 +78,10 @@
 	}
 
 	/** True: the server called the stream complete. */
-	private async takeEvents(call: ClientReadableStream<EventMessage>, atMost: number): Promise<boolean> {
+	private async takeEvents(
+		call: ClientReadableStream<EventMessage>,
+		cutAfter: () => number,
+	): Promise<boolean> {
 		let taken = 0
 		for await (const { uid, state, cursor } of call as AsyncIterable<EventMessage>) {
 			this.cursor = cursor
@@ -72,7 +90,7 @@
 				events.push(uid)
 				this.terminalJobs.add(uid)
 			}
-			if (++taken >= atMost) return false
+			if (++taken >= cutAfter()) return false
 		}
 		return true
 	}
