--- a/packages/controller/src/admission-gate.ts
+++ b/packages/controller/src/admission-gate.ts
@@ -58,10 +58,10 @@
 			pendingChecks: new Set(record.requiredChecks ?? []),
 		}
 		this.jobsByUid.set(job.uid, job)
-		const now = this.state.ports.now()
-		const waitedMs = this.state.ports.wallClockMs() - job.acceptedAtMs
+		const now = this.state.dependencies.now()
+		const waitedMs = this.state.dependencies.wallClockMs() - job.acceptedAtMs
 		for (const checkName of [...job.pendingChecks]) {
-			const terms = this.state.ports.checks().terms(checkName)
+			const terms = this.state.dependencies.checks().terms(checkName)
 			if (terms === null) {
 				this.onCheckPassed(job, checkName, NO_SUCH_CHECK)
 				continue
@@ -122,7 +122,11 @@
 	private onCheckPassed(job: PendingJob, checkName: string, reason: string): void {
 		this.questions.removeFrom(checkName, job)
 		job.pendingChecks.delete(checkName)
-		this.state.ports.log('info', 'admission check passed', { uid: job.uid, check: checkName, why: reason })
+		this.state.dependencies.log('info', 'admission check passed', {
+			uid: job.uid,
+			check: checkName,
+			why: reason,
+		})
 		if (job.pendingChecks.size === 0) this.releaseWriter.add(job)
 	}
 }
--- a/packages/controller/src/attempt-tracker.ts
+++ b/packages/controller/src/attempt-tracker.ts
@@ -107,7 +107,7 @@
 	}
 
 	private logRejectedStart(attempt: Attempt): void {
-		this.state.ports.log('info', 'task start rejected', {
+		this.state.dependencies.log('info', 'task start rejected', {
 			task: attempt.taskName,
 			machine: attempt.machine.id,
 			cause: attempt.exitReason,
--- a/packages/controller/src/check-questions.ts
+++ b/packages/controller/src/check-questions.ts
@@ -146,8 +146,8 @@
 	}
 
 	private ask(question: Question): void {
-		const { ports } = this.state
-		const terms = ports.checks().terms(question.checkName)
+		const { dependencies } = this.state
+		const terms = dependencies.checks().terms(question.checkName)
 		const jobs = [...question.jobs]
 		if (terms === null) {
 			for (const job of jobs) this.listener.onCheckPassed(job, question.checkName, NO_SUCH_CHECK)
@@ -156,11 +156,11 @@
 		const [firstJob] = jobs
 		const context = this.contextOf(question, firstJob, terms)
 		question.askedCount++
-		question.lastAskedAt = ports.now()
+		question.lastAskedAt = dependencies.now()
 		question.isInFlight = true
 		this.inFlightCount++
 		let isAnswered = false
-		ports.checks().ask(question.checkName, firstJob.spec, context, (verdict) => {
+		dependencies.checks().ask(question.checkName, firstJob.spec, context, (verdict) => {
 			if (isAnswered) return
 			isAnswered = true
 			question.isInFlight = false
@@ -171,7 +171,7 @@
 	}
 
 	private contextOf(question: Question, firstJob: PendingJob, terms: CheckTerms): CheckContext {
-		const waitedMs = this.state.ports.wallClockMs() - firstJob.acceptedAtMs
+		const waitedMs = this.state.dependencies.wallClockMs() - firstJob.acceptedAtMs
 		return {
 			waitedS: waitedMs / 1000,
 			leftS: Math.max(0, terms.atMostMs - waitedMs) / 1000,
@@ -187,7 +187,7 @@
 		verdict: Verdict,
 		terms: CheckTerms,
 	): void {
-		const now = this.state.ports.now()
+		const now = this.state.dependencies.now()
 		if (verdict.kind === 'release') this.release(question, askedJobs, 'released')
 		else if (verdict.kind === 'hold') this.hold(question, verdict, now)
 		else if (terms.whenUnsure === 'release') this.release(question, askedJobs, `unsure: ${verdict.why}`)
@@ -222,7 +222,7 @@
 	private log(question: Question, event: LogEvent, why: string): void {
 		const [firstJob] = question.jobs
 		if (firstJob === undefined) return
-		this.state.ports.log('info', event, {
+		this.state.dependencies.log('info', event, {
 			uid: firstJob.uid,
 			check: question.checkName,
 			jobs: question.jobs.size,
--- a/packages/controller/src/consolidation.ts
+++ b/packages/controller/src/consolidation.ts
@@ -58,7 +58,7 @@
 	 * emptied in the gap between two jobs would be rented anew a moment later.
 	 */
 	private isDue(now: number): boolean {
-		if (this.state.ports.leadership() !== 'lease' || !this.state.reconciled) return false
+		if (this.state.dependencies.leadership() !== 'lease' || !this.state.reconciled) return false
 		const isWaiting = this.state.hasWaitingJobs(now)
 		const isTimeOver = now >= this.nextRoundAt
 		if (isWaiting || isTimeOver) this.nextRoundAt = now + this.state.config.limits.agentLeaseMs / 2
@@ -113,7 +113,7 @@
 		for (const attempt of machine.attempts.values())
 			if (attempt.state === 'running' && attempt.job !== null)
 				attempt.stopGracePeriodS = gracePeriodS(attempt.job.spec)
-		this.state.ports.log('info', 'machine consolidating', {
+		this.state.dependencies.log('info', 'machine consolidating', {
 			machine: machine.id,
 			freeCpus: machine.freeResources.cpus,
 		})
--- a/packages/controller/src/crash-loop-detector.ts
+++ b/packages/controller/src/crash-loop-detector.ts
@@ -33,7 +33,7 @@
 		if (now - job.lastFailureAt > heartbeatMs) job.failureCount++
 		job.lastFailureAt = now
 		machine.failuresByJob.set(job, (machine.failuresByJob.get(job) ?? 0) + 1)
-		this.state.ports.log('info', 'task failed', {
+		this.state.dependencies.log('info', 'task failed', {
 			task: attempt.taskName,
 			machine: machine.id,
 			failures: job.failureCount,
@@ -57,7 +57,7 @@
 
 	private onQuarantined(job: JobRun): void {
 		this.state.queueDirty = true
-		this.state.ports.log('info', 'job quarantined', {
+		this.state.dependencies.log('info', 'job quarantined', {
 			uid: job.spec.uid,
 			machines: [...job.failedMachineIds],
 		})
@@ -90,6 +90,6 @@
 			else if (!job.isQuarantined) open++
 		if (certain < CERTAIN_FAILURES && open < UNDECIDED_JOBS) return
 		machine.drainReason = 'faulty'
-		this.state.ports.log('info', 'faulty machine draining', { machine: machine.id, certain, open })
+		this.state.dependencies.log('info', 'faulty machine draining', { machine: machine.id, certain, open })
 	}
 }
--- a/packages/controller/src/failure-detector.ts
+++ b/packages/controller/src/failure-detector.ts
@@ -41,7 +41,7 @@
 	private lastTickAt: number
 
 	constructor(private readonly state: ShardState) {
-		this.takenOverAt = state.ports.now()
+		this.takenOverAt = state.dependencies.now()
 		this.state.listeningSince = this.takenOverAt
 		this.lastTickAt = this.takenOverAt
 	}
@@ -93,7 +93,7 @@
 	 */
 	unreachableMachines(): number {
 		if (!this.state.reconciled) return 0
-		const now = this.state.ports.now()
+		const now = this.state.dependencies.now()
 		return this.countIfMost((machine) => this.isUnreachable(machine, now))
 	}
 
@@ -103,7 +103,7 @@
 	 */
 	isPartitioned(unconfirmed: ReadonlySet<string>): boolean {
 		const graceMs = this.state.config.limits.controllerLeaseMs * TAKEOVER_GRACE_CONTROLLER_LEASES
-		const now = this.state.ports.now()
+		const now = this.state.dependencies.now()
 		if (now - this.takenOverAt < graceMs) return false
 		return this.countIfMost((machine) => unconfirmed.has(machine.id) || this.isUnreachable(machine, now)) > 0
 	}
--- a/packages/controller/src/heartbeat-handler.ts
+++ b/packages/controller/src/heartbeat-handler.ts
@@ -48,7 +48,7 @@
 			respond(null)
 			return
 		}
-		const now = this.state.ports.now()
+		const now = this.state.dependencies.now()
 		// An old heartbeat is late because packets were delayed: its task list is outdated, and its response is dropped.
 		if (!isNewerHeartbeat(heartbeat, machine)) {
 			machine.lastHeartbeatAt = now
@@ -74,7 +74,7 @@
 	private onBooted(machine: Machine, now: number): void {
 		machine.booted = true
 		this.state.bootTimes.observe(machine.type, now - machine.discoveredAt)
-		this.state.ports.log('info', 'machine booted', {
+		this.state.dependencies.log('info', 'machine booted', {
 			machine: machine.id,
 			type: machine.type.name,
 			zone: machine.zone,
@@ -84,7 +84,7 @@
 	}
 
 	private respond(machine: Machine, respond: RespondToHeartbeat): void {
-		machine.lastHeartbeatAt = this.state.ports.now()
+		machine.lastHeartbeatAt = this.state.dependencies.now()
 		respond({
 			fencingToken: machine.fencingToken,
 			commands: this.dependencies.commands.forHeartbeat(machine),
@@ -114,7 +114,7 @@
 		if (respond === undefined) return
 		this.delayedResponses.delete(machine.id)
 		const isCurrent = !this.state.stopped && this.state.machines.get(machine.id) === machine
-		if (!isCurrent || this.state.ports.leadership() === 'none') respond(null)
+		if (!isCurrent || this.state.dependencies.leadership() === 'none') respond(null)
 		else this.respond(machine, respond)
 	}
 
--- a/packages/controller/src/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeat-reconciler.ts
@@ -30,7 +30,7 @@
 		if (!isNewerHeartbeat(heartbeat, machine)) return
 		machine.agentEpoch = heartbeat.agentEpoch
 		machine.heartbeatSequence = heartbeat.sequence
-		const now = this.state.ports.now()
+		const now = this.state.dependencies.now()
 		this.updatePreemptionDeadline(machine, heartbeat.preemptionNoticeS, now)
 		const reportedByKey = new Map(heartbeat.tasks.map((task) => [`${task.taskName}#${task.attempt}`, task]))
 		// Before the listed ones: an attempt that followed a missing one here would seem to be one too many (incident 26).
@@ -58,7 +58,7 @@
 		}
 		machine.preemptionDeadline = deadline
 		machine.drainReason = 'spot notice'
-		this.state.ports.log('info', 'preemption notice', { machine: machine.id, noticeS })
+		this.state.dependencies.log('info', 'preemption notice', { machine: machine.id, noticeS })
 	}
 
 	private removeMissingAttempts(
@@ -71,7 +71,7 @@
 			// A direct command's answer may have overtaken the response that carries the start.
 			if (attempt.state === 'sent' && !followsResponse) continue
 			if (attempt.state !== 'sent' && !attempt.accountedFor)
-				this.state.ports.log('debug', 'task disappeared', {
+				this.state.dependencies.log('debug', 'task disappeared', {
 					task: attempt.taskName,
 					machine: machine.id,
 					state: attempt.state,
@@ -84,7 +84,7 @@
 	private addUnknownAttempt(machine: Machine, task: ReportedTask, key: string): Attempt {
 		this.gate.onTaskSeen(task.uid)
 		const job = this.state.jobs.get(task.uid) ?? null
-		const record = job === null ? this.state.ports.job(task.uid)?.record : undefined
+		const record = job === null ? this.state.dependencies.job(task.uid)?.record : undefined
 		// The task is planned elsewhere although it is here: the plan is withdrawn.
 		const other = job?.placements.get(task.taskIndex)
 		if (other?.state === 'planned' && task.state !== 'exited') this.state.removeAttempt(other.machine, other)
--- a/packages/controller/src/job-lifecycle.ts
+++ b/packages/controller/src/job-lifecycle.ts
@@ -48,7 +48,7 @@
 			return
 		}
 		if (job !== undefined || record.spec === undefined) return
-		if (!this.state.ports.isPendingRelease(uid, record)) {
+		if (!this.state.dependencies.isPendingRelease(uid, record)) {
 			gate.drop(uid)
 			this.take(record.spec, record, intake)
 		} else if (!gate.has(uid)) gate.hold(record.spec, record)
@@ -56,7 +56,7 @@
 
 	/** A job that waited for admission checks may start, or is shown to have started. */
 	onReleased(uid: string): void {
-		const record = this.state.ports.job(uid)?.record
+		const record = this.state.dependencies.job(uid)?.record
 		if (
 			record?.spec === undefined ||
 			record.shardId !== this.state.shardId ||
@@ -75,15 +75,15 @@
 
 	private take(spec: JobSpec, record: JobRecord, { mayBeOnMachines }: JobIntake): void {
 		const { uid } = spec
-		const { ports, config } = this.state
+		const { dependencies, config } = this.state
 		const offers = this.dependencies.scaleOut.suitableOffers(spec, false)
 		const budget = createBudgetLedger(spec, offers, config.tuning.budgetMix)
 		const job = new JobRun(spec, record.acceptedAtMs ?? 0, budget, !mayBeOnMachines)
 		job.doneTasks = this.readDoneTasks(spec, record)
 		job.durableDoneTasks = job.doneTasks.copy()
-		job.lastWrittenAt = ports.now()
+		job.lastWrittenAt = dependencies.now()
 		job.arrivedAt = job.lastWrittenAt
-		job.wasQuarantined = ports.wasQuarantined(uid)
+		job.wasQuarantined = dependencies.wasQuarantined(uid)
 		if (!mayBeOnMachines) {
 			job.readyTasks = RangeSet.full(spec.tasks)
 			job.readyTasks.deleteAll(job.doneTasks)
@@ -97,7 +97,7 @@
 	private readDoneTasks(spec: JobSpec, record: JobRecord): RangeSet {
 		const doneTasks = new RangeSet(record.doneRanges ?? [])
 		for (let chunk = 1; chunk * TASKS_PER_CHUNK < spec.tasks; chunk++) {
-			const bounds = this.state.ports.entry(progressChunkKey(spec.uid, chunk))?.data
+			const bounds = this.state.dependencies.entry(progressChunkKey(spec.uid, chunk))?.data
 			if (!Array.isArray(bounds)) continue
 			const firstTask = chunk * TASKS_PER_CHUNK
 			for (let i = 0; i + 1 < bounds.length; i += 2)
@@ -111,7 +111,7 @@
 		job.readyTasks = new RangeSet()
 		this.withdrawPlans(job)
 		this.state.queueDirty = true
-		this.state.ports.log('info', 'job terminal', { uid: job.spec.uid, how: finalState })
+		this.state.dependencies.log('info', 'job terminal', { uid: job.spec.uid, how: finalState })
 		if (finalState === 'aborted') this.killRunningTasks(job)
 		if (job.placements.size === 0) this.state.jobs.delete(job.spec.uid)
 	}
@@ -139,7 +139,7 @@
 		}
 		for (const [machine, commands] of commandsByMachine) {
 			if (machine.address === null || !machine.reconciled) continue
-			this.state.ports.sendCommands(
+			this.state.dependencies.sendCommands(
 				machine.address,
 				machine.fencingToken,
 				machine.agentEpoch,
--- a/packages/controller/src/job-migrator.ts
+++ b/packages/controller/src/job-migrator.ts
@@ -41,8 +41,8 @@
 	 * time in ms, `everyMs` the time until the next tick.
 	 */
 	tick(now: number, everyMs: number): void {
-		const { ports, config } = this.state
-		if (!this.state.reconciled || ports.leadership() !== 'lease') return
+		const { dependencies, config } = this.state
+		if (!this.state.reconciled || dependencies.leadership() !== 'lease') return
 		// Machines that are up take the jobs as soon as their agents are here: other shards may have to rent for them.
 		if (this.failureDetector.mayAgentsSearchOwner(now)) return
 		const writes = (config.limits.writesPerS * everyMs * WRITE_SHARE) / 1000
@@ -52,7 +52,7 @@
 			if (remaining <= 0) return
 			if (!this.isMovable(job, now)) continue
 			// Planned only when there is a job to migrate: planning looks at all shards.
-			findTarget ??= ports.migrationPlanner(this.state.shardId, this.jobsUnderWay())
+			findTarget ??= dependencies.migrationPlanner(this.state.shardId, this.jobsUnderWay())
 			const targetShardId = findTarget(job.spec)
 			if (targetShardId === null) continue
 			this.start(job, targetShardId)
@@ -88,7 +88,7 @@
 		this.state.queueDirty = true
 		const migration: Migration = { job, targetShardId, isUncertain: false }
 		this.migrationsByUid.set(job.spec.uid, migration)
-		this.state.ports.log('info', 'job migrating', {
+		this.state.dependencies.log('info', 'job migrating', {
 			uid: job.spec.uid,
 			from: this.state.shardId,
 			to: targetShardId,
@@ -99,7 +99,7 @@
 	/** The write that migrates the job; null if it is not needed, since the job is terminal or not in this shard any more. */
 	private buildContent({ job, targetShardId }: Migration): TransactionContent | null {
 		const { uid } = job.spec
-		const entry = this.state.ports.job(uid)
+		const entry = this.state.dependencies.job(uid)
 		if (this.state.stopped || job.isTerminal || entry?.record.shardId !== this.state.shardId) return null
 		if (entry.record.finalState !== undefined) return null
 		return moveJobToShard(this.state.records, this.state.ownershipCondition(), uid, entry, targetShardId)
@@ -107,7 +107,7 @@
 
 	private write(migration: Migration): void {
 		let content: TransactionContent | null = null
-		this.state.ports.enqueueWrite({
+		this.state.dependencies.enqueueWrite({
 			priority: WritePriority.outcome,
 			build: () => {
 				content = this.buildContent(migration)
@@ -139,7 +139,7 @@
 	 * the read shows it.
 	 */
 	private settle(migration: Migration, outcome: { isConflict: boolean }): void {
-		this.state.ports.linearizableRead((isCurrent) => {
+		this.state.dependencies.linearizableRead((isCurrent) => {
 			if (this.state.stopped) return
 			if (!isCurrent) this.settle(migration, outcome)
 			else if (outcome.isConflict || this.buildContent(migration) === null) this.finish(migration)
--- a/packages/controller/src/machine-adopter.ts
+++ b/packages/controller/src/machine-adopter.ts
@@ -34,9 +34,9 @@
 			[{ set: key, data }],
 			(result) => {
 				if (result.kind === 'ok' && !this.state.stopped) {
-					this.state.ports.applyOwnWrite(machineGroupKey(name), data, result.revision)
+					this.state.dependencies.applyOwnWrite(machineGroupKey(name), data, result.revision)
 					this.confirmEmpty(unrecorded)
-					this.state.ports.log('info', 'machines adopted', {
+					this.state.dependencies.log('info', 'machines adopted', {
 						machines: Object.keys(addresses),
 						part: shardId,
 					})
--- a/packages/controller/src/machine-commands.ts
+++ b/packages/controller/src/machine-commands.ts
@@ -17,7 +17,7 @@
 			const command = this.forgetOrKill(attempt)
 			if (command !== null) commands.push(command)
 		}
-		if (machine.reconciled && machine.addressRecorded && this.state.ports.leadership() !== 'none')
+		if (machine.reconciled && machine.addressRecorded && this.state.dependencies.leadership() !== 'none')
 			this.addStarts(machine, commands)
 		return commands.slice(0, MAX_COMMANDS_PER_RESPONSE)
 	}
@@ -52,7 +52,7 @@
 		const { job } = attempt
 		if (job !== null)
 			return job.spec.kind === 'daemon' || job.isTerminal || job.durableDoneTasks.has(attempt.taskIndex)
-		const record = this.state.ports.job(attempt.uid)?.record
+		const record = this.state.dependencies.job(attempt.uid)?.record
 		return record === undefined || record.finalState !== undefined
 	}
 
--- a/packages/controller/src/machine-group-writer.ts
+++ b/packages/controller/src/machine-group-writer.ts
@@ -102,7 +102,7 @@
 	/** What is to be written to the group's record as it is now; `none` also if it is not of this shard any more. */
 	private planChange(groupName: string): PlannedChange {
 		const changes = this.changesOf(groupName)
-		const entry = this.state.ports.entry(machineGroupKey(groupName))
+		const entry = this.state.dependencies.entry(machineGroupKey(groupName))
 		const record = decodeMachineGroup(entry?.data)
 		if (entry === undefined || record === null || record.shardId !== this.state.shardId)
 			return { kind: 'none' }
@@ -117,11 +117,11 @@
 	private flush(groupName: string, priority: number): void {
 		const changes = this.changesOf(groupName)
 		if (changes.write !== null) {
-			this.state.ports.raisePriority(changes.write, priority)
+			this.state.dependencies.raisePriority(changes.write, priority)
 			return
 		}
 		let planned: PlannedChange = { kind: 'none' }
-		changes.write = this.state.ports.enqueueWrite({
+		changes.write = this.state.dependencies.enqueueWrite({
 			priority,
 			build: () => {
 				planned = this.state.stopped ? { kind: 'none' } : this.planChange(groupName)
@@ -156,10 +156,10 @@
 				this.changesByGroup.delete(groupName)
 				return
 			}
-			this.state.ports.applyOwnWrite(machineGroupKey(groupName), planned.data, result.revision)
+			this.state.dependencies.applyOwnWrite(machineGroupKey(groupName), planned.data, result.revision)
 			flushRest()
 		} else if (result.kind === 'refused') flushRest()
-		else this.state.ports.refreshCache(flushRest)
+		else this.state.dependencies.refreshCache(flushRest)
 	}
 
 	/** Writes what came meanwhile or was not applied; forgets the changes if there is nothing left. */
--- a/packages/controller/src/machine-monitor.ts
+++ b/packages/controller/src/machine-monitor.ts
@@ -104,7 +104,10 @@
 		if (now - machine.lastHeartbeatAt <= this.state.config.limits.agentLeaseMs) return
 		for (const attempt of [...machine.attempts.values()]) {
 			if (attempt.state === 'exited' && attempt.accountedFor) continue
-			this.state.ports.log('info', 'agent lease expired', { task: attempt.taskName, machine: machine.id })
+			this.state.dependencies.log('info', 'agent lease expired', {
+				task: attempt.taskName,
+				machine: machine.id,
+			})
 			this.state.removeAttempt(machine, attempt)
 		}
 		if (machine.reconciled) return
--- a/packages/controller/src/machine-remover.ts
+++ b/packages/controller/src/machine-remover.ts
@@ -43,10 +43,10 @@
 			machine.releasing = true
 			machine.retryReleaseAt = Number.POSITIVE_INFINITY
 		}
-		this.state.ports.log('info', 'machines releasing', {
+		this.state.dependencies.log('info', 'machines releasing', {
 			machines: machines.map((machine) => `${machine.id} (${machine.drainReason})`),
 		})
-		this.state.ports.releaseMachines(
+		this.state.dependencies.releaseMachines(
 			machines.map((machine) => machine.id),
 			(gone) => this.onReleaseAnswered(machines, gone),
 		)
@@ -58,7 +58,7 @@
 		if (!gone) {
 			// The release may still be carried out late, so the machines stay in release and it is only repeated.
 			const pauseMs = this.state.config.limits.controllerLeaseMs * RELEASE_RETRY_CONTROLLER_LEASES
-			for (const machine of remaining) machine.retryReleaseAt = this.state.ports.now() + pauseMs
+			for (const machine of remaining) machine.retryReleaseAt = this.state.dependencies.now() + pauseMs
 			return
 		}
 		for (const machine of remaining) {
--- a/packages/controller/src/preemption.ts
+++ b/packages/controller/src/preemption.ts
@@ -103,7 +103,7 @@
 ): readonly RunningTask[] | null => {
 	if (!isAllowedOn(job.spec, machine) || !isZoneAllowed(job.spec, machine.zone, job.taskCountByZone))
 		return null
-	const tasks = findRunningTasks(machine, state.ports.now()).filter(mayStop)
+	const tasks = findRunningTasks(machine, state.dependencies.now()).filter(mayStop)
 	const victims = chooseVictims(job.spec, machine.freeResources, tasks, isWithinGuarantee, (team) =>
 		state.exceedsGuarantee(team),
 	)
@@ -154,7 +154,7 @@
 	machines.splice(preemption.machineIndex, 1)
 	for (const { attempt, spec } of preemption.victims) {
 		attempt.stopGracePeriodS = gracePeriodS(spec)
-		state.ports.log('info', 'tasks preempted', {
+		state.dependencies.log('info', 'tasks preempted', {
 			task: attempt.taskName,
 			machine: attempt.machine.id,
 			for: job.spec.uid,
--- a/packages/controller/src/progress-writer.ts
+++ b/packages/controller/src/progress-writer.ts
@@ -38,7 +38,7 @@
 	/** The transaction that brings the job's record up to date; null if nothing is to be written here any more. */
 	private buildWrite(job: JobRun): SentWrite | null {
 		const { uid } = job.spec
-		const current = this.state.ports.job(uid)
+		const current = this.state.dependencies.job(uid)
 		if (job.isTerminal || this.state.stopped || current === undefined) return null
 		if (current.record.finalState !== undefined) return null
 		const isComplete = this.isComplete(job)
@@ -106,11 +106,11 @@
 		}
 		const priority = isComplete ? WritePriority.outcome : WritePriority.progress
 		if (job.pendingWrite !== null) {
-			this.state.ports.raisePriority(job.pendingWrite, priority)
+			this.state.dependencies.raisePriority(job.pendingWrite, priority)
 			return
 		}
 		let sent: SentWrite | null = null
-		job.pendingWrite = this.state.ports.enqueueWrite({
+		job.pendingWrite = this.state.dependencies.enqueueWrite({
 			priority,
 			build: () => {
 				sent = this.buildWrite(job)
@@ -119,12 +119,13 @@
 			onResult: (result) => {
 				job.pendingWrite = null
 				if (this.state.stopped) return
-				job.lastWrittenAt = this.state.ports.now()
+				job.lastWrittenAt = this.state.dependencies.now()
 				if (result.kind === 'ok' && sent !== null) {
 					job.durableDoneTasks.addAll(sent.durableTasks)
 					this.state.applyOwnMutations(sent.content.mutations, result.revision)
 					this.writeIfCompleted(job)
-				} else if (result.kind !== 'refused') this.state.ports.refreshCache(() => this.writeIfCompleted(job))
+				} else if (result.kind !== 'refused')
+					this.state.dependencies.refreshCache(() => this.writeIfCompleted(job))
 			},
 		})
 	}
--- a/packages/controller/src/release-writer.ts
+++ b/packages/controller/src/release-writer.ts
@@ -28,10 +28,10 @@
 	/** Starts a write of what is not durable yet, unless one is under way. Needs the controller's lease. */
 	flush(): void {
 		if (this.isWriting || this.releasedJobs.size === 0 || this.state.stopped) return
-		if (this.state.ports.leadership() !== 'lease') return
+		if (this.state.dependencies.leadership() !== 'lease') return
 		this.isWriting = true
 		let content: TransactionContent | null = null
-		this.state.ports.enqueueWrite({
+		this.state.dependencies.enqueueWrite({
 			// A user waits for the start, as others do for their outcomes.
 			priority: WritePriority.outcome,
 			build: () => {
@@ -50,11 +50,11 @@
 
 	private buildContent(): TransactionContent | null {
 		if (this.state.stopped || this.releasedJobs.size === 0) return null
-		const { config, ports, records, shardId } = this.state
+		const { config, dependencies, records, shardId } = this.state
 		const uids = [...this.releasedJobs].map((job) => job.uid)
 		const { txn_ops } = config.settings.deployment.state
 		const limits = { room: maxValueChars(config.settings), ops: Math.min(MAX_PAGES_PER_WRITE, txn_ops) }
-		return markReleased(records, shardId, uids, (uid) => ports.keepsReleaseMark(uid), limits).content
+		return markReleased(records, shardId, uids, (uid) => dependencies.keepsReleaseMark(uid), limits).content
 	}
 
 	private onWritten({ mutations }: TransactionContent, result: WriteResult): void {
@@ -62,6 +62,6 @@
 			// The pages decide which jobs may start; a job that found no room on them is part of the next write.
 			this.state.applyOwnMutations(mutations, result.revision)
 			this.flush()
-		} else if (result.kind !== 'refused') this.state.ports.refreshCache(() => this.flush())
+		} else if (result.kind !== 'refused') this.state.dependencies.refreshCache(() => this.flush())
 	}
 }
--- a/packages/controller/src/rental-executor.ts
+++ b/packages/controller/src/rental-executor.ts
@@ -50,7 +50,11 @@
 		}
 		this.rentalsByName.set(name, { offer, count })
 		this.intentWriteCount++
-		this.state.ports.log('info', 'scale-out requested', { rental: name, offer: offerKey(offer), count })
+		this.state.dependencies.log('info', 'scale-out requested', {
+			rental: name,
+			offer: offerKey(offer),
+			count,
+		})
 		const key = KEY_PREFIX + machineGroupKey(name)
 		const data = encodeMachineGroup(record)
 		this.state.enqueueOwnedWrite(
@@ -72,7 +76,7 @@
 			spot: record.spot,
 			count: record.requestedCount,
 		}
-		this.state.ports.rent(request, (result) => this.onRentalAnswered(name, record, result))
+		this.state.dependencies.rent(request, (result) => this.onRentalAnswered(name, record, result))
 	}
 
 	/** A machine group of this shard changed: its rental is answered, or its intent was written late and is carried out. */
@@ -99,7 +103,7 @@
 	): void {
 		this.intentWriteCount--
 		if (result.kind === 'ok') {
-			this.state.ports.applyOwnWrite(machineGroupKey(name), data, result.revision)
+			this.state.dependencies.applyOwnWrite(machineGroupKey(name), data, result.revision)
 			this.rentRecordedGroup(name, record)
 		} else if (result.kind === 'unknown') this.resolveUnknownIntent(name, record)
 		else this.rentalsByName.delete(name)
@@ -107,8 +111,9 @@
 
 	/** If the intent was applied after all, the rental is carried out: its record must not stay open. */
 	private resolveUnknownIntent(name: string, record: MachineGroupRecord): void {
-		this.state.ports.refreshCache(() => {
-			if (this.state.ports.entry(machineGroupKey(name)) !== undefined) this.rentRecordedGroup(name, record)
+		this.state.dependencies.refreshCache(() => {
+			if (this.state.dependencies.entry(machineGroupKey(name)) !== undefined)
+				this.rentRecordedGroup(name, record)
 			else this.rentalsByName.delete(name)
 		})
 	}
@@ -122,7 +127,7 @@
 		}
 		const machineIds = result.kind === 'rented' ? result.machineIds : []
 		const { offer } = this.rentalsByName.get(name) ?? this.toPendingRental(record)
-		this.state.ports.log('info', 'scale-out answered', {
+		this.state.dependencies.log('info', 'scale-out answered', {
 			rental: name,
 			offer: offerKey(offer),
 			got: machineIds.length,
@@ -136,13 +141,13 @@
 
 	/** Fewer machines than requested mean that the offer's capacity is exhausted. */
 	private recordAvailability(offer: InstanceOffer, rentedCount: number, requestedCount: number): void {
-		const { offerAvailability } = this.state.ports
+		const { offerAvailability } = this.state.dependencies
 		if (rentedCount >= requestedCount) {
 			offerAvailability.recordSuccess(offerKey(offer))
 			return
 		}
 		const bootMs = offer.type.bootS * 1000
-		offerAvailability.recordRefusal(offerKey(offer), this.state.ports.now(), {
+		offerAvailability.recordRefusal(offerKey(offer), this.state.dependencies.now(), {
 			firstPauseMs: bootMs * FIRST_REFUSAL_PAUSE_IN_BOOTS,
 			maxPauseMs: bootMs * MAX_REFUSAL_PAUSE_IN_BOOTS,
 			isPartlyFilled: rentedCount > 0,
--- a/packages/controller/src/scale-out-plan.ts
+++ b/packages/controller/src/scale-out-plan.ts
@@ -52,15 +52,15 @@
 /** The offers of the catalog that can run a task of the job. */
 export const suitableOffers = (state: ShardState, spec: JobSpec): InstanceOffer[] =>
 	// Each shard begins with another zone, so that they do not all ask for the last machines of the same one.
-	allOffers(state.ports.machineTypes(), state.shardId).filter(
+	allOffers(state.dependencies.machineTypes(), state.shardId).filter(
 		(offer) => fits(spec, offer.type) && isAllowedOn(spec, offer),
 	)
 
 /** The suitable offers that have not been refused for want of capacity just now. */
 export const availableOffers = (state: ShardState, spec: JobSpec): InstanceOffer[] => {
-	const now = state.ports.now()
+	const now = state.dependencies.now()
 	return suitableOffers(state, spec).filter((offer) =>
-		state.ports.offerAvailability.isAvailable(offerKey(offer), now),
+		state.dependencies.offerAvailability.isAvailable(offerKey(offer), now),
 	)
 }
 
--- a/packages/controller/src/scale-out.ts
+++ b/packages/controller/src/scale-out.ts
@@ -54,7 +54,7 @@
 	 */
 	scaleOut(now: number, releasesWait: boolean): void {
 		const freeCalls = this.freeCalls()
-		if (this.state.ports.leadership() !== 'lease' || freeCalls < 1) return
+		if (this.state.dependencies.leadership() !== 'lease' || freeCalls < 1) return
 		// A release's turn: releasing a silent machine frees its tasks, which else wait for as long as rentals lack calls.
 		if (releasesWait && this.lastCallWasRental && this.lackedCalls) return
 		const wanted = this.plan(now).rentals()
@@ -115,7 +115,7 @@
 	 * most calls went to one or two machines while a hundred were wanted.
 	 */
 	private freeCalls(): number {
-		return this.state.ports.availableCloudCalls() - this.rentals.unwrittenCount
+		return this.state.dependencies.availableCloudCalls() - this.rentals.unwrittenCount
 	}
 
 	/**
--- a/packages/controller/src/ports.ts
+++ b/packages/controller/src/shard-dependencies.ts
@@ -87,7 +87,7 @@
 }
 
 /** Everything that a shard needs from the rest of the controller. */
-export interface ShardPorts
+export interface ShardDependencies
 	extends Clocks,
 		StoreAccess,
 		PeerKnowledge,
--- a/packages/controller/src/shard.ts
+++ b/packages/controller/src/shard.ts
@@ -23,10 +23,10 @@
 import { MachineMonitor } from './machine-monitor.js'
 import { MachineRemover } from './machine-remover.js'
 import type { Machine } from './model.js'
-import type { ShardPorts } from './ports.js'
 import { ProgressWriter } from './progress-writer.js'
 import { ScaleOut } from './scale-out.js'
 import { Scheduler } from './scheduler.js'
+import type { ShardDependencies } from './shard-dependencies.js'
 import { ShardState } from './state.js'
 import { TakeoverReconciler } from './takeover-reconciler.js'
 
@@ -68,9 +68,9 @@
 		readonly shardId: number,
 		readonly fencingToken: number,
 		config: Config,
-		private readonly ports: ShardPorts,
+		private readonly dependencies: ShardDependencies,
 	) {
-		const state = new ShardState(shardId, fencingToken, config, ports)
+		const state = new ShardState(shardId, fencingToken, config, dependencies)
 		this.state = state
 		const machineGroups = new MachineGroupWriter(state)
 		this.inheritedBoots = new InheritedBoots(state)
@@ -112,14 +112,14 @@
 	private rebuildFromRecords(): void {
 		const openRentals = this.readMachineGroups()
 		this.takeover.begin()
-		for (const uid of this.ports.openJobs()) {
-			const job = this.ports.job(uid)
+		for (const uid of this.dependencies.openJobs()) {
+			const job = this.dependencies.job(uid)
 			const mayBeOnMachines = !this.state.reconciled
 			if (job !== undefined) this.jobLifecycle.onJobChanged(uid, job.record, { mayBeOnMachines })
 		}
 		for (const [name, record] of openRentals) this.scaleOut.resumeRental(name, record)
 		this.takeover.probeUnconfirmed()
-		this.ports.log('info', 'shard reconciling', {
+		this.dependencies.log('info', 'shard reconciling', {
 			part: this.shardId,
 			token: this.fencingToken,
 			jobs: this.jobs.size,
@@ -131,7 +131,7 @@
 	/** Adds the recorded machines; returns the rentals whose answer the former owner may never have seen. */
 	private readMachineGroups(): [name: string, record: MachineGroupRecord][] {
 		const openRentals: [string, MachineGroupRecord][] = []
-		for (const [key, entry] of this.ports.withPrefix(MACHINE_GROUP_PREFIX)) {
+		for (const [key, entry] of this.dependencies.withPrefix(MACHINE_GROUP_PREFIX)) {
 			const record = decodeMachineGroup(entry.data)
 			if (record?.shardId !== this.shardId) continue
 			const name = key.slice(MACHINE_GROUP_PREFIX.length)
@@ -232,8 +232,8 @@
 	/** Regular check of everything that changes with time alone. */
 	tick(): void {
 		if (this.state.stopped) return
-		const now = this.ports.now()
-		const leadership = this.ports.leadership()
+		const now = this.dependencies.now()
+		const leadership = this.dependencies.leadership()
 		this.failureDetector.tick(now, leadership)
 		if (leadership === 'none') return
 		const { toRelease, jobsToWrite } = this.machineMonitor.checkAll(now)
@@ -275,7 +275,7 @@
 	 * have to wait for that machine before any old job continues, while this one knows what it holds (incident 6).
 	 */
 	isQuiescent(): boolean {
-		return this.state.reconciled && this.failureDetector.missedHeartbeats(this.ports.now()) === 0
+		return this.state.reconciled && this.failureDetector.missedHeartbeats(this.dependencies.now()) === 0
 	}
 
 	/** Resources that a team's tasks use in this shard. */
--- a/packages/controller/src/state.ts
+++ b/packages/controller/src/state.ts
@@ -17,8 +17,8 @@
 import { recomputeFreeResources, recordCachedImage } from './machine-resources.js'
 import type { Attempt, Machine } from './model.js'
 import { newMachine, unknownMachineType } from './new-machine.js'
-import type { ShardPorts } from './ports.js'
 import { RunTimeEstimator } from './run-time-estimator.js'
+import type { ShardDependencies } from './shard-dependencies.js'
 import { TeamUsage } from './team-usage.js'
 
 /** Heartbeat intervals without a heartbeat after which a machine takes nothing new. */
@@ -50,25 +50,25 @@
 		readonly shardId: number,
 		readonly fencingToken: number,
 		readonly config: Config,
-		readonly ports: ShardPorts,
+		readonly dependencies: ShardDependencies,
 	) {
-		this.teams = new TeamUsage(shardId, config.settings.deployment.teams, ports)
+		this.teams = new TeamUsage(shardId, config.settings.deployment.teams, dependencies)
 		this.queue = new JobQueue({
 			jobs: this.jobs,
 			config,
 			teams: this.teams,
 			runTimes: this.runTimes,
-			wallClockMs: () => ports.wallClockMs(),
+			wallClockMs: () => dependencies.wallClockMs(),
 		})
 		this.attempts = new AttemptRegistry({
 			jobs: this.jobs,
 			teams: this.teams,
 			queue: this.queue,
-			now: () => ports.now(),
+			now: () => dependencies.now(),
 		})
 		this.records = {
-			get: (key) => ports.entry(key),
-			modRevision: (key) => ports.entry(key)?.modRevision ?? 0,
+			get: (key) => dependencies.entry(key),
+			modRevision: (key) => dependencies.entry(key)?.modRevision ?? 0,
 		}
 		this.pageLimits = terminalPageLimits(config)
 	}
@@ -77,7 +77,7 @@
 
 	/** Do terminal states share pages? In the first form of the records each has a key of its own. */
 	get usesTerminalPages(): boolean {
-		return this.ports.entry(HISTORY_KEY) !== undefined
+		return this.dependencies.entry(HISTORY_KEY) !== undefined
 	}
 
 	/** Every write of an owner holds only while its ownership does. */
@@ -93,7 +93,7 @@
 		done: (result: WriteResult) => void = () => {},
 	): void {
 		const content = { conditions: [this.ownershipCondition(), ...conditions], mutations }
-		this.ports.enqueueWrite({
+		this.dependencies.enqueueWrite({
 			priority,
 			build: () => (this.stopped ? null : content),
 			onResult: done,
@@ -104,20 +104,20 @@
 	applyOwnMutations(mutations: readonly Mutation[], revision: number): void {
 		for (const mutation of mutations)
 			if ('set' in mutation)
-				this.ports.applyOwnWrite(mutation.set.slice(KEY_PREFIX.length), mutation.data, revision)
+				this.dependencies.applyOwnWrite(mutation.set.slice(KEY_PREFIX.length), mutation.data, revision)
 	}
 
 	// ---- machines ----
 
 	/** The machine type of this name, or a stand-in without resources if the catalog does not have it. */
 	machineTypeNamed(name: string): MachineType {
-		const type = this.ports.machineTypes().find((candidate) => candidate.name === name)
+		const type = this.dependencies.machineTypes().find((candidate) => candidate.name === name)
 		return type ?? unknownMachineType(name, this.config.limits.agentLeaseMs / 1000)
 	}
 
 	/** Adds a machine of a machine group's record, which became known at a time: now if not given. */
 	addMachine(id: string, groupName: string, record: MachineGroupRecord, recordedAt?: number): Machine {
-		const now = this.ports.now()
+		const now = this.dependencies.now()
 		const machine = newMachine(id, {
 			groupName,
 			record,
--- a/packages/controller/src/takeover-reconciler.ts
+++ b/packages/controller/src/takeover-reconciler.ts
@@ -31,7 +31,7 @@
 		private readonly scheduler: Scheduler,
 		private readonly actions: TakeoverActions,
 	) {
-		this.takenOverAt = state.ports.now()
+		this.takenOverAt = state.dependencies.now()
 	}
 
 	/** Identifiers of the machines that are not accounted for yet. */
@@ -60,7 +60,7 @@
 		if (machine.address === null || machine.probing || this.openProbes >= maxProbes) return
 		machine.probing = true
 		this.openProbes++
-		this.state.ports.sendCommands(
+		this.state.dependencies.sendCommands(
 			machine.address,
 			machine.fencingToken,
 			machine.agentEpoch > 0 ? machine.agentEpoch : 1,
@@ -105,9 +105,9 @@
 		this.state.reconciled = true
 		for (const job of this.state.jobs.values()) if (!job.isReconciled) this.completeJob(job)
 		this.state.queueDirty = true
-		this.state.ports.log('info', 'shard reconciled', {
+		this.state.dependencies.log('info', 'shard reconciled', {
 			part: this.state.shardId,
-			afterMs: Math.round(this.state.ports.now() - this.takenOverAt),
+			afterMs: Math.round(this.state.dependencies.now() - this.takenOverAt),
 		})
 		this.scheduler.placeTasks(this.state.machines.values())
 	}
@@ -133,7 +133,8 @@
 		const maxPatienceMs = Math.min(heartbeatMs * MAX_PATIENCE_HEARTBEATS, controllerLeaseMs)
 		const patienceMs = reconcilePatienceMs(missing.length, this.state.machines.size, maxPatienceMs)
 		if (patienceMs === null || now - this.takenOverAt <= patienceMs) return
-		if (this.state.ports.leadership() !== 'lease' || this.state.ports.availableCloudCalls() < 1) return
+		if (this.state.dependencies.leadership() !== 'lease' || this.state.dependencies.availableCloudCalls() < 1)
+			return
 		const blocking = missing.filter((machine) => !machine.releasing)
 		if (blocking.length === 0) return
 		for (const machine of blocking) machine.drainReason = 'unreachable after a takeover'
--- a/packages/controller/src/task-placement.ts
+++ b/packages/controller/src/task-placement.ts
@@ -64,7 +64,7 @@
 
 	/** Runs one placement round over these machines, job by job in the order of the queue. */
 	placeTasks(machines: Iterable<Machine>): void {
-		const now = this.state.ports.now()
+		const now = this.state.dependencies.now()
 		if (!this.mayStartTasks()) return
 		let openMachines: Machine[] = []
 		for (const machine of machines)
@@ -79,9 +79,9 @@
 
 	/** Only an owner whose records are as recent as its ownership may start tasks. */
 	private mayStartTasks(): boolean {
-		if (this.state.stopped || this.state.ports.leadership() === 'none') return false
+		if (this.state.stopped || this.state.dependencies.leadership() === 'none') return false
 		// Writes that precede the takeover and are not known here yet may have moved jobs to other shards.
-		return this.state.ports.revision() >= this.state.fencingToken
+		return this.state.dependencies.revision() >= this.state.fencingToken
 	}
 
 	/** Places all remaining tasks of a gang, or none of them. */
@@ -118,7 +118,7 @@
 		runS: number,
 		openMachines: readonly Machine[],
 	): readonly PlacementCandidate[] {
-		const now = this.state.ports.now()
+		const now = this.state.dependencies.now()
 		return openMachines
 			.filter((machine) => isCandidate(job, machine, now))
 			.map((machine) => {
--- a/packages/controller/src/team-usage.ts
+++ b/packages/controller/src/team-usage.ts
@@ -1,6 +1,6 @@
 /** What teams use of the machines, against their guarantees (quotas) and limits. */
 import type { TeamLimit } from '@heathroad/policy'
-import type { ShardPorts } from './ports.js'
+import type { ShardDependencies } from './shard-dependencies.js'
 
 /** CPUs and GPUs in use. */
 export interface TeamResources {
@@ -16,7 +16,7 @@
 	constructor(
 		private readonly shardId: number,
 		teams: readonly TeamLimit[],
-		private readonly ports: Pick<ShardPorts, 'usageInOtherShards'>,
+		private readonly dependencies: Pick<ShardDependencies, 'usageInOtherShards'>,
 	) {
 		this.limitsByTeam = new Map(teams.map((team) => [team.name, team]))
 	}
@@ -50,7 +50,7 @@
 	/** Usage in all shards, the others' as their owners last reported it: guarantees hold for the whole service. */
 	private inAllShards(team: string): TeamResources {
 		const here = this.inShard(team)
-		const elsewhere = this.ports.usageInOtherShards(this.shardId, team)
+		const elsewhere = this.dependencies.usageInOtherShards(this.shardId, team)
 		return { cpus: here.cpus + elsewhere.cpus, gpus: here.gpus + elsewhere.gpus }
 	}
 
--- a/packages/controller/src/terminal-state-writer.ts
+++ b/packages/controller/src/terminal-state-writer.ts
@@ -29,7 +29,7 @@
 	/** Pending jobs without a terminal state on record; the others leave the set. */
 	private openJobs(): JobRun[] {
 		for (const job of this.pendingJobs)
-			if (job.isTerminal || this.state.ports.job(job.spec.uid)?.record.finalState !== undefined)
+			if (job.isTerminal || this.state.dependencies.job(job.spec.uid)?.record.finalState !== undefined)
 				this.pendingJobs.delete(job)
 		return [...this.pendingJobs]
 	}
@@ -53,7 +53,7 @@
 	private flush(): void {
 		if (this.write !== null || this.pendingJobs.size === 0 || this.state.stopped) return
 		let sent: SentWrite | null = null
-		this.write = this.state.ports.enqueueWrite({
+		this.write = this.state.dependencies.enqueueWrite({
 			priority: WritePriority.outcome,
 			build: () => {
 				sent = this.buildWrite()
@@ -66,7 +66,7 @@
 					for (const job of sent.jobs) this.pendingJobs.delete(job)
 					this.state.applyOwnMutations(sent.content.mutations, result.revision)
 					this.flush()
-				} else if (result.kind !== 'refused') this.state.ports.refreshCache(() => this.flush())
+				} else if (result.kind !== 'refused') this.state.dependencies.refreshCache(() => this.flush())
 			},
 		})
 	}
--- a/packages/server/src/shard-ports.ts
+++ b/packages/server/src/shard-ports.ts
@@ -1,7 +1,7 @@
 /** The dependencies of shards, made of the controller's components. */
 import type { CloudClient } from '@heathroad/cloud'
 import { type JobRegistry, type ReleaseRegistry, requiresRelease } from '@heathroad/cluster'
-import type { ShardPorts } from '@heathroad/controller'
+import type { ShardDependencies } from '@heathroad/controller'
 import { encodeCommands, type HttpClient, parseHeartbeat } from '@heathroad/wire'
 import { Effect } from 'effect'
 import type { ControllerContext } from './controller-context.js'
@@ -13,7 +13,7 @@
 const COMMAND_TIMEOUT_HEARTBEATS = 2
 
 /** The controller's components that shards use through their ports. */
-export interface ShardDependencies {
+export interface ShardDependencySources {
 	context: ControllerContext
 	localStatus: LocalStatus
 	releases: ReleaseRegistry
@@ -35,7 +35,7 @@
 }
 
 type RecordPorts = Pick<
-	ShardPorts,
+	ShardDependencies,
 	| 'entry'
 	| 'withPrefix'
 	| 'applyOwnWrite'
@@ -47,7 +47,7 @@
 >
 
 /** Reads and writes of the records. */
-const recordPorts = ({ context, afterLinearizableRead }: ShardDependencies): RecordPorts => ({
+const recordPorts = ({ context, afterLinearizableRead }: ShardDependencySources): RecordPorts => ({
 	entry: (key) => context.cache.get(key),
 	withPrefix: (prefix) => context.cache.withPrefix(prefix),
 	applyOwnWrite: (key, data, modRevision) => context.cache.applyOwnWrite(key, data, modRevision),
@@ -64,7 +64,7 @@
 })
 
 type JobPorts = Pick<
-	ShardPorts,
+	ShardDependencies,
 	| 'job'
 	| 'openJobs'
 	| 'wasQuarantined'
@@ -76,7 +76,7 @@
 >
 
 /** What the controller knows of jobs and of other shards. */
-const jobPorts = ({ context, localStatus, releases }: ShardDependencies): JobPorts => ({
+const jobPorts = ({ context, localStatus, releases }: ShardDependencySources): JobPorts => ({
 	job: (uid) => context.jobs.get(uid),
 	openJobs: () => context.jobs.openJobs,
 	wasQuarantined: (uid) =>
@@ -89,12 +89,12 @@
 })
 
 type MachinePorts = Pick<
-	ShardPorts,
+	ShardDependencies,
 	'sendCommands' | 'rent' | 'releaseMachines' | 'availableCloudCalls' | 'machineTypes' | 'offerAvailability'
 >
 
 /** Calls to machines and to the cloud. */
-const machinePorts = ({ context, cloud, workerClient }: ShardDependencies): MachinePorts => ({
+const machinePorts = ({ context, cloud, workerClient }: ShardDependencySources): MachinePorts => ({
 	sendCommands: (address, fencingToken, agentEpoch, commands, done) => {
 		const timeoutMs = context.config.limits.heartbeatMs * COMMAND_TIMEOUT_HEARTBEATS
 		const body = encodeCommands(fencingToken, commands, agentEpoch)
@@ -114,7 +114,7 @@
 })
 
 /** Returns the ports for one shard. */
-export const createShardPorts = (dependencies: ShardDependencies): ShardPorts => {
+export const createShardPorts = (dependencies: ShardDependencySources): ShardDependencies => {
 	const { context } = dependencies
 	return {
 		now: context.now,
--- a/tests/gate.test.ts
+++ b/tests/gate.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test'
 import { type JobRecord, markReleased, releasePageKey } from '@heathroad/cluster'
 import { DEFAULT_OPERATOR_SETTINGS, deriveLimits } from '@heathroad/config'
-import { type AdmissionChecks, Shard, type ShardPorts, type Verdict } from '@heathroad/controller'
+import { type AdmissionChecks, Shard, type ShardDependencies, type Verdict } from '@heathroad/controller'
 import { arrayJob, idlePorts, plainSettings } from '@heathroad/testkit'
 
 interface GateHarness {
@@ -70,7 +70,7 @@
 	})
 	const ports = new Proxy(uncountedPorts, {
 		get: (target, name) => {
-			const port = target[name as keyof ShardPorts]
+			const port = target[name as keyof ShardDependencies]
 			if (typeof port !== 'function') return port
 			return (...args: unknown[]) => {
 				harness.portCallCount++
