--- a/packages/controller/src/attempt-tracker.ts
+++ b/packages/controller/src/attempt-tracker.ts
@@ -39,7 +39,7 @@
 		const { job, machine } = attempt
 		attempt.exitReason = reported.exitReason
 		const spent = this.state.attemptCost(attempt)
-		this.state.freeResourcesOf(machine, attempt)
+		this.state.releaseResources(machine, attempt)
 		if (reported.exitReason === 'completed') {
 			this.crashLoops.onTaskSucceeded(machine)
 			if (job !== null && reported.taskIndex < job.spec.tasks) this.onTaskSucceeded(job, attempt, spent, now)
--- a/packages/controller/src/machine-adopter.ts
+++ b/packages/controller/src/machine-adopter.ts
@@ -1,19 +1,19 @@
-/** Takes unregistered machines, which report but stand in no record, into a shard. */
+/** Adopts unregistered machines, which send heartbeats but are in no machine group record. */
 import { encodeMachineGroup, machineGroupKey } from '@heathroad/cluster'
 import { KEY_PREFIX, WritePriority } from '@heathroad/store'
 import type { Heartbeat } from '@heathroad/wire'
 import type { ShardState } from './state.js'
 
-/** Writes records for unregistered machines that fall to this shard. */
+/** Writes machine group records for unregistered machines assigned to this shard. */
 export class MachineAdopter {
 	private groupCounter = 0
 
 	constructor(private readonly state: ShardState) {}
 
 	/**
-	 * Records the machines of these heartbeats as one machine group. A machine that has seen no fencing token has had
-	 * no commands, so it holds nothing. The caller has made sure that no rental can yet bring the machines under
-	 * another record. `done` is called in every case.
+	 * Records the machines of these heartbeats as one machine group. A machine that has seen no fencing token has
+	 * received no commands, so it holds no tasks. The caller ensures that no open rental can still add the machines to
+	 * another record. `done` is always called.
 	 */
 	adopt(heartbeats: readonly Heartbeat[], done: () => void): void {
 		const unrecorded = heartbeats.filter((heartbeat) => !this.state.machines.has(heartbeat.machineId))
@@ -35,7 +35,7 @@
 			(result) => {
 				if (result.kind === 'ok' && !this.state.stopped) {
 					this.state.dependencies.applyOwnWrite(machineGroupKey(name), data, result.revision)
-					this.confirmEmpty(unrecorded)
+					this.markReconciled(unrecorded)
 					this.state.dependencies.log('info', 'machines adopted', {
 						machines: Object.keys(addresses),
 						part: shardId,
@@ -46,7 +46,7 @@
 		)
 	}
 
-	private confirmEmpty(heartbeats: readonly Heartbeat[]): void {
+	private markReconciled(heartbeats: readonly Heartbeat[]): void {
 		for (const heartbeat of heartbeats) {
 			const machine = this.state.machines.get(heartbeat.machineId)
 			if (machine !== undefined && heartbeat.fencingToken === 0) machine.reconciled = true
--- a/packages/controller/src/machine-commands.ts
+++ b/packages/controller/src/machine-commands.ts
@@ -1,15 +1,15 @@
-/** Chooses the commands that a machine gets in the response to its heartbeat. */
+/** Selects the commands for a machine in the response to its heartbeat. */
 import { type Command, MAX_COMMANDS_PER_RESPONSE } from '@heathroad/wire'
 import type { Attempt, JobRun, Machine } from './model.js'
 import type { ShardState } from './state.js'
 
-/** Derives commands from the attempts of a machine, and says which outcomes the machine still has to keep. */
+/** Derives commands from a machine's attempts, and determines which outcomes the machine must still keep. */
 export class MachineCommands {
 	constructor(private readonly state: ShardState) {}
 
 	/**
 	 * Commands for a machine: forget and kill commands first, then starts of planned attempts, which become `sent`.
-	 * A machine that may hold unknown tasks or whose address is not recorded gets no starts.
+	 * A machine that may hold unknown tasks or whose address is not recorded receives no start commands.
 	 */
 	forHeartbeat(machine: Machine): Command[] {
 		const commands: Command[] = []
@@ -46,7 +46,7 @@
 		}
 	}
 
-	/** A machine may forget an ended attempt only once its success is durable, or if it was no success. */
+	/** A machine may forget an exited attempt once its completion is durable, or at once if it did not complete. */
 	private mayForget(attempt: Attempt): boolean {
 		if (attempt.exitReason !== 'completed') return true
 		const { job } = attempt
@@ -56,7 +56,7 @@
 		return record === undefined || record.finalState !== undefined
 	}
 
-	/** Jobs with outcomes on this machine that are not durable yet; null stands for jobs of other shards. */
+	/** Jobs with outcomes on this machine that are not durable yet; null represents jobs of other shards. */
 	jobsWithUndurableOutcomes(machine: Machine): Set<JobRun | null> {
 		const jobs = new Set<JobRun | null>()
 		for (const attempt of machine.attempts.values())
--- a/packages/controller/src/machine-group-writer.ts
+++ b/packages/controller/src/machine-group-writer.ts
@@ -1,4 +1,4 @@
-/** Writes of machine group records: which machines a shard has, and at which addresses. */
+/** Writes machine group records, which list a shard's machines and their addresses. */
 import {
 	decodeMachineGroup,
 	encodeMachineGroup,
@@ -14,25 +14,25 @@
 } from '@heathroad/store'
 import type { ShardState } from './state.js'
 
-/** Changes of one machine group that are not durable yet. */
+/** Changes to one machine group that are not durable yet. */
 interface PendingChanges {
-	/** by machine: once its address is written it may get start commands */
+	/** by machine id; a machine may receive start commands once its address is durable */
 	addresses: Map<string, string>
-	/** machines that are gone for certain */
+	/** machines that are confirmed gone */
 	removedMachineIds: Set<string>
-	/** machines of the answered rental; null: none was answered */
+	/** machines that the cloud returned for the rental; null: no response yet */
 	rentedMachineIds: readonly string[] | null
-	/** the write that will carry them, waiting or under way */
+	/** the queued or running write that includes these changes */
 	write: QueuedWrite | null
 }
 
-/** What the pending changes make of a machine group's record. */
+/** Mutation of a machine group's record that the pending changes require. */
 type PlannedChange =
 	| { kind: 'none' }
 	| { kind: 'delete'; modRevision: number }
 	| { kind: 'set'; modRevision: number; data: unknown }
 
-/** Applies the changes that the record does not have yet; null if it has them all. */
+/** Applies the changes that the record lacks; returns null if it lacks none. */
 const applyChanges = (record: MachineGroupRecord, changes: PendingChanges): MachineGroupRecord | null => {
 	const addresses = { ...record.addresses }
 	let isChanged = false
@@ -55,32 +55,32 @@
 	return { ...record, requestedCount, addresses }
 }
 
-/** A group is deleted once its rental is answered and it has no machines. */
+/** A group can be deleted once its rental has a result and it has no machines. */
 const isEmptyGroup = (record: MachineGroupRecord): boolean =>
 	record.requestedCount === 0 && Object.keys(record.addresses).length === 0
 
 /**
- * Writes the machine groups of one shard. Changes of a group that are requested while a write of it waits are part of
- * that write: the number of writes follows the number of groups, not of machines.
+ * Writes the machine groups of one shard. Changes to a group while a write of it is queued are merged into that write,
+ * so the number of writes depends on the number of groups, not of machines.
  */
 export class MachineGroupWriter {
 	private readonly changesByGroup = new Map<string, PendingChanges>()
 
 	constructor(private readonly state: ShardState) {}
 
-	/** Records a machine's address. The machine may get start commands once the group's change shows it. */
+	/** Records a machine's address. The machine may receive start commands once the record's change is delivered. */
 	recordAddress(groupName: string, machineId: string, address: string): void {
 		this.changesOf(groupName).addresses.set(machineId, address)
 		this.flush(groupName, WritePriority.outcome)
 	}
 
-	/** Removes a machine that is gone for certain. Until that is durable, a new owner of the shard waits for the machine. */
+	/** Removes a machine that is confirmed gone. Until this is durable, a new owner of the shard waits for the machine. */
 	removeMachine(groupName: string, machineId: string): void {
 		this.changesOf(groupName).removedMachineIds.add(machineId)
 		this.flush(groupName, WritePriority.outcome)
 	}
 
-	/** Records the machines of an answered rental; the group is deleted if there are none. */
+	/** Records the machines that a rental returned; deletes the group if there are none. */
 	recordRentalResult(groupName: string, machineIds: readonly string[]): void {
 		this.changesOf(groupName).rentedMachineIds = machineIds
 		this.flush(groupName, WritePriority.rental)
@@ -99,7 +99,7 @@
 		return changes
 	}
 
-	/** What is to be written to the group's record as it is now; `none` also if it is not of this shard any more. */
+	/** Plans the change to the group's current record; `none` also if the record no longer belongs to this shard. */
 	private planChange(groupName: string): PlannedChange {
 		const changes = this.changesOf(groupName)
 		const entry = this.state.dependencies.entry(machineGroupKey(groupName))
@@ -113,7 +113,7 @@
 		return { kind: 'set', modRevision, data: encodeMachineGroup(changed) }
 	}
 
-	/** Enqueues a write of the group's changes, or raises the priority of the one that waits. */
+	/** Enqueues a write of the group's changes, or raises the priority of the write in the queue. */
 	private flush(groupName: string, priority: number): void {
 		const changes = this.changesOf(groupName)
 		if (changes.write !== null) {
@@ -149,21 +149,21 @@
 		planned: PlannedChange,
 		result: WriteResult,
 	): void {
-		const flushRest = () => this.flushRest(groupName, changes)
+		const flushRemaining = () => this.flushRemaining(groupName, changes)
 		if (result.kind === 'ok') {
-			// A deletion is left to the watch: older changes of the key may still be on their way to the watch cache.
+			// The watch delivers the deletion: the watch cache may still have to receive older changes to the key.
 			if (planned.kind !== 'set') {
 				this.changesByGroup.delete(groupName)
 				return
 			}
 			this.state.dependencies.applyOwnWrite(machineGroupKey(groupName), planned.data, result.revision)
-			flushRest()
-		} else if (result.kind === 'refused') flushRest()
-		else this.state.dependencies.refreshCache(flushRest)
+			flushRemaining()
+		} else if (result.kind === 'refused') flushRemaining()
+		else this.state.dependencies.refreshCache(flushRemaining)
 	}
 
-	/** Writes what came meanwhile or was not applied; forgets the changes if there is nothing left. */
-	private flushRest(groupName: string, changes: PendingChanges): void {
+	/** Writes changes that were added meanwhile or not applied; drops the entry if there are none. */
+	private flushRemaining(groupName: string, changes: PendingChanges): void {
 		if (this.state.stopped || changes.write !== null) return
 		if (this.planChange(groupName).kind === 'none') this.changesByGroup.delete(groupName)
 		else if (changes.rentedMachineIds !== null) this.flush(groupName, WritePriority.rental)
--- a/packages/controller/src/machine-monitor.ts
+++ b/packages/controller/src/machine-monitor.ts
@@ -1,4 +1,4 @@
-/** Regular check of every machine: lease expiry, missed heartbeats, boots that never end, draining and idleness. */
+/** Periodic check of every machine: lease expiry, missed heartbeats, failed boots, draining and idleness. */
 
 import type { FailureDetector } from './failure-detector.js'
 import type { MachineCommands } from './machine-commands.js'
@@ -6,35 +6,35 @@
 import { MAX_MISSED_HEARTBEATS, type ShardState } from './state.js'
 import type { TakeoverReconciler } from './takeover-reconciler.js'
 
-/** Share of a boot's time that a machine stays idle: waiting that long costs half a boot, in case work comes. */
+/** Idle time before release, as a share of boot time: keeping the machine for new work costs up to half a boot. */
 const IDLE_BOOT_SHARE = 0.5
 
-/** A preemption notice can turn out half as long as it said. */
+/** Share of the announced preemption notice to rely on: a machine can be lost after half of it. */
 const RELIABLE_NOTICE_SHARE = 0.5
 
-/** Heartbeat intervals that a kill command takes to arrive and its effect to be reported. */
+/** Heartbeat intervals until a kill command is delivered and its effect is reported. */
 const KILL_ROUND_TRIP_HEARTBEATS = 2
 
 /** Result of one check of all machines. */
 export interface MachineCheckResult {
-	/** machines to return to the cloud now, or whose release is to be repeated */
+	/** machines to release to the cloud now, or whose release is to be retried */
 	toRelease: Machine[]
-	/** jobs whose undurable outcomes keep an empty machine; null stands for jobs of other shards */
+	/** jobs whose undurable outcomes block the release of an empty machine; null represents jobs of other shards */
 	jobsToWrite: Set<JobRun | null>
 }
 
-/** What is the same for all machines of one check. */
+/** Values shared by all machines of one check. */
 interface CheckContext {
 	now: number
-	/** some job waits for room on machines */
+	/** some job is waiting for free resources */
 	jobsWait: boolean
 }
 
-/** Starts are sent in answers to heartbeats, and only to machines whose address is durable. */
+/** Start commands are sent in heartbeat responses, and only to machines whose address is durable. */
 const cannotStartTasksYet = ({ heartbeatReceived, addressRecorded }: Machine): boolean =>
 	!(heartbeatReceived && addressRecorded)
 
-/** Finds the machines that are to be returned, and expires the attempts of machines whose agent lease has ended. */
+/** Finds machines to release, and removes the attempts of machines whose agent lease has expired. */
 export class MachineMonitor {
 	constructor(
 		private readonly state: ShardState,
@@ -43,7 +43,7 @@
 		private readonly takeover: TakeoverReconciler,
 	) {}
 
-	/** Checks all machines once, in the order in which they became known. */
+	/** Checks all machines once, in the order in which they were added. */
 	checkAll(now: number): MachineCheckResult {
 		const toRelease: Machine[] = []
 		const jobsToWrite = new Set<JobRun | null>()
@@ -54,10 +54,10 @@
 		return { toRelease, jobsToWrite }
 	}
 
-	/** Checks one machine and adds the jobs whose outcomes keep it; true if it is to be released now. */
+	/** Checks one machine and adds the jobs whose outcomes block its release; true if it is to be released now. */
 	private check(machine: Machine, { now, jobsWait }: CheckContext, jobsToWrite: Set<JobRun | null>): boolean {
 		if (machine.releasing) {
-			// While the cloud is down its release may take long: the lease frees its tasks all the same.
+			// During a cloud outage the release may take long; lease expiry still requeues the machine's tasks.
 			if (machine.booted) this.checkLease(machine, now)
 			return now >= machine.retryReleaseAt
 		}
@@ -70,13 +70,13 @@
 		const mayGetWork = jobsWait && cannotStartTasksYet(machine)
 		if (machine.drainReason === null && this.isIdleTooLong(machine, now) && !mayGetWork)
 			machine.drainReason = 'idle'
-		// Until they are durable, the outcomes of its ended tasks are on this machine only.
+		// Outcomes of exited tasks exist only on this machine until they are durable.
 		const unwritten = this.commands.jobsWithUndurableOutcomes(machine)
 		for (const job of unwritten) jobsToWrite.add(job)
 		return unwritten.size === 0 && machine.drainReason !== null && machine.preemptionDeadline === null
 	}
 
-	/** A few machines never boot; they cost money until they are released. */
+	/** True if the machine has not booted in time: a few never do, and cost money until they are released. */
 	private checkBoot(machine: Machine, now: number): boolean {
 		const maxBootMs = Math.max(
 			this.state.bootTimes.returnAfterMs(machine.type),
@@ -87,7 +87,7 @@
 		return true
 	}
 
-	/** Withdraws plans for a machine that misses heartbeats and expires its lease; true if it is to be released now. */
+	/** Removes planned attempts if heartbeats are missed, and checks the lease; true if it is to be released now. */
 	private checkHeartbeats(machine: Machine, now: number): boolean {
 		const maxSilenceMs = this.state.config.limits.heartbeatMs * MAX_MISSED_HEARTBEATS
 		if (now - machine.lastHeartbeatAt > maxSilenceMs)
@@ -99,7 +99,7 @@
 		return true
 	}
 
-	/** A machine whose agent lease must have ended runs nothing any more: its tasks may start elsewhere. */
+	/** After its agent lease has expired a machine runs no tasks, so they may start elsewhere. */
 	private checkLease(machine: Machine, now: number): void {
 		if (now - machine.lastHeartbeatAt <= this.state.config.limits.agentLeaseMs) return
 		for (const attempt of [...machine.attempts.values()]) {
@@ -111,7 +111,7 @@
 			this.state.removeAttempt(machine, attempt)
 		}
 		if (machine.reconciled) return
-		// Its next heartbeat will be of a new agent epoch; what it held under a former owner is gone.
+		// Its next heartbeat will have a new agent epoch; its tasks from a former owner are gone.
 		machine.reconciled = true
 		this.takeover.confirm(machine)
 	}
@@ -131,7 +131,7 @@
 		return now - machine.idleSince > maxIdleMs
 	}
 
-	/** Withdraws plans, and stops tasks at the last moment at which they can still save; the rest may still finish. */
+	/** Removes planned attempts, and stops tasks at the last moment at which they can still save; others may finish. */
 	private drain(machine: Machine, now: number): void {
 		const remainingS =
 			machine.preemptionDeadline === null
@@ -145,8 +145,8 @@
 			}
 			const spec = attempt.job?.spec
 			if (attempt.state !== 'running' || spec === undefined || attempt.stopGracePeriodS !== null) continue
-			// What cannot save is stopped at the last moment all the same: its task can then start elsewhere at once, not
-			// only when the dead machine's lease has expired.
+			// Tasks without checkpoints are stopped at the last moment too: they can then start elsewhere at once, rather
+			// than when the lost machine's lease expires.
 			const saveS = spec.checkpointS > 0 ? spec.saveS : 0
 			if (remainingS * RELIABLE_NOTICE_SHARE < saveS + killRoundTripS)
 				attempt.stopGracePeriodS = gracePeriodS(spec)
--- a/packages/controller/src/machine-remover.ts
+++ b/packages/controller/src/machine-remover.ts
@@ -1,4 +1,4 @@
-/** Removes machines from a shard: after their record went, or by returning them to the cloud (scale-in). */
+/** Removes machines from a shard: after their record is removed, or by releasing them to the cloud (scale-in). */
 
 import type { HeartbeatHandler } from './heartbeat-handler.js'
 import type { MachineGroupWriter } from './machine-group-writer.js'
@@ -7,13 +7,13 @@
 import type { ShardState } from './state.js'
 import type { TakeoverReconciler } from './takeover-reconciler.js'
 
-/** The most machines that one call to the cloud may release (protocol). */
+/** Maximum number of machines in one release call to the cloud (protocol). */
 const MAX_MACHINES_PER_RELEASE = 100
 
-/** Pause before an unconfirmed release is repeated, in controller leases: the call rate stays free after an outage. */
+/** Delay before an unconfirmed release is retried, in controller leases: leaves call rate for others after an outage. */
 const RELEASE_RETRY_CONTROLLER_LEASES = 0.5
 
-/** The other components of a shard that removing a machine involves. */
+/** Components of the shard that take part in removing a machine. */
 export interface MachineRemoverDependencies {
 	heartbeats: HeartbeatHandler
 	takeover: TakeoverReconciler
@@ -21,14 +21,14 @@
 	scheduler: Scheduler
 }
 
-/** Releases machines to the cloud and removes all that the shard has on record of machines that are gone. */
+/** Releases machines to the cloud, and removes machines that are gone from the shard's state and records. */
 export class MachineRemover {
 	constructor(
 		private readonly state: ShardState,
 		private readonly dependencies: MachineRemoverDependencies,
 	) {}
 
-	/** Removes a machine that is gone, or is another shard's: its tasks may be started elsewhere. */
+	/** Removes a machine that is gone or belongs to another shard; its tasks may start elsewhere. */
 	remove(machine: Machine): void {
 		this.dependencies.heartbeats.onMachineRemoved(machine)
 		for (const attempt of [...machine.attempts.values()]) this.state.removeAttempt(machine, attempt)
@@ -36,7 +36,7 @@
 		this.dependencies.takeover.onMachineRemoved(machine)
 	}
 
-	/** Returns machines to the cloud, as many of them as one call takes. A machine in release is never used again. */
+	/** Releases machines to the cloud, up to the maximum of one call. A machine being released is never used again. */
 	release(requested: readonly Machine[]): void {
 		const machines = requested.slice(0, MAX_MACHINES_PER_RELEASE)
 		for (const machine of machines) {
@@ -56,9 +56,9 @@
 		if (this.state.stopped) return
 		const remaining = machines.filter((machine) => this.state.machines.get(machine.id) === machine)
 		if (!gone) {
-			// The release may still be carried out late, so the machines stay in release and it is only repeated.
-			const pauseMs = this.state.config.limits.controllerLeaseMs * RELEASE_RETRY_CONTROLLER_LEASES
-			for (const machine of remaining) machine.retryReleaseAt = this.state.dependencies.now() + pauseMs
+			// The cloud may still apply the release, so the machines stay marked as releasing and the call is retried.
+			const delayMs = this.state.config.limits.controllerLeaseMs * RELEASE_RETRY_CONTROLLER_LEASES
+			for (const machine of remaining) machine.retryReleaseAt = this.state.dependencies.now() + delayMs
 			return
 		}
 		for (const machine of remaining) {
--- a/packages/controller/src/machine-resources.ts
+++ b/packages/controller/src/machine-resources.ts
@@ -1,8 +1,8 @@
-/** Resources of one machine: what its attempts leave free, and the images in its cache. */
+/** Free resources and cached images of one machine. */
 import type { JobSpec } from '@heathroad/wire'
 import type { Machine } from './model.js'
 
-/** Computes what is free from the attempts that are there. */
+/** Recomputes the machine's free resources from its attempts. */
 export const recomputeFreeResources = (machine: Machine): void => {
 	const free = { cpus: machine.type.cpus, gpus: machine.type.gpus, ramGb: machine.type.ramGb }
 	for (const attempt of machine.attempts.values()) {
@@ -14,9 +14,9 @@
 	machine.freeResources = free
 }
 
-/** The machine has the job's image from now on; the least recently used images beyond its cache's size are dropped. */
+/** Records the job's image as cached on the machine, and evicts the least recently used images beyond the cache size. */
 export const recordCachedImage = (machine: Machine, spec: JobSpec): void => {
-	// Re-inserted at the end: the map keeps the order of last use.
+	// Re-inserted at the end: the map is in order of last use.
 	machine.cachedImages.delete(spec.image)
 	machine.cachedImages.set(spec.image, spec.imageGb)
 	let totalGb = 0
--- a/packages/controller/src/model.ts
+++ b/packages/controller/src/model.ts
@@ -1,12 +1,12 @@
-/** The machines of a shard and the attempts on them. */
+/** Data model of a shard's machines and the attempts on them. */
 import type { ExitReason, JobSpec, MachineType, TaskState, WireInteger } from '@heathroad/wire'
 import type { JobRun } from './job-run.js'
 
 export { JobRun } from './job-run.js'
-/** `planned`: chosen for a machine, nothing sent yet. `sent`: in a heartbeat's response, not reported back yet. */
+/** `planned`: placed, start command not sent yet. `sent`: start command sent, attempt not in a heartbeat yet. */
 export type AttemptState = 'planned' | 'sent' | TaskState
 
-/** Resources that an attempt holds on its machine, and the team that they count for. */
+/** Resources that an attempt holds on its machine, and the team whose usage they count towards. */
 export interface AttemptResources {
 	cpus: number
 	gpus: number
@@ -23,17 +23,17 @@
 	machine: Machine
 	taskIndex: number
 	attempt: WireInteger
-	/** null: the job is not one of this shard's */
+	/** null: the job does not belong to this shard */
 	job: JobRun | null
 	state: AttemptState
 	exitReason: ExitReason | null
-	/** its end was taken into account */
+	/** its exit has been processed */
 	accountedFor: boolean
-	/** must not be on its machine: killed as soon as it is seen */
+	/** must not be on its machine: killed when a heartbeat lists it */
 	orphaned: boolean
-	/** kill it with so many seconds to save; null: let it run */
+	/** seconds that it is given to save when it is killed; null: not to be killed */
 	stopGracePeriodS: number | null
-	/** when a heartbeat first reported it as pulling or running, steady time in ms */
+	/** when a heartbeat first reported it as pulling or running, monotonic time in ms */
 	startedAt: number | null
 	budgetShare: number
 	resources: AttemptResources
@@ -49,7 +49,7 @@
 	| 'spot notice'
 	| 'unreachable after a takeover'
 
-/** A machine of this shard. Times are steady time in ms. */
+/** A machine of this shard. Times are monotonic, in ms. */
 export interface Machine {
 	id: string
 	type: MachineType
@@ -57,39 +57,39 @@
 	spot: boolean
 	address: string | null
 	fencingToken: number
-	/** the machine group that it is recorded in */
+	/** the machine group whose record lists it */
 	groupName: string
-	/** its address is on record, so it may get start commands */
+	/** its address is in its group's record, so it may receive start commands */
 	addressRecorded: boolean
-	/** a heartbeat under this owner's token was seen: what it does not list is not there */
+	/** it has sent a heartbeat with this owner's token: tasks not listed there are not on it */
 	reconciled: boolean
 	booted: boolean
-	/** this owner has received a heartbeat from it; an answer to a probe is none */
+	/** this owner has received a heartbeat from it; a response to a probe does not count */
 	heartbeatReceived: boolean
 	agentEpoch: WireInteger
 	heartbeatSequence: WireInteger
-	/** latest time at which any controller can have answered one of its heartbeats */
+	/** latest time at which any controller can have responded to one of its heartbeats */
 	lastHeartbeatAt: number
-	/** when it was recorded as rented, as far as this controller knows; else when it was found in the records */
+	/** when it was recorded as rented, if this controller knows; otherwise when it was read from the records */
 	discoveredAt: number
-	/** by key */
+	/** by attempt key */
 	attempts: Map<string, Attempt>
-	/** image -> size in GB, in the order of last use */
+	/** image -> size in GB, least recently used first */
 	cachedImages: Map<string, number>
 	preemptionDeadline: number | null
-	/** being drained: nothing new goes there */
+	/** why it is being drained and gets no new tasks; null: it is not */
 	drainReason: DrainReason | null
-	/** its return to the cloud has been requested */
+	/** its release to the cloud has been requested */
 	releasing: boolean
-	/** an unconfirmed release is repeated then */
+	/** when an unconfirmed release is retried */
 	retryReleaseAt: number
 	idleSince: number | null
 	cordonedUntil: number
-	/** room is kept for this job: those behind it in the order get nothing here */
+	/** reserved for this job: jobs after it in the queue get no resources here */
 	reservedFor: JobRun | null
 	/** failed attempts here since its last success, by job */
 	failuresByJob: Map<JobRun, number>
-	/** a probe is in progress */
+	/** a probe request is in progress */
 	probing: boolean
 	freeResources: { cpus: number; gpus: number; ramGb: number }
 }
@@ -97,6 +97,6 @@
 /** Grace period as a multiple of the time that a task needs to save. */
 const GRACE_PERIOD_FACTOR = 1.5
 
-/** Seconds that a stopped task gets to save: what it needs and half as much again; none if it cannot save. */
+/** Seconds that a stopped task is given to save: its save time times `GRACE_PERIOD_FACTOR`; 0 if it cannot save. */
 export const gracePeriodS = (spec: JobSpec): number =>
 	spec.checkpointS > 0 ? spec.saveS * GRACE_PERIOD_FACTOR : 0
--- a/packages/controller/src/new-machine.ts
+++ b/packages/controller/src/new-machine.ts
@@ -1,21 +1,21 @@
-/** Initial state of machines that are found in a machine group's record. */
+/** Initial state of machines read from a machine group's record. */
 import type { MachineGroupRecord } from '@heathroad/cluster'
 import type { MachineType } from '@heathroad/wire'
 import type { Machine } from './model.js'
 
-/** Where and when a machine was found. */
+/** The record in which a machine was found, and when. */
 export interface MachineOrigin {
 	groupName: string
 	record: MachineGroupRecord
 	type: MachineType
 	fencingToken: number
-	/** steady time in ms */
+	/** monotonic time in ms */
 	now: number
-	/** when the record that names it became known here, steady time in ms */
+	/** when this controller received the record, monotonic time in ms */
 	recordedAt: number
 }
 
-/** A machine without attempts. One with a recorded address has booted, and may hold tasks of a former owner. */
+/** Returns a machine without attempts. One with a recorded address has booted, and may hold tasks of a former owner. */
 export const newMachine = (
 	id: string,
 	{ groupName, record, type, fencingToken, now, recordedAt }: MachineOrigin,
@@ -55,7 +55,7 @@
 /** Bandwidth of a machine type that is not in the catalog, in GB/s. */
 const UNKNOWN_TYPE_FETCH_GB_PER_S = 0.1
 
-/** Stands for a type that is not in the catalog (yet): nothing is placed there; running tasks are still looked after. */
+/** Placeholder for a type that is not in the catalog (yet): it takes no new tasks; running tasks are still managed. */
 export const unknownMachineType = (name: string, bootS: number): MachineType => ({
 	name,
 	cpus: 0,
--- a/packages/controller/src/preemption.ts
+++ b/packages/controller/src/preemption.ts
@@ -2,10 +2,10 @@
 import { chooseVictims, isAllowedOn, isZoneAllowed, priorityRank, type Victim } from '@heathroad/policy'
 import type { JobSpec } from '@heathroad/wire'
 import { type Attempt, gracePeriodS, type JobRun, type Machine } from './model.js'
-import { startPatienceS } from './start-patience.js'
+import { queueWaitThresholdS } from './queue-wait-threshold.js'
 import type { ShardState } from './state.js'
 
-/** In one round tasks are stopped on at most one in so many machines: a burst must not empty the fleet. */
+/** One round stops tasks on up to one in this many machines: a burst must not empty the fleet. */
 const MACHINES_PER_PREEMPTION = 8
 
 interface RunningTask extends Victim {
@@ -13,15 +13,15 @@
 	spec: JobSpec
 }
 
-/** Machines on which tasks may be stopped; each is used at most once a round and then leaves its list. */
+/** Machines on which tasks may be stopped; each is used at most once per round and then removed from its list. */
 interface PreemptableMachines {
-	/** some task there saves checkpoints */
+	/** with at least one running task that saves checkpoints */
 	withCheckpoints: Machine[]
-	/** some task of ours runs there */
+	/** with at least one running task of a job of this shard */
 	withRunningTasks: Machine[]
 }
 
-/** A waiting job that preempts. */
+/** A waiting job for which tasks may be preempted. */
 interface Preemptor {
 	job: JobRun
 	/** its team uses less than it is guaranteed */
@@ -32,14 +32,14 @@
 interface Preemption {
 	machineIndex: number
 	victims: readonly RunningTask[]
-	/** work that is lost, in CPU seconds */
+	/** lost work in CPU seconds */
 	lostCpuS: number
 }
 
 const isBeingStopped = (attempt: Attempt): boolean =>
 	attempt.state !== 'exited' && attempt.stopGracePeriodS !== null
 
-/** CPUs of tasks that are being stopped already, on machines that take new tasks. */
+/** CPUs of tasks on these machines that are already being stopped. */
 const countFreeingCpus = (machines: readonly Machine[]): number => {
 	let cpus = 0
 	for (const machine of machines)
@@ -48,7 +48,7 @@
 	return cpus
 }
 
-/** Specs of the known jobs whose tasks run on the machine. */
+/** Specs of this shard's jobs with running tasks on the machine. */
 const runningSpecs = (machine: Machine): readonly JobSpec[] => {
 	const specs: JobSpec[] = []
 	for (const { state, job } of machine.attempts.values())
@@ -56,7 +56,7 @@
 	return specs
 }
 
-/** Machines where tasks are being stopped already are left alone. */
+/** Groups the machines on which tasks may be stopped; skips machines where tasks are already being stopped. */
 const findPreemptableMachines = (machines: readonly Machine[]): PreemptableMachines => {
 	const withCheckpoints: Machine[] = []
 	const withRunningTasks: Machine[] = []
@@ -75,7 +75,7 @@
 	return attempt.startedAt === null ? 0 : (now - attempt.startedAt) / 1000
 }
 
-/** The tasks that run on the machine and are not being stopped. */
+/** Running tasks on the machine that are not being stopped. */
 const findRunningTasks = (machine: Machine, now: number): readonly RunningTask[] => {
 	const tasks: RunningTask[] = []
 	for (const attempt of machine.attempts.values()) {
@@ -94,7 +94,7 @@
 	return tasks
 }
 
-/** Which tasks to stop on a machine for one task of the job; null if that makes no room or none has to be stopped. */
+/** Selects tasks to stop on a machine for one task of the job; null if that frees too little or none need stop. */
 const chooseVictimsOn = (
 	state: ShardState,
 	machine: Machine,
@@ -113,7 +113,7 @@
 const lostCpuS = (victims: readonly RunningTask[]): number =>
 	victims.reduce((sum, victim) => sum + victim.lostWorkS * victim.cpus, 0)
 
-/** The first machine on which stopping tasks with checkpoints makes room: they lose little wherever they run. */
+/** Finds the first machine where stopping tasks with checkpoints frees enough: they lose little work on any machine. */
 const findCheckpointedPreemption = (
 	state: ShardState,
 	preemptor: Preemptor,
@@ -127,9 +127,9 @@
 }
 
 /**
- * The machine on which stopping tasks loses least. For an urgent job no task is stopped that loses more than the urgent
- * task runs. There is no such limit for a team within its guarantee: other teams' long tasks would otherwise keep it
- * from its guarantee for as long as they run.
+ * Finds the machine on which stopping tasks loses the least work. For an urgent job, a task is stopped only if it loses
+ * no more than the urgent task's run time. A team within its guarantee has no such limit: other teams' long tasks would
+ * otherwise withhold its guarantee for as long as they run.
  */
 const findCheapestPreemption = (
 	state: ShardState,
@@ -149,8 +149,8 @@
 	return best
 }
 
-/** Marks the victims to be stopped and takes their machine off the list; returns the CPUs that become free. */
-const carryOut = (state: ShardState, preemption: Preemption, machines: Machine[], job: JobRun): number => {
+/** Marks the victims to be stopped and removes their machine from the list; returns the CPUs that will be freed. */
+const stopVictims = (state: ShardState, preemption: Preemption, machines: Machine[], job: JobRun): number => {
 	machines.splice(preemption.machineIndex, 1)
 	for (const { attempt, spec } of preemption.victims) {
 		attempt.stopGracePeriodS = gracePeriodS(spec)
@@ -164,31 +164,31 @@
 }
 
 /**
- * Stops tasks on one machine so that a task of the job fits there; returns the CPUs that become free, 0 if there is no
- * such machine. A task without checkpoints is stopped only where stopping those with checkpoints makes no room.
+ * Stops tasks on one machine so that a task of the job fits there; returns the CPUs that will be freed, 0 if there is no
+ * such machine. Tasks without checkpoints are stopped only if stopping tasks with checkpoints frees enough nowhere.
  */
 const preemptFor = (state: ShardState, preemptor: Preemptor, preemptable: PreemptableMachines): number => {
 	const { withCheckpoints, withRunningTasks } = preemptable
 	const checkpointed = findCheckpointedPreemption(state, preemptor, withCheckpoints)
 	if (checkpointed !== null) {
-		const freedCpus = carryOut(state, checkpointed, withCheckpoints, preemptor.job)
+		const freedCpus = stopVictims(state, checkpointed, withCheckpoints, preemptor.job)
 		if (freedCpus !== 0) return freedCpus
 	}
 	const cheapest = findCheapestPreemption(state, preemptor, withRunningTasks)
-	return cheapest === null ? 0 : carryOut(state, cheapest, withRunningTasks, preemptor.job)
+	return cheapest === null ? 0 : stopVictims(state, cheapest, withRunningTasks, preemptor.job)
 }
 
-/** Makes room for urgent tasks, and for tasks of teams within their guarantee, that have waited for a while. */
+/** Preempts tasks for urgent jobs, and jobs of teams within their guarantee, that exceed their wait threshold. */
 export const preemptTasks = (state: ShardState, now: number): void => {
 	const schedulable = [...state.machines.values()].filter((machine) => state.isSchedulable(machine, now))
 	const preemptable = findPreemptableMachines(schedulable)
-	// Room that earlier preemptions are about to free serves the waiting jobs, in the order of the queue.
+	// CPUs that earlier preemptions are about to free count for the waiting jobs, in queue order.
 	let surplusCpus = countFreeingCpus(schedulable)
 	let remaining = Math.ceil(state.machines.size / MACHINES_PER_PREEMPTION)
 	for (const job of state.waitingHealthyJobs(now)) {
 		const isWithinGuarantee = state.isWithinGuarantee(job.spec)
 		if (priorityRank(job.spec.priority) < priorityRank('urgent') && !isWithinGuarantee) continue
-		if (state.jobAgeS(job) < startPatienceS(state, job)) continue
+		if (state.jobAgeS(job) < queueWaitThresholdS(state, job)) continue
 		surplusCpus -= job.readyTasks.size * job.spec.cpus
 		while (surplusCpus < 0 && remaining > 0) {
 			const freedCpus = preemptFor(state, { job, isWithinGuarantee }, preemptable)
--- a/packages/controller/src/progress-writer.ts
+++ b/packages/controller/src/progress-writer.ts
@@ -1,4 +1,4 @@
-/** Writes the progress of jobs, and hands completed ones over to be written as terminal. */
+/** Writes the progress of jobs, and the terminal state of completed ones or passes them to `TerminalStateWriter`. */
 import { type JobRecord, progressChunkKey, putJobRecord, TASKS_PER_CHUNK } from '@heathroad/cluster'
 import type { RangeSet } from '@heathroad/policy'
 import { KEY_PREFIX, type TransactionContent, WritePriority } from '@heathroad/store'
@@ -7,23 +7,23 @@
 import type { ShardState } from './state.js'
 import { TerminalStateWriter } from './terminal-state-writer.js'
 
-/** Share of this controller's rate of writes that progress may take: the rest is for outcomes and rentals. */
+/** Share of this controller's write rate available for progress; the rest is for outcomes and rentals. */
 const PROGRESS_WRITE_SHARE = 0.4
 
-/** A transaction as it was sent, and the done tasks that are durable once it is applied. */
+/** The transaction sent to the state service, and the done tasks that are durable once it is applied. */
 interface SentWrite {
 	durableTasks: RangeSet
 	content: TransactionContent
 }
 
-/** What a job's record and its progress chunks are to say. */
+/** New content of a job's record and its progress chunks. */
 interface NewRecord {
 	record: JobRecord
 	chunkMutations: Mutation[]
 	durableTasks: RangeSet
 }
 
-/** Makes the done tasks of jobs durable, in the job's record and, beyond its first chunk of tasks, in chunk keys. */
+/** Makes done tasks durable: the first chunk of tasks in the job's record, further chunks in keys of their own. */
 export class ProgressWriter {
 	private readonly terminalStates: TerminalStateWriter
 
@@ -35,7 +35,7 @@
 		return job.spec.kind !== 'daemon' && job.doneTasks.size >= job.spec.tasks
 	}
 
-	/** The transaction that brings the job's record up to date; null if nothing is to be written here any more. */
+	/** Builds the transaction that updates the job's record; null if this writer has nothing to write for it. */
 	private buildWrite(job: JobRun): SentWrite | null {
 		const { uid } = job.spec
 		const current = this.state.dependencies.job(uid)
@@ -87,15 +87,15 @@
 		return { record, chunkMutations, durableTasks }
 	}
 
-	/** A chunk that does not fit into this transaction is not durable by it and waits for the next one. */
+	/** Excludes a chunk that does not fit into this transaction from its durable tasks; the next transaction writes it. */
 	private deferChunk(job: JobRun, durableTasks: RangeSet, from: number, to: number): void {
 		for (let task = from; task < to; task++) if (!job.durableDoneTasks.has(task)) durableTasks.delete(task)
 	}
 
 	/**
-	 * Writes a job's progress, or its terminal state once all its tasks are done; a write that waits then moves ahead as
-	 * an outcome. Both contend with a cancellation: in the first form of the records on the mod revision of the job's key,
-	 * in the second on that of the page that all terminal states of the shard share.
+	 * Writes a job's progress, or its terminal state once all its tasks are done; a queued write is then raised to outcome
+	 * priority. Both conflict with a cancellation: in the first record format on the mod revision of the job's key, in the
+	 * second on that of the page that all terminal states of the shard share.
 	 */
 	write(job: JobRun): void {
 		if (job.isTerminal || this.state.stopped) return
@@ -130,25 +130,25 @@
 		})
 	}
 
-	/** The job may have been completed while an earlier write was in progress. */
+	/** Writes the terminal state if the job completed while an earlier write was in progress. */
 	private writeIfCompleted(job: JobRun): void {
 		if (job.pendingWrite === null && this.isComplete(job)) this.write(job)
 	}
 
 	/**
-	 * Writes what is due: terminal states at once, progress as often as a share of the write rate allows for every open
-	 * job in turn, and sooner for `wantedJobs`, whose outcomes keep an empty machine from being released.
+	 * Writes whatever is due: terminal states at once, progress as often as its share of the write rate permits for every
+	 * open job in turn, and sooner for `urgentJobs`, whose outcomes block the release of an empty machine.
 	 */
-	tick(now: number, wantedJobs: ReadonlySet<JobRun | null>): void {
+	tick(now: number, urgentJobs: ReadonlySet<JobRun | null>): void {
 		const { limits, tuning } = this.state.config
-		const behind: JobRun[] = []
+		const jobsToWrite: JobRun[] = []
 		for (const job of this.state.jobs.values())
-			if (!job.isTerminal && job.doneTasks.size > job.durableDoneTasks.size) behind.push(job)
-		/** time in which every job that is behind can be written once */
-		const roundMs = (behind.length / (limits.writesPerS * PROGRESS_WRITE_SHARE)) * 1000
+			if (!job.isTerminal && job.doneTasks.size > job.durableDoneTasks.size) jobsToWrite.push(job)
+		/** time needed to write each of these jobs once */
+		const roundMs = (jobsToWrite.length / (limits.writesPerS * PROGRESS_WRITE_SHARE)) * 1000
 		const intervalMs = Math.max(limits.heartbeatMs * tuning.progressHeartbeats, roundMs)
-		for (const job of behind) {
-			const isDue = now - job.lastWrittenAt > (wantedJobs.has(job) ? roundMs : intervalMs)
+		for (const job of jobsToWrite) {
+			const isDue = now - job.lastWrittenAt > (urgentJobs.has(job) ? roundMs : intervalMs)
 			if (this.isComplete(job) || isDue) this.write(job)
 		}
 	}
--- /dev/null
+++ b/packages/controller/src/queue-wait-threshold.ts
@@ -0,0 +1,15 @@
+/** How long a job waits in the queue before other jobs have to make room for it. */
+import type { JobRun } from './model.js'
+import type { ShardState } from './state.js'
+
+/** Share of the earliest start bound that a job waits for resources that other tasks free by finishing. */
+const WAIT_SHARE_OF_START_BOUND = 0.25
+
+/** Heartbeat periods that a job without start bounds waits: time for ended tasks to be reported. */
+const WAIT_HEARTBEATS_WITHOUT_BOUND = 3
+
+/** Age of a job, in seconds, from which machines are reserved or tasks are preempted for it. */
+export const queueWaitThresholdS = (state: ShardState, job: JobRun): number =>
+	job.startBounds.length > 0
+		? Math.min(...job.startBounds) * WAIT_SHARE_OF_START_BOUND
+		: (state.config.limits.heartbeatMs * WAIT_HEARTBEATS_WITHOUT_BOUND) / 1000
--- a/packages/controller/src/release-writer.ts
+++ b/packages/controller/src/release-writer.ts
@@ -1,38 +1,38 @@
-/** Release writing: makes it durable that jobs have passed their admission checks. */
+/** Writes durable release marks for jobs that have passed their admission checks. */
 import { markReleased } from '@heathroad/cluster'
 import { maxValueChars } from '@heathroad/config'
 import { type TransactionContent, WritePriority, type WriteResult } from '@heathroad/store'
 import type { PendingJob } from './check-questions.js'
 import type { ShardState } from './state.js'
 
-/** Release pages that one write may touch: keeps it small beside the other writes of a transaction. */
+/** Maximum number of release pages in one write: keeps it small next to the other writes of a transaction. */
 const MAX_PAGES_PER_WRITE = 4
 
-/** Writes the marks of released jobs, one write at a time, each with all jobs that were released meanwhile. */
+/** Writes release marks, one write at a time; each includes all jobs released since the previous one was built. */
 export class ReleaseWriter {
 	private readonly releasedJobs = new Set<PendingJob>()
 	private isWriting = false
 
 	constructor(private readonly state: ShardState) {}
 
-	/** The job has passed all its checks; `flush` writes that. */
+	/** Adds a job that has passed all its checks; `flush` writes its mark. */
 	add(job: PendingJob): void {
 		this.releasedJobs.add(job)
 	}
 
-	/** The job's mark is durable or not needed any more. */
+	/** Removes a job whose mark is durable or no longer needed. */
 	remove(job: PendingJob): void {
 		this.releasedJobs.delete(job)
 	}
 
-	/** Starts a write of what is not durable yet, unless one is under way. Needs the controller's lease. */
+	/** Starts a write of the marks that are not durable yet, unless one is in progress. Requires the controller lease. */
 	flush(): void {
 		if (this.isWriting || this.releasedJobs.size === 0 || this.state.stopped) return
 		if (this.state.dependencies.leadership() !== 'lease') return
 		this.isWriting = true
 		let content: TransactionContent | null = null
 		this.state.dependencies.enqueueWrite({
-			// A user waits for the start, as others do for their outcomes.
+			// A user is waiting for the start, just as others are for outcomes.
 			priority: WritePriority.outcome,
 			build: () => {
 				content = this.buildContent()
@@ -59,7 +59,7 @@
 
 	private onWritten({ mutations }: TransactionContent, result: WriteResult): void {
 		if (result.kind === 'ok') {
-			// The pages decide which jobs may start; a job that found no room on them is part of the next write.
+			// The pages determine which jobs may start; a job that did not fit on them is part of the next write.
 			this.state.applyOwnMutations(mutations, result.revision)
 			this.flush()
 		} else if (result.kind !== 'refused') this.state.dependencies.refreshCache(() => this.flush())
--- a/packages/controller/src/rental-executor.ts
+++ b/packages/controller/src/rental-executor.ts
@@ -1,4 +1,4 @@
-/** Rental execution: records the intent of a rental, carries it out and records its answer. */
+/** Executes rentals: records the intent, calls the cloud and records the result. */
 import type { RentalRequest, RentResult } from '@heathroad/cloud'
 import { encodeMachineGroup, type MachineGroupRecord, machineGroupKey } from '@heathroad/cluster'
 import { type InstanceOffer, offerKey } from '@heathroad/policy'
@@ -7,15 +7,15 @@
 import type { PendingRental } from './spare-capacity.js'
 import type { ShardState } from './state.js'
 
-/** After a refusal the offer is not asked for again for this share of its boot time, at first. */
-const FIRST_REFUSAL_PAUSE_IN_BOOTS = 0.25
+/** Backoff after the first refusal of an offer, as a share of its boot time. */
+const INITIAL_REFUSAL_BACKOFF_IN_BOOTS = 0.25
 
-/** Refusals in a row lengthen the pause up to this many boot times: capacity that came back is found in time. */
-const MAX_REFUSAL_PAUSE_IN_BOOTS = 2
+/** Maximum backoff after consecutive refusals, in boot times: capacity that returns is found in time. */
+const MAX_REFUSAL_BACKOFF_IN_BOOTS = 2
 
 /**
- * Rents machines. A rental's intent is durable before the cloud is asked, and the same name gets the same answer: so a
- * rental is carried out once, whoever carries it out.
+ * Rents machines. The intent is durable before the cloud is called, and the cloud returns the same result for the same
+ * name, so each rental takes effect once, whichever owner executes it.
  */
 export class RentalExecutor {
 	private rentalCounter = 0
@@ -27,17 +27,17 @@
 		private readonly machineGroups: MachineGroupWriter,
 	) {}
 
-	/** Rentals by name from their intent until their machines are recorded. */
+	/** Rentals by name, from the intent until their machines are recorded. */
 	get pending(): ReadonlyMap<string, PendingRental> {
 		return this.rentalsByName
 	}
 
-	/** Rentals whose intent is being written: each is about to use a call to the cloud. */
+	/** Number of rentals whose intent is being written: each will use a cloud call. */
 	get unwrittenCount(): number {
 		return this.intentWriteCount
 	}
 
-	/** Records the intent of a rental, then carries it out. */
+	/** Records the intent of a rental, then executes it. */
 	start({ offer, count }: PendingRental): void {
 		const name = `r${this.state.shardId}-${this.state.fencingToken}-${++this.rentalCounter}`
 		const record: MachineGroupRecord = {
@@ -65,7 +65,7 @@
 		)
 	}
 
-	/** Carries out a recorded intent, also one of a former owner: the same name gets the same answer. */
+	/** Executes a recorded intent, also one of a former owner: the cloud returns the same result for the same name. */
 	rentRecordedGroup(name: string, record: MachineGroupRecord): void {
 		if (this.state.stopped) return
 		if (!this.rentalsByName.has(name)) this.rentalsByName.set(name, this.toPendingRental(record))
@@ -79,13 +79,13 @@
 		this.state.dependencies.rent(request, (result) => this.onRentalAnswered(name, record, result))
 	}
 
-	/** A machine group of this shard changed: its rental is answered, or its intent was written late and is carried out. */
+	/** Handles a changed machine group: its rental has a result, or its intent was applied late and is executed now. */
 	onGroupRecorded(name: string, record: MachineGroupRecord): void {
 		if (record.requestedCount === 0) this.rentalsByName.delete(name)
 		else if (!this.rentalsByName.has(name)) this.rentRecordedGroup(name, record)
 	}
 
-	/** A machine group of this shard was removed: machines that its rental may still bring have no record, and are adopted. */
+	/** Handles a removed machine group: machines that its rental may still return are unregistered and will be adopted. */
 	onGroupRemoved(name: string): void {
 		this.rentalsByName.delete(name)
 	}
@@ -109,7 +109,7 @@
 		else this.rentalsByName.delete(name)
 	}
 
-	/** If the intent was applied after all, the rental is carried out: its record must not stay open. */
+	/** Executes the rental if the intent was in fact applied: its record must not stay open. */
 	private resolveUnknownIntent(name: string, record: MachineGroupRecord): void {
 		this.state.dependencies.refreshCache(() => {
 			if (this.state.dependencies.entry(machineGroupKey(name)) !== undefined)
@@ -121,7 +121,7 @@
 	private onRentalAnswered(name: string, record: MachineGroupRecord, result: RentResult): void {
 		if (this.state.stopped) return
 		if (result.kind === 'again') {
-			// A rental that is not pending any more was answered otherwise, or its record was removed.
+			// A rental that is no longer pending has a result from another call, or its record was removed.
 			if (this.rentalsByName.has(name)) this.rentRecordedGroup(name, record)
 			return
 		}
@@ -135,11 +135,11 @@
 		})
 		this.recordAvailability(offer, machineIds.length, record.requestedCount)
 		this.machineGroups.recordRentalResult(name, machineIds)
-		// Rented machines are counted as machines once their group has them; until then the rental stays pending.
+		// The rental stays pending until its machines are in their group's record and count as machines.
 		if (machineIds.length === 0) this.rentalsByName.delete(name)
 	}
 
-	/** Fewer machines than requested mean that the offer's capacity is exhausted. */
+	/** Records whether the offer's capacity is exhausted: it is if fewer machines than requested were rented. */
 	private recordAvailability(offer: InstanceOffer, rentedCount: number, requestedCount: number): void {
 		const { offerAvailability } = this.state.dependencies
 		if (rentedCount >= requestedCount) {
@@ -148,8 +148,8 @@
 		}
 		const bootMs = offer.type.bootS * 1000
 		offerAvailability.recordRefusal(offerKey(offer), this.state.dependencies.now(), {
-			firstPauseMs: bootMs * FIRST_REFUSAL_PAUSE_IN_BOOTS,
-			maxPauseMs: bootMs * MAX_REFUSAL_PAUSE_IN_BOOTS,
+			initialBackoffMs: bootMs * INITIAL_REFUSAL_BACKOFF_IN_BOOTS,
+			maxBackoffMs: bootMs * MAX_REFUSAL_BACKOFF_IN_BOOTS,
 			isPartlyFilled: rentedCount > 0,
 		})
 	}
--- a/packages/controller/src/run-time-estimator.ts
+++ b/packages/controller/src/run-time-estimator.ts
@@ -1,16 +1,16 @@
-/** Estimates of run times, from what users expect and how jobs of the same class actually ran. */
+/** Estimates run times from users' expectations and the actual run times of jobs of the same class. */
 import type { JobSpec } from '@heathroad/wire'
 
-/** The shortest estimate, in seconds: jobs may state that they expect to take no time. */
+/** Minimum estimate in seconds: jobs may specify an expected run time of zero. */
 const MIN_ESTIMATE_S = 0.1
 
-/** Observations of a class below which the user's own figure is taken. */
+/** Number of observations of a class below which the user's expected run time is used as it is. */
 const MIN_OBSERVATIONS = 3
 
-/** The average forgets: an observation weighs 1/51 at least, so that estimates follow a change of the workload. */
+/** Cap on the observation count: each new one weighs at least 1/51, so that estimates follow workload changes. */
 const MAX_WEIGHTED_OBSERVATIONS = 50
 
-/** Bounds of one observed ratio: a single odd task must not spoil the estimates of its class. */
+/** Bounds of one observed ratio: a single outlier must not distort the estimates of its class. */
 const MIN_RATIO = 0.1
 const MAX_RATIO = 5
 
@@ -20,7 +20,7 @@
 	observations: number
 }
 
-/** Learns, by job class, how actual run times compare with the expected ones. */
+/** Tracks the ratio of actual to expected run time by job class. */
 export class RunTimeEstimator {
 	private readonly ratios = new Map<string, RunTimeRatio>()
 
@@ -31,7 +31,7 @@
 		return Math.max(MIN_ESTIMATE_S, spec.expectedS * ratio)
 	}
 
-	/** A task of this job ran for so many seconds in all. */
+	/** Records that a task of this job ran for `seconds` in total. */
 	observe(spec: JobSpec, seconds: number): void {
 		if (spec.expectedS <= 0) return
 		const observed = Math.min(MAX_RATIO, Math.max(MIN_RATIO, seconds / spec.expectedS))
--- a/packages/controller/src/scale-out-plan.ts
+++ b/packages/controller/src/scale-out-plan.ts
@@ -1,4 +1,4 @@
-/** Scale-out plan: how many machines of which offers the waiting tasks of a shard ask for. */
+/** Scale-out plan: how many machines of which offers to rent for the waiting tasks of a shard. */
 import {
 	allOffers,
 	chooseOffer,
@@ -17,46 +17,46 @@
 import type { PendingRental, SpareCapacity } from './spare-capacity.js'
 import type { ShardState } from './state.js'
 
-/** How many times the price of the best offer another one may cost that is asked at the same time. */
+/** Maximum cost of an offer used in the same round, as a multiple of the cheapest offer's. */
 const MAX_PRICE_RATIO = 1.5
 
-/** Fewer tasks, or fewer machines of room, than this are rounding errors. */
+/** Numbers of tasks or machines below this are rounding errors. */
 const COUNT_EPSILON = 1e-6
 
-/** A fraction of a machine up to this is not rented: the tasks behind it find room on machines that become free. */
+/** No machine is rented for a fraction up to this: such tasks will fit on machines that become free. */
 const IGNORED_MACHINE_FRACTION = 0.5
 
-/** Stands for a resource that a team's limit does not bound, in CPUs, GPUs or GB. */
+/** Amount of a resource without a team limit, in CPUs, GPUs or GB. */
 const UNBOUNDED = 1e9
 
 /** Demand for machines of one offer. */
 interface OfferDemand {
 	offer: InstanceOffer
-	/** also fractions of a machine */
+	/** may be fractional */
 	machines: number
-	/** rent at least one, however little it would have to do */
-	isForced: boolean
+	/** rent at least one machine, however little work there is for it */
+	needsAtLeastOne: boolean
 }
 
-/** Waiting tasks for which machines are wanted. */
+/** Waiting tasks for which machines are to be rented. */
 interface TaskDemand {
 	job: JobRun
-	/** also fractions of a task */
+	/** may be fractional */
 	tasks: number
 	/** estimated run time of a task, in seconds */
 	runS: number
-	/** rent at least one machine, however little it would have to do */
-	isForced: boolean
+	/** rent at least one machine, however little work there is for it */
+	needsAtLeastOne: boolean
 }
 
 /** The offers of the catalog that can run a task of the job. */
 export const suitableOffers = (state: ShardState, spec: JobSpec): InstanceOffer[] =>
-	// Each shard begins with another zone, so that they do not all ask for the last machines of the same one.
+	// Each shard starts at a different zone, so that they do not all request the last machines of the same one.
 	allOffers(state.dependencies.machineTypes(), state.shardId).filter(
 		(offer) => fits(spec, offer.type) && isAllowedOn(spec, offer),
 	)
 
-/** The suitable offers that have not been refused for want of capacity just now. */
+/** The suitable offers that are not in backoff after a refusal for lack of capacity. */
 export const availableOffers = (state: ShardState, spec: JobSpec): InstanceOffer[] => {
 	const now = state.dependencies.now()
 	return suitableOffers(state, spec).filter((offer) =>
@@ -64,7 +64,7 @@
 	)
 }
 
-/** The job's ready tasks, at most as many as its team's CPU limit lets start. */
+/** Number of the job's ready tasks, bounded by its team's CPU limit. */
 const countStartableTasks = (state: ShardState, job: JobRun): number => {
 	const { spec, readyTasks } = job
 	const team = state.teamLimit(spec.team)
@@ -73,13 +73,13 @@
 	return Math.min(readyTasks.size, tasksThatFit(spec, { cpus: freeCpus, gpus: UNBOUNDED, ramGb: UNBOUNDED }))
 }
 
-/** Can spare machines of this offer run a task of the job, once they have room? */
+/** Returns whether machines of this offer can run a task of the job, once they have free resources. */
 const canRunOn = ({ spec, taskCountByZone }: JobRun, spare: SpareCapacity): boolean =>
 	fits(spec, spare.type) && isAllowedOn(spec, spare) && isZoneAllowed(spec, spare.zone, taskCountByZone)
 
 /**
- * The share of a machine of this type that one waiting task asks to have rented. Urgent tasks do not wait in line for a
- * slot, and a gang's tasks all run at once: they ask for a whole slot.
+ * Fraction of a machine of this type to rent for one waiting task. Urgent tasks do not queue for a slot, and a gang's
+ * tasks all run at once: these require a whole slot each.
  */
 const machinesPerTask = (state: ShardState, job: JobRun, runS: number, type: MachineType): number => {
 	const { spec } = job
@@ -88,7 +88,7 @@
 	return weight / Math.max(1, tasksThatFit(spec, type))
 }
 
-/** Collects what waiting jobs ask for, job by job in the order of the queue, in one round of scale-out. */
+/** Collects the demand of waiting jobs, job by job in queue order, in one round of scale-out. */
 export class ScaleOutPlan {
 	private readonly demandByOffer = new Map<string, OfferDemand>()
 
@@ -96,16 +96,16 @@
 		private readonly state: ShardState,
 		private readonly spareByOffer: ReadonlyMap<string, SpareCapacity>,
 		private readonly pendingRentals: ReadonlyMap<string, PendingRental>,
-		/** the most machines that one rental can ask for */
+		/** maximum number of machines in one rental */
 		private readonly maxMachinesPerRental: number,
 	) {}
 
-	/** Is no machine wanted? */
+	/** Whether the plan contains no demand. */
 	get isEmpty(): boolean {
 		return this.demandByOffer.size === 0
 	}
 
-	/** Gives spare capacity to the job's waiting tasks; machines are wanted for the others. */
+	/** Assigns spare capacity to the job's waiting tasks, and adds demand for the others. */
 	addJob(job: JobRun): void {
 		const runS = this.state.estimatedRunS(job.spec)
 		let tasks = countStartableTasks(this.state, job)
@@ -119,32 +119,31 @@
 			spare.machines -= placed * perTask
 			tasks -= placed
 		}
-		this.addDemand({ job, tasks, runS, isForced: !isReachable })
+		this.addDemand({ job, tasks, runS, needsAtLeastOne: !isReachable })
 	}
 
-	/** Wants one machine for a trial: of a quarantined job, or of one whose machines may never boot. */
+	/** Adds demand for one trial machine: for a quarantined job, or one whose machines may never boot. */
 	addTrial(job: JobRun): void {
-		this.addDemand({ job, tasks: 1, runS: this.state.estimatedRunS(job.spec), isForced: true })
+		this.addDemand({ job, tasks: 1, runS: this.state.estimatedRunS(job.spec), needsAtLeastOne: true })
 	}
 
-	/** What to rent, the largest rentals by CPUs first. */
+	/** Rentals to start, the largest by CPUs first. */
 	rentals(): readonly PendingRental[] {
 		return [...this.demandByOffer.values()]
-			.map(({ offer, machines, isForced }) => ({
+			.map(({ offer, machines, needsAtLeastOne }) => ({
 				offer,
-				count: Math.max(isForced ? 1 : 0, Math.ceil(machines - IGNORED_MACHINE_FRACTION)),
+				count: Math.max(needsAtLeastOne ? 1 : 0, Math.ceil(machines - IGNORED_MACHINE_FRACTION)),
 			}))
 			.filter(({ count }) => count >= 1)
 			.sort((a, b) => b.count * b.offer.type.cpus - a.count * a.offer.type.cpus)
 	}
 
 	/**
-	 * Distributes the demand over offers. A rental asks for a limited number of machines, and one is pending per offer:
-	 * what does not fit goes to the next best offer at once, since a fleet that starts from nothing would otherwise be
-	 * asked for rental by rental. Only offers of a similar price are used: a far dearer machine is not worth a second's
-	 * wait.
+	 * Distributes the demand over offers. A rental has a limited number of machines, and an offer has one pending rental:
+	 * the excess goes to the next best offer at once, since an empty fleet would otherwise grow one rental at a time.
+	 * Only offers of a similar price are used: a much more expensive machine is not worth saving a wait of a second.
 	 */
-	private addDemand({ job, tasks, runS, isForced }: TaskDemand): void {
+	private addDemand({ job, tasks, runS, needsAtLeastOne }: TaskDemand): void {
 		const budgetShare = job.budget.share(job.spec.uid)
 		const offers = this.candidateOffers(job, runS)
 		let remaining = tasks
@@ -154,12 +153,12 @@
 			if (offer === undefined) return
 			const perTask = machinesPerTask(this.state, job, runS, offer.type)
 			const machines = Math.min(remaining * perTask, this.roomFor(offer))
-			this.addMachines(offer, machines, isForced)
+			this.addMachines(offer, machines, needsAtLeastOne)
 			remaining -= machines / perTask
 		}
 	}
 
-	/** Available offers without a pending rental whose price is near that of the cheapest available one. */
+	/** Available offers without a pending rental that cost at most `MAX_PRICE_RATIO` times the cheapest. */
 	private candidateOffers(job: JobRun, runS: number): readonly InstanceOffer[] {
 		const { spec } = job
 		const cost = (offer: InstanceOffer) => offerCost(spec, runS, offer, false, false).cost
@@ -171,16 +170,16 @@
 		return offers.filter((offer) => !pendingOffers.has(offerKey(offer)) && cost(offer) <= maxCost)
 	}
 
-	/** Machines of the offer that a rental can still ask for, beside those wanted already. */
+	/** Number of machines that can still be added to the planned rental of the offer. */
 	private roomFor(offer: InstanceOffer): number {
 		return this.maxMachinesPerRental - (this.demandByOffer.get(offerKey(offer))?.machines ?? 0)
 	}
 
-	private addMachines(offer: InstanceOffer, machines: number, isForced: boolean): void {
+	private addMachines(offer: InstanceOffer, machines: number, needsAtLeastOne: boolean): void {
 		const key = offerKey(offer)
-		const demand = this.demandByOffer.get(key) ?? { offer, machines: 0, isForced: false }
+		const demand = this.demandByOffer.get(key) ?? { offer, machines: 0, needsAtLeastOne: false }
 		demand.machines += machines
-		demand.isForced ||= isForced
+		demand.needsAtLeastOne ||= needsAtLeastOne
 		this.demandByOffer.set(key, demand)
 	}
 }
--- a/packages/controller/src/scale-out.ts
+++ b/packages/controller/src/scale-out.ts
@@ -1,4 +1,4 @@
-/** Scale-out of one shard: when to rent machines for waiting work, in turn with returning them. */
+/** Scale-out of one shard: when to rent machines for waiting work, alternating with scale-in. */
 import type { MachineGroupRecord } from '@heathroad/cluster'
 import { fits, type InstanceOffer, isAllowedOn, isZoneAllowed, offerCost } from '@heathroad/policy'
 import type { JobSpec } from '@heathroad/wire'
@@ -10,21 +10,21 @@
 import { computeSpareCapacity } from './spare-capacity.js'
 import type { ShardState } from './state.js'
 
-/** The most machines that one call to the cloud may ask for (protocol). */
+/** Maximum number of machines in one rental call to the cloud (protocol). */
 const MAX_MACHINES_PER_CALL = 50
 
-/** Bytes of a machine group's value that are not entries of machines, estimated amply. */
+/** Upper estimate of the bytes of a machine group's value beyond its machine entries. */
 const GROUP_OVERHEAD_BYTES = 256
 
-/** Bytes of one machine's entry in a machine group: its name and its address, estimated amply. */
+/** Upper estimate of the bytes of one machine's entry in a machine group: its name and its address. */
 const GROUP_ENTRY_BYTES = 64
 
-/** Rents machines for waiting work. Calls to the cloud are limited, and shared with the release of machines. */
+/** Rents machines for waiting work. Cloud calls are rate-limited and shared with scale-in. */
 export class ScaleOut {
 	private readonly rentals: RentalExecutor
-	/** the last round wanted more rentals than there were calls */
+	/** the last round planned more rentals than there were calls */
 	private lackedCalls = false
-	/** the last call that was taken from the shared limit went to a rental */
+	/** the last call from the shared limit was used for a rental */
 	private lastCallWasRental = false
 
 	constructor(
@@ -35,12 +35,12 @@
 		this.rentals = new RentalExecutor(state, machineGroups)
 	}
 
-	/** Offers that can run a task of the job; with `nowOpen` only those that were not refused just now. */
-	suitableOffers(spec: JobSpec, nowOpen: boolean): InstanceOffer[] {
-		return nowOpen ? availableOffers(this.state, spec) : suitableOffers(this.state, spec)
+	/** Offers that can run a task of the job; with `onlyAvailable`, only those not in backoff after a refusal. */
+	suitableOffers(spec: JobSpec, onlyAvailable: boolean): InstanceOffer[] {
+		return onlyAvailable ? availableOffers(this.state, spec) : suitableOffers(this.state, spec)
 	}
 
-	/** Could a machine be rented within the task's share of the budget? If so it need not take one beyond it. */
+	/** Returns whether a machine within the task's budget share can be rented; if so, it need not exceed its share. */
 	canAffordNewMachine(job: JobRun, runS: number): boolean {
 		const budgetShare = job.budget.share(job.spec.uid)
 		return availableOffers(this.state, job.spec).some(
@@ -49,38 +49,38 @@
 	}
 
 	/**
-	 * Rents for the work that machines here, and those being rented, will not take. `now` is steady time in ms;
-	 * `releasesWait`: machines are to be returned in this tick.
+	 * Rents machines for work beyond the capacity of this shard's machines and pending rentals. `now` is monotonic time in
+	 * ms; `hasMachinesToRelease`: machines are to be released in this tick.
 	 */
-	scaleOut(now: number, releasesWait: boolean): void {
+	scaleOut(now: number, hasMachinesToRelease: boolean): void {
 		const freeCalls = this.freeCalls()
 		if (this.state.dependencies.leadership() !== 'lease' || freeCalls < 1) return
-		// A release's turn: releasing a silent machine frees its tasks, which else wait for as long as rentals lack calls.
-		if (releasesWait && this.lastCallWasRental && this.lackedCalls) return
-		const wanted = this.plan(now).rentals()
-		for (const rental of wanted.slice(0, freeCalls)) this.rentals.start(rental)
-		this.lackedCalls = wanted.length > freeCalls
-		if (wanted.length > 0) this.lastCallWasRental = true
+		// The release goes first: it frees a silent machine's tasks, which would otherwise wait while rentals lack calls.
+		if (hasMachinesToRelease && this.lastCallWasRental && this.lackedCalls) return
+		const planned = this.plan(now).rentals()
+		for (const rental of planned.slice(0, freeCalls)) this.rentals.start(rental)
+		this.lackedCalls = planned.length > freeCalls
+		if (planned.length > 0) this.lastCallWasRental = true
 	}
 
-	/** May a call be spent on a release? Takes turns with rentals while those lack calls. */
+	/** Returns whether a call may be used for a release; alternates with rentals while those lack calls. */
 	mayScaleIn(): boolean {
 		if (this.freeCalls() < 1 || (this.lackedCalls && !this.lastCallWasRental)) return false
 		this.lastCallWasRental = false
 		return true
 	}
 
-	/** Carries out the recorded intent of a rental, also one of a former owner. */
+	/** Executes the recorded intent of a rental, also one of a former owner. */
 	resumeRental(name: string, record: MachineGroupRecord): void {
 		this.rentals.rentRecordedGroup(name, record)
 	}
 
-	/** A machine group of this shard changed. */
+	/** Handles a change of a machine group of this shard. */
 	onGroupRecorded(name: string, record: MachineGroupRecord): void {
 		this.rentals.onGroupRecorded(name, record)
 	}
 
-	/** A machine group of this shard was removed. */
+	/** Handles the removal of a machine group of this shard. */
 	onGroupRemoved(name: string): void {
 		this.rentals.onGroupRemoved(name)
 	}
@@ -97,12 +97,12 @@
 		return plan
 	}
 
-	/** Does the job need one more machine, though there are machines that would seem to do for it? */
+	/** Returns whether the job needs a trial machine although existing machines appear suitable. */
 	private needsTrial(job: JobRun, now: number): boolean {
 		return job.isQuarantined ? !this.hasUntriedMachine(job) : this.inheritedBoots.mayHaveFailed(job, now)
 	}
 
-	/** Machines that one machine group, and so one rental, can hold. */
+	/** Maximum number of machines in one machine group, and therefore in one rental. */
 	private maxMachinesPerRental(): number {
 		const valueBytes = this.state.config.settings.deployment.state.value_kb * 1024
 		const entries = (valueBytes - GROUP_OVERHEAD_BYTES) / GROUP_ENTRY_BYTES
@@ -110,18 +110,18 @@
 	}
 
 	/**
-	 * Calls that a rental or a release started now would not wait for. A rental is not started before its call can go out:
-	 * its count is fixed while it waits, so that it would ask for what was wanted seconds ago. In the first seconds of a day
-	 * most calls went to one or two machines while a hundred were wanted.
+	 * Number of cloud calls that can be sent without delay. A rental is not started before its call can be sent: its count
+	 * is fixed while it waits, so it would request the demand of seconds ago. In the first seconds of a simulated day most
+	 * calls were spent on one or two machines while a hundred were needed.
 	 */
 	private freeCalls(): number {
 		return this.state.dependencies.availableCloudCalls() - this.rentals.unwrittenCount
 	}
 
 	/**
-	 * Is there a machine that can show whether the job or its machines are at fault, one on which the job has not failed?
-	 * Where all machines of a shard are faulty, every job looks broken; without a machine rented for a trial none of them
-	 * would ever run again.
+	 * Returns whether a suitable machine exists on which the job has not failed; it can show whether the job or its
+	 * machines are at fault. If all machines of a shard are faulty, every job appears broken; without a trial machine none
+	 * of them would ever run again.
 	 */
 	private hasUntriedMachine(job: JobRun): boolean {
 		for (const machine of this.state.machines.values()) {
--- a/packages/controller/src/scheduler.ts
+++ b/packages/controller/src/scheduler.ts
@@ -1,4 +1,4 @@
-/** Scheduling of one shard: the entry points of placement, reservation, preemption and consolidation. */
+/** Scheduling of one shard: entry points for placement, reservation, preemption and consolidation. */
 import { Consolidator } from './consolidation.js'
 import { reserveMachines } from './machine-reservation.js'
 import type { Machine } from './model.js'
@@ -7,7 +7,7 @@
 import type { ShardState } from './state.js'
 import { TaskPlacer } from './task-placement.js'
 
-/** Decides which ready task runs on which machine, and which running tasks are stopped to make room. */
+/** Decides which ready task runs on which machine, and which running tasks are stopped to free resources. */
 export class Scheduler {
 	private readonly placer: TaskPlacer
 	private readonly consolidator: Consolidator
@@ -25,17 +25,17 @@
 		this.placer.placeTasks(machines)
 	}
 
-	/** Reserves machines for urgent jobs that have waited for a while; `now` is steady time in ms. */
+	/** Reserves machines for urgent jobs that have waited beyond their threshold; `now` is monotonic time in ms. */
 	reserveMachines(now: number): void {
 		reserveMachines(this.state, now)
 	}
 
-	/** Stops running tasks in favour of urgent or guaranteed ones; `now` is steady time in ms. */
+	/** Stops running tasks in favour of urgent or guaranteed ones; `now` is monotonic time in ms. */
 	preemptTasks(now: number): void {
 		preemptTasks(this.state, now)
 	}
 
-	/** Empties machines whose few tasks fit elsewhere; `now` is steady time in ms. */
+	/** Drains machines whose few tasks fit elsewhere; `now` is monotonic time in ms. */
 	consolidate(now: number): void {
 		this.consolidator.consolidate(now)
 	}
--- a/packages/controller/src/shard-dependencies.ts
+++ b/packages/controller/src/shard-dependencies.ts
@@ -1,4 +1,4 @@
-/** What a shard needs from the rest of the controller, by role. All of it may fail or come late; nothing here blocks. */
+/** Functions that a shard calls in the rest of the controller, by role. None blocks; any may fail or reply late. */
 import type { RentalRequest, RentResult } from '@heathroad/cloud'
 import type { JobRecord, LeadershipStatus } from '@heathroad/cluster'
 import type { Log } from '@heathroad/logging'
@@ -9,44 +9,44 @@
 
 /** Clocks. */
 export interface Clocks {
-	/** steady time in ms */
+	/** monotonic time in ms */
 	now(): number
-	/** time of day in ms, for ages that outlive an owner */
+	/** wall-clock time in ms, for ages that span several owners */
 	wallClockMs(): number
 }
 
-/** The records at the state service: reads from the watch cache, writes through the write queue. */
+/** Access to the records in the state service: reads from the watch cache, writes through the write queue. */
 export interface StoreAccess {
-	/** may this controller act for the shard? */
+	/** whether this controller may act for the shard */
 	leadership(): LeadershipStatus
 	entry(key: string): CacheEntry | undefined
 	withPrefix(prefix: string): Iterable<[string, CacheEntry]>
-	/** a job's record, and the mod revision that its own key must still have for a write */
+	/** a job's record, and the mod revision of its key for compare-and-swap */
 	job(uid: string): { record: JobRecord; modRevision: number } | undefined
-	/** jobs without a terminal state */
+	/** uids of jobs without a terminal state */
 	openJobs(): Iterable<string>
-	/** puts the result of an own write into the watch cache before the watch delivers it */
+	/** adds the result of this controller's write to the watch cache before the watch delivers it */
 	applyOwnWrite(key: string, data: unknown, modRevision: number): void
 	enqueueWrite(write: Omit<QueuedWrite, 'deadline'>): QueuedWrite
-	/** a waiting write moves ahead */
+	/** raises the priority of a queued write */
 	raisePriority(write: QueuedWrite, priority: number): void
-	/** brings the watch cache up to date, then calls back */
+	/** updates the watch cache to the current revision, then calls `done` */
 	refreshCache(done: () => void): void
-	/** calls back once everything durable before the call is in the cache; `ok` is false if that is not proven in time */
+	/** calls `done` once all writes durable before the call are in the cache; `ok` is false if not confirmed in time */
 	linearizableRead(done: (ok: boolean) => void): void
-	/** store revision up to which the records are known */
+	/** store revision that the watch cache has reached */
 	revision(): number
 }
 
-/** What is known of other shards and from other controllers. */
+/** Information about other shards and from other controllers. */
 export interface PeerKnowledge {
-	/** was this job quarantined when a former owner last reported its state to its peers? */
+	/** whether the job was quarantined in the last peer status of a former owner */
 	wasQuarantined(uid: string): boolean
-	/** what a team with a guarantee uses in the other shards */
+	/** resources that a team with a guarantee uses in the other shards */
 	usageInOtherShards(shardId: number, team: string): { cpus: number; gpus: number }
 	/**
-	 * Returns a function that names, for a waiting job of this shard, another shard which would serve it much better, or
-	 * null. `leaving` are the jobs that are on their way to other shards already.
+	 * Returns a function that selects, for a waiting job of this shard, another shard that would suit it much better, or
+	 * null. `leaving`: jobs that are already migrating to other shards.
 	 */
 	migrationPlanner(
 		shardId: number,
@@ -54,18 +54,18 @@
 	): (spec: JobSpec) => number | null
 }
 
-/** Admission checks and the marks of jobs that they have released. */
+/** Admission checks, and the release marks of jobs that have passed them. */
 export interface AdmissionAccess {
 	checks(): AdmissionChecks
-	/** do admission checks have to release the job before anything of it may start? */
+	/** whether the job must pass admission checks before any of its tasks may start */
 	isPendingRelease(uid: string, record: JobRecord): boolean
-	/** does the job's release mark have to stay on record: open, and without progress that would show the release? */
+	/** whether the job's release mark must stay recorded: the job is open and has no progress that implies the release */
 	keepsReleaseMark(uid: string): boolean
 }
 
-/** Direct commands to machines. */
+/** Commands sent directly to machines, outside heartbeat responses. */
 export interface MachineAccess {
-	/** `done` gets the HTTP status and the machine's heartbeat from the answer; null if there was none */
+	/** `done` receives the HTTP status and the heartbeat in the machine's response; null without a response */
 	sendCommands(
 		address: string,
 		fencingToken: number,
@@ -75,18 +75,18 @@
 	): void
 }
 
-/** The cloud that machines are rented from. */
+/** Access to the cloud that machines are rented from. */
 export interface CloudAccess {
 	rent(request: RentalRequest, done: (result: RentResult) => void): void
-	/** `gone`: the release is confirmed */
+	/** `gone`: the cloud has confirmed the release */
 	releaseMachines(ids: string[], done: (gone: boolean) => void): void
-	/** calls to the cloud that would go out at once */
+	/** number of cloud calls that the rate limit permits right now */
 	availableCloudCalls(): number
 	machineTypes(): readonly MachineType[]
 	offerAvailability: OfferAvailability
 }
 
-/** Everything that a shard needs from the rest of the controller. */
+/** All functions that a shard calls in the rest of the controller. */
 export interface ShardDependencies
 	extends Clocks,
 		StoreAccess,
--- a/packages/controller/src/shard.ts
+++ b/packages/controller/src/shard.ts
@@ -1,4 +1,4 @@
-/** Coordinates the components of one shard: what a change of records, a heartbeat or a tick does, and in which order. */
+/** Coordinates the components of one shard on record changes, heartbeats and ticks. */
 import {
 	decodeMachineGroup,
 	type JobRecord,
@@ -30,18 +30,18 @@
 import { ShardState } from './state.js'
 import { TakeoverReconciler } from './takeover-reconciler.js'
 
-/** Planning rounds over all machines per heartbeat interval: work that waits is placed well before the next heartbeat. */
+/** Planning rounds over all machines per heartbeat interval: waiting tasks are placed well before the next heartbeat. */
 const PLANNING_ROUNDS_PER_HEARTBEAT = 6
 
-/** The shortest time between planning rounds, in ms: a round costs CPU time in proportion to the shard. */
+/** Minimum time between planning rounds in ms: a round's CPU time is proportional to the shard's size. */
 const MIN_PLANNING_INTERVAL_MS = 200
 
 const MACHINE_GROUP_PREFIX = 'fleet/'
 
 /**
- * One shard under one owner: its jobs, its machines and what may run where. It lives from the transaction that took
- * the shard until the shard is lost. Nothing in it survives that; a successor rebuilds its state from the records and
- * the machines' heartbeats. All methods run to completion without waiting, so they need no locks.
+ * One shard under one owner: its jobs, its machines and their scheduling. It exists from the transaction that acquired
+ * the shard until the shard is lost. Its state is not preserved: a successor rebuilds it from the records and the
+ * machines' heartbeats. All methods are synchronous, so they need no locks.
  */
 export class Shard {
 	private readonly state: ShardState
@@ -62,7 +62,7 @@
 
 	/**
 	 * Rebuilds the shard from the records and starts to probe the machines that may hold tasks of a former owner.
-	 * `fencingToken` is the mod revision of the transaction that took the shard.
+	 * `fencingToken` is the mod revision of the transaction that acquired the shard.
 	 */
 	constructor(
 		readonly shardId: number,
@@ -128,7 +128,7 @@
 		})
 	}
 
-	/** Adds the recorded machines; returns the rentals whose answer the former owner may never have seen. */
+	/** Adds the recorded machines; returns the rentals whose result the former owner may not have received. */
 	private readMachineGroups(): [name: string, record: MachineGroupRecord][] {
 		const openRentals: [string, MachineGroupRecord][] = []
 		for (const [key, entry] of this.dependencies.withPrefix(MACHINE_GROUP_PREFIX)) {
@@ -154,12 +154,12 @@
 		return this.state.machines
 	}
 
-	/** Is every machine that may hold tasks of a former owner accounted for? */
+	/** Whether every machine that may hold tasks of a former owner is accounted for. */
 	get isReconciled(): boolean {
 		return this.state.reconciled
 	}
 
-	/** The machine types came or changed: machines known only by their type's name get its resources. */
+	/** Applies a new catalog of machine types: machines known only by their type's name get its resources. */
 	onMachineTypesChanged(): void {
 		for (const machine of this.machines.values()) {
 			machine.type = this.state.machineTypeNamed(machine.type.name)
@@ -167,15 +167,15 @@
 		}
 	}
 
-	/** A machine group's record changed: machines came, went, moved between shards or may be used from now on. */
-	onMachineGroupChanged(name: string, data: unknown, before: unknown): void {
+	/** Handles a changed machine group record: machines were added, removed, moved between shards or became usable. */
+	onMachineGroupChanged(name: string, data: unknown, previousData: unknown): void {
 		if (this.state.stopped) return
 		const record = decodeMachineGroup(data)
 		const belongsHere = record !== null && record.shardId === this.shardId
-		const previous = decodeMachineGroup(before)
+		const previous = decodeMachineGroup(previousData)
 		if (belongsHere) {
 			this.scaleOut.onGroupRecorded(name, record)
-			this.takeRecordedMachines(name, record)
+			this.addRecordedMachines(name, record)
 		}
 		if (previous === null || previous.shardId !== this.shardId) return
 		if (!belongsHere) this.scaleOut.onGroupRemoved(name)
@@ -186,7 +186,7 @@
 		}
 	}
 
-	private takeRecordedMachines(groupName: string, record: MachineGroupRecord): void {
+	private addRecordedMachines(groupName: string, record: MachineGroupRecord): void {
 		for (const [id, address] of Object.entries(record.addresses)) {
 			const machine = this.machines.get(id)
 			if (machine === undefined) this.state.addMachine(id, groupName, record)
@@ -198,38 +198,38 @@
 		}
 	}
 
-	/** A job's record changed: accepted, cancelled, moved to or from another shard, or an own write seen again. */
+	/** Handles a changed job record: accepted, cancelled, moved to or from another shard, or written by this owner. */
 	onJobChanged(uid: string, record: JobRecord): void {
 		this.jobLifecycle.onJobChanged(uid, record, { mayBeOnMachines: false })
 	}
 
-	/** Jobs were released by their admission checks, which is durable. */
+	/** Handles durable releases of jobs by their admission checks. */
 	onJobsReleased(uids: readonly string[]): void {
 		if (!this.state.stopped) this.gate.onJobsReleased(uids)
 	}
 
-	/** Count of jobs that wait for their admission checks. */
+	/** Number of jobs waiting for their admission checks. */
 	get pendingReleaseCount(): number {
 		return this.gate.size
 	}
 
 	/**
-	 * A machine's heartbeat. Responds with the fencing token and commands, at once or within half a heartbeat interval;
-	 * with null if this controller is not the one to answer. From the response on the machine's agent lease may run.
+	 * Handles a machine's heartbeat. Responds with the fencing token and commands, at once or within half a heartbeat
+	 * interval; with null if this controller must not respond. The machine's agent lease may run from the response on.
 	 */
 	handleHeartbeat(heartbeat: Heartbeat, respond: RespondToHeartbeat): void {
 		this.heartbeatHandler.handle(heartbeat, respond)
 	}
 
 	/**
-	 * Takes unregistered machines that fall to this shard; see `MachineAdopter.adopt`. The caller has made sure that no
-	 * rental can yet bring them under another record.
+	 * Adopts unregistered machines assigned to this shard; see `MachineAdopter.adopt`. The caller ensures that no open
+	 * rental can still add them to another record.
 	 */
 	adoptMachines(heartbeats: readonly Heartbeat[], done: () => void): void {
 		this.machineAdopter.adopt(heartbeats, done)
 	}
 
-	/** Regular check of everything that changes with time alone. */
+	/** Periodic work: failure detection, planning, scale-in, progress writes, admission checks and reconciliation. */
 	tick(): void {
 		if (this.state.stopped) return
 		const now = this.dependencies.now()
@@ -244,7 +244,7 @@
 		if (!this.state.reconciled) this.takeover.tick(now)
 	}
 
-	private planIfDue(now: number, hasReleases: boolean): void {
+	private planIfDue(now: number, hasMachinesToRelease: boolean): void {
 		const intervalMs = Math.max(
 			MIN_PLANNING_INTERVAL_MS,
 			this.state.config.limits.heartbeatMs / PLANNING_ROUNDS_PER_HEARTBEAT,
@@ -256,11 +256,11 @@
 		this.scheduler.reserveMachines(now)
 		this.scheduler.preemptTasks(now)
 		this.scheduler.consolidate(now)
-		this.scaleOut.scaleOut(now, hasReleases)
+		this.scaleOut.scaleOut(now, hasMachinesToRelease)
 		this.jobMigrator.tick(now, intervalMs)
 	}
 
-	/** Releases machines; where that is not possible now, idle ones take work again. */
+	/** Releases machines; if that is not possible now, idle ones become schedulable again. */
 	private scaleIn(machines: readonly Machine[], leadership: LeadershipStatus): void {
 		if (machines.length > 0 && leadership === 'lease' && this.scaleOut.mayScaleIn()) {
 			this.machineRemover.release(machines)
@@ -271,8 +271,8 @@
 	}
 
 	/**
-	 * May the shard be handed off? Not while it is being rebuilt or a machine misses heartbeats: the next owner would
-	 * have to wait for that machine before any old job continues, while this one knows what it holds (incident 6).
+	 * Returns whether the shard may be handed off. Not during reconciliation or while a machine misses heartbeats: the
+	 * next owner would have to wait for that machine before any old job continues, but this one knows its tasks (incident 6).
 	 */
 	isQuiescent(): boolean {
 		return this.state.reconciled && this.failureDetector.missedHeartbeats(this.dependencies.now()) === 0
@@ -283,7 +283,7 @@
 		return this.state.teamUsage(team)
 	}
 
-	/** Jobs with attempts that may still be on a machine of this shard; null while that is not known. */
+	/** Jobs with attempts that may still be on a machine of this shard; null while this is unknown. */
 	jobsOnMachines(): Set<string> | null {
 		if (!this.state.reconciled || this.state.stopped) return null
 		const uids = new Set<string>()
@@ -302,12 +302,12 @@
 		return this.failureDetector.isPartitioned(this.takeover.unconfirmedMachines)
 	}
 
-	/** A job was cancelled while this controller had no state service; a peer that had one reports it. */
+	/** Applies a cancellation reported by a peer that can reach the state service while this controller cannot. */
 	applyCancellation(uid: string): void {
 		this.jobLifecycle.onCancelled(uid)
 	}
 
-	/** The shard is lost or the controller stops: nothing is sent, written or answered from now on. */
+	/** Stops the shard when it is lost or the controller stops: no further commands, writes or responses. */
 	stop(): void {
 		this.state.stopped = true
 		this.heartbeatHandler.stop()
--- a/packages/controller/src/spare-capacity.ts
+++ b/packages/controller/src/spare-capacity.ts
@@ -1,33 +1,33 @@
-/** Spare capacity: what a shard's machines, and those being rented, will have left for waiting tasks. */
+/** Spare capacity for waiting tasks on a shard's machines and pending rentals. */
 import { type InstanceOffer, machineFraction, offerKey, scaleOutWeight } from '@heathroad/policy'
 import type { MachineType } from '@heathroad/wire'
 import type { Machine } from './model.js'
 import type { ShardState } from './state.js'
 
-/** Machines of one offer that waiting tasks can still use. */
+/** Spare capacity in machines of one offer. */
 export interface SpareCapacity {
-	/** in machines, also fractions of one */
+	/** in machines; may be fractional */
 	machines: number
 	type: MachineType
 	zone: string
 	spot: boolean
 }
 
-/** Machines asked for by one rental that is not answered and recorded yet. */
+/** Machines requested by one rental whose result is not recorded yet. */
 export interface PendingRental {
 	offer: InstanceOffer
 	count: number
 }
 
-/** Can waiting work count on this machine? */
+/** Returns whether the machine counts as capacity for waiting tasks. */
 export const isUsable = (state: ShardState, machine: Machine, now: number): boolean => {
 	if (machine.drainReason !== null || machine.releasing) return false
 	if (!machine.booted) return now - machine.discoveredAt <= state.bootTimes.giveUpAfterMs(machine.type)
-	// Without heartbeats for a lease: its tasks wait again, and it may be long before it takes new ones.
+	// After a lease without heartbeats its tasks are requeued, and it may be long before it takes new ones.
 	return now - machine.lastHeartbeatAt <= state.config.limits.agentLeaseMs
 }
 
-/** The share of the machine that its tasks will still need while another machine boots. */
+/** Share of the machine that its tasks will still use while another machine boots. */
 const busyShare = (state: ShardState, machine: Machine, now: number): number => {
 	let busy = 0
 	for (const attempt of machine.attempts.values()) {
@@ -39,8 +39,8 @@
 }
 
 /**
- * Spare capacity by offer key. Capacity is counted in machines: a running task holds the share of its slot that it will
- * still need while another machine boots; machines of pending rentals are wholly spare.
+ * Computes spare capacity by offer key. Capacity is counted in machines: a running task uses the share of its slot that
+ * it will still need while another machine boots; machines of pending rentals are entirely spare.
  */
 export const computeSpareCapacity = (
 	state: ShardState,
--- a/packages/controller/src/state.ts
+++ b/packages/controller/src/state.ts
@@ -1,4 +1,4 @@
-/** State that the parts of one shard share: its jobs, its machines, and which attempts are or may be where. */
+/** State shared by the components of one shard: its jobs, its machines and the attempts on them. */
 import {
 	HISTORY_KEY,
 	type MachineGroupRecord,
@@ -21,10 +21,10 @@
 import type { ShardDependencies } from './shard-dependencies.js'
 import { TeamUsage } from './team-usage.js'
 
-/** Heartbeat intervals without a heartbeat after which a machine takes nothing new. */
+/** Heartbeat intervals without a heartbeat after which a machine gets no new tasks. */
 export const MAX_MISSED_HEARTBEATS = 3
 
-/** Jobs, machines and attempts of one shard under one owner. Times are steady time in ms. */
+/** Jobs, machines and attempts of one shard under one owner. Times are monotonic, in ms. */
 export class ShardState {
 	/** jobs of this shard that may start or are running, by uid */
 	readonly jobs = new Map<string, JobRun>()
@@ -32,14 +32,14 @@
 	readonly machines = new Map<string, Machine>()
 	/** every machine that may hold tasks of a former owner is accounted for */
 	reconciled = false
-	/** since when this controller has received heartbeats without a break */
+	/** since when this controller has received heartbeats without interruption */
 	listeningSince = Number.NEGATIVE_INFINITY
-	/** the shard is lost, or the controller stops: nothing is sent or written any more */
+	/** the shard is lost or the controller stops: no further commands or writes */
 	stopped = false
 	readonly bootTimes = new BootTimeEstimator()
-	/** the records, for writes that are conditional on them */
+	/** reads records for compare-and-swap writes */
 	readonly records: RecordReader
-	/** what a page of terminal states holds */
+	/** size limits of a page of terminal states */
 	readonly pageLimits: PageLimits
 	private readonly runTimes = new RunTimeEstimator()
 	private readonly teams: TeamUsage
@@ -75,17 +75,17 @@
 
 	// ---- writes ----
 
-	/** Do terminal states share pages? In the first form of the records each has a key of its own. */
+	/** Whether terminal states share pages. In the first record format each has a key of its own. */
 	get usesTerminalPages(): boolean {
 		return this.dependencies.entry(HISTORY_KEY) !== undefined
 	}
 
-	/** Every write of an owner holds only while its ownership does. */
+	/** Condition of every write by an owner: it still owns the shard. */
 	ownershipCondition(): { key: string; modRevision: number } {
 		return { key: KEY_PREFIX + shardKey(this.shardId), modRevision: this.fencingToken }
 	}
 
-	/** Enqueues a write whose content is known now; it is sent only while this controller owns the shard. */
+	/** Enqueues a write with fixed content; it is sent and applied only while this controller owns the shard. */
 	enqueueOwnedWrite(
 		priority: number,
 		conditions: readonly Condition[],
@@ -100,7 +100,7 @@
 		})
 	}
 
-	/** Puts the values of an own transaction that was applied at this revision into the watch cache. */
+	/** Adds the values of this owner's transaction, applied at this revision, to the watch cache. */
 	applyOwnMutations(mutations: readonly Mutation[], revision: number): void {
 		for (const mutation of mutations)
 			if ('set' in mutation)
@@ -109,13 +109,13 @@
 
 	// ---- machines ----
 
-	/** The machine type of this name, or a stand-in without resources if the catalog does not have it. */
+	/** Returns the machine type of this name, or a placeholder without resources if it is not in the catalog. */
 	machineTypeNamed(name: string): MachineType {
 		const type = this.dependencies.machineTypes().find((candidate) => candidate.name === name)
 		return type ?? unknownMachineType(name, this.config.limits.agentLeaseMs / 1000)
 	}
 
-	/** Adds a machine of a machine group's record, which became known at a time: now if not given. */
+	/** Adds a machine of a machine group's record. `recordedAt`: when the record was received, now by default. */
 	addMachine(id: string, groupName: string, record: MachineGroupRecord, recordedAt?: number): Machine {
 		const now = this.dependencies.now()
 		const machine = newMachine(id, {
@@ -131,14 +131,14 @@
 		return machine
 	}
 
-	/** Computes what is free from the attempts that are there. */
+	/** Recomputes the machine's free resources from its attempts. */
 	recomputeFreeResources(machine: Machine): void {
 		recomputeFreeResources(machine)
 	}
 
 	/**
-	 * May new attempts be planned for the machine? A machine that is kept although it misses heartbeats takes nothing new
-	 * (incident 22): what is planned for it would be withdrawn at every tick, and meanwhile no other machine would be
+	 * Returns whether new attempts may be planned for the machine. A machine kept although it misses heartbeats gets none
+	 * (incident 22): attempts planned for it would be removed at every tick, and meanwhile no other machine would be
 	 * chosen or rented for the task.
 	 */
 	isSchedulable(machine: Machine, now: number): boolean {
@@ -148,34 +148,34 @@
 		return silentMs <= this.config.limits.heartbeatMs * MAX_MISSED_HEARTBEATS
 	}
 
-	/** The machine has the job's image from now on. */
+	/** Records the job's image as cached on the machine. */
 	recordCachedImage(machine: Machine, spec: JobSpec): void {
 		recordCachedImage(machine, spec)
 	}
 
 	// ---- attempts: see `AttemptRegistry` ----
 
-	/** An attempt is planned for a machine, or was found on it. */
+	/** Adds an attempt that is planned for a machine or was found on it. */
 	addAttempt(machine: Machine, attempt: Attempt): void {
 		this.attempts.add(machine, attempt)
 	}
 
-	/** The attempt holds no resources any more: it has ended, or is not there. Has an effect once per attempt. */
-	freeResourcesOf(machine: Machine, attempt: Attempt): void {
+	/** Releases the resources of an attempt that has exited or is not on its machine. Has an effect once per attempt. */
+	releaseResources(machine: Machine, attempt: Attempt): void {
 		this.attempts.free(machine, attempt)
 	}
 
-	/** The attempt is not on its machine; its task is requeued unless its end was accounted for before. */
+	/** Removes an attempt that is not on its machine; requeues its task unless its exit was already processed. */
 	removeAttempt(machine: Machine, attempt: Attempt): void {
 		this.attempts.remove(machine, attempt)
 	}
 
-	/** The task may be started elsewhere if it is not done and proven absent from all machines. */
+	/** Requeues the attempt's task if it is not done and proven absent from all machines. */
 	requeueTask(attempt: Attempt): void {
 		this.attempts.requeueTask(attempt)
 	}
 
-	/** What the attempt has cost so far: its share of the machine's price; 0 before its start. */
+	/** Cost of the attempt so far: its share of the machine's price; 0 before its start. */
 	attemptCost(attempt: Attempt): number {
 		return this.attempts.cost(attempt)
 	}
@@ -187,13 +187,13 @@
 		return this.runTimes.estimateS(spec)
 	}
 
-	/** How long an attempt will still run, by the estimate, in seconds. */
+	/** Estimated remaining run time of an attempt, in seconds. */
 	remainingRunS(attempt: Attempt, job: JobRun, now: number): number {
 		const ranS = attempt.startedAt === null ? 0 : (now - attempt.startedAt) / 1000
 		return Math.max(0, this.estimatedRunS(job.spec) - (job.checkpointedS.get(attempt.taskIndex) ?? 0) - ranS)
 	}
 
-	/** A task of the job ran for so many seconds in all. */
+	/** Records that a task of the job ran for `seconds` in total. */
 	observeRunTime(spec: JobSpec, seconds: number): void {
 		this.runTimes.observe(spec, seconds)
 	}
@@ -210,19 +210,19 @@
 		return this.teams.inShard(team)
 	}
 
-	/** Would one more task of this size still lie within what the team is guaranteed in the whole service? */
+	/** Returns whether one more task of this size stays within the team's guarantee, which holds over all shards. */
 	isWithinGuarantee(spec: { team: string; cpus: number; gpus: number }): boolean {
 		return this.teams.isWithinGuarantee(spec)
 	}
 
-	/** Does the team use more than its guarantee? True for teams without one. */
+	/** Returns whether the team uses more than its guarantee; true for teams without one. */
 	exceedsGuarantee(team: string): boolean {
 		return this.teams.exceedsGuarantee(team)
 	}
 
-	// ---- order of jobs ----
+	// ---- job queue ----
 
-	/** The order of jobs has to be computed anew before it is next used. */
+	/** Whether the queue must be sorted again before its next use. */
 	get queueDirty(): boolean {
 		return this.queue.isDirty
 	}
@@ -231,22 +231,22 @@
 		this.queue.isDirty = isDirty
 	}
 
-	/** Seconds since the job was accepted, by any owner. */
+	/** Seconds since any owner accepted the job. */
 	jobAgeS(job: JobRun): number {
 		return this.queue.ageS(job)
 	}
 
-	/** Jobs with tasks that may start now, in order. */
+	/** Jobs with tasks that may start now, in queue order. */
 	waitingJobs(now: number): Iterable<JobRun> {
 		return this.queue.waiting(now)
 	}
 
-	/** Does any job wait that is not quarantined? */
+	/** Returns whether any job that is not quarantined is waiting. */
 	hasWaitingJobs(now: number): boolean {
 		return this.queue.hasWaiting(now)
 	}
 
-	/** Waiting jobs that are not quarantined: a job that fails everywhere takes only what is left over. */
+	/** Waiting jobs that are not quarantined: a job that fails everywhere gets only leftover resources. */
 	waitingHealthyJobs(now: number): Iterable<JobRun> {
 		return this.queue.waitingHealthy(now)
 	}
--- a/packages/controller/src/takeover-reconciler.ts
+++ b/packages/controller/src/takeover-reconciler.ts
@@ -1,27 +1,27 @@
-/** Rebuilds, after a takeover, the knowledge of what runs where: no old task is started again before that is complete. */
+/** Reconciliation after a takeover: finds out what runs where; no old task is restarted before it is complete. */
 import { RangeSet, reconcilePatienceMs } from '@heathroad/policy'
 import type { Heartbeat } from '@heathroad/wire'
 import type { JobRun, Machine } from './model.js'
 import type { Scheduler } from './scheduler.js'
 import type { ShardState } from './state.js'
 
-/** Share of the controller's sockets that probes may use: each needs a connection, and the rest is for other work. */
+/** Share of the controller's sockets available for probes: each needs a connection; the rest serves other work. */
 const PROBE_SOCKET_SHARE = 1 / 4
 
-/** Heartbeat intervals after which, at the latest, a few missing machines are released. */
-const MAX_PATIENCE_HEARTBEATS = 3
+/** Maximum wait before a few missing machines are released, in heartbeat intervals. */
+const MAX_MISSING_MACHINE_WAIT_HEARTBEATS = 3
 
-/** What the reconciliation after a takeover asks of other components of the shard. */
+/** Actions of other components of the shard that the reconciliation uses. */
 export interface TakeoverActions {
-	/** takes over a heartbeat that came in the answer to a probe */
+	/** reconciles the machine with the heartbeat in its response to a probe */
 	reconcile(machine: Machine, heartbeat: Heartbeat): void
-	/** starts to return machines to the cloud */
+	/** starts to release machines to the cloud */
 	release(machines: readonly Machine[]): void
 }
 
-/** Tracks the machines that may hold tasks of a former owner until each has reported, or is known to be empty. */
+/** Tracks the machines that may hold tasks of a former owner until each has reported or is known to be empty. */
 export class TakeoverReconciler {
-	/** machines that may hold tasks of a former owner and have not reported under this owner's token yet */
+	/** ids of machines that may hold tasks of a former owner and have not reported with this owner's token yet */
 	private readonly unconfirmed = new Set<string>()
 	private openProbes = 0
 	private readonly takenOverAt: number
@@ -39,14 +39,14 @@
 		return this.unconfirmed
 	}
 
-	/** All machines of the records are known: those with an address may hold tasks. */
+	/** Begins reconciliation once all recorded machines are added: those with an address may hold tasks. */
 	begin(): void {
 		for (const machine of this.state.machines.values())
 			if (machine.addressRecorded) this.unconfirmed.add(machine.id)
 		this.state.reconciled = this.unconfirmed.size === 0
 	}
 
-	/** Asks the unconfirmed machines for their tasks, as many at a time as there are sockets for. */
+	/** Probes the unconfirmed machines for their tasks, up to the number of sockets for probes at a time. */
 	probeUnconfirmed(): void {
 		for (const id of this.unconfirmed) {
 			const machine = this.state.machines.get(id)
@@ -56,7 +56,7 @@
 
 	private probe(machine: Machine): void {
 		const maxProbes = this.state.config.limits.maxSockets * PROBE_SOCKET_SHARE
-		// The rest is probed by later ticks.
+		// Later ticks probe the remaining machines.
 		if (machine.address === null || machine.probing || this.openProbes >= maxProbes) return
 		machine.probing = true
 		this.openProbes++
@@ -80,7 +80,7 @@
 			this.actions.reconcile(machine, heartbeat)
 			return
 		}
-		// 409 carries the present agent epoch (or a newer owner's token): the probe is repeated with the right one.
+		// 409 contains the current agent epoch (or a newer owner's token): the probe is retried with that epoch.
 		const isOtherEpoch = status === 409 && heartbeat.agentEpoch !== machine.agentEpoch
 		if (isOtherEpoch && heartbeat.fencingToken <= machine.fencingToken) {
 			machine.agentEpoch = heartbeat.agentEpoch
@@ -88,19 +88,19 @@
 		}
 	}
 
-	/** What this machine holds is known, or it holds nothing any more. */
+	/** Confirms a machine whose tasks are known or that no longer holds any. */
 	confirm(machine: Machine): void {
 		if (!this.unconfirmed.delete(machine.id) || this.unconfirmed.size > 0) return
 		this.complete()
 	}
 
-	/** The machine was removed from the shard. */
+	/** Handles the removal of a machine from the shard. */
 	onMachineRemoved(machine: Machine): void {
 		this.unconfirmed.delete(machine.id)
 		if (!this.state.reconciled && this.unconfirmed.size === 0) this.complete()
 	}
 
-	/** Every machine is accounted for: tasks that are nowhere become ready. */
+	/** Completes the reconciliation: every machine is accounted for, and tasks that are on none become ready. */
 	private complete(): void {
 		this.state.reconciled = true
 		for (const job of this.state.jobs.values()) if (!job.isReconciled) this.completeJob(job)
@@ -123,16 +123,16 @@
 
 	/**
 	 * Continues an incomplete reconciliation: probes again, and after some time releases a few machines that neither
-	 * answer nor send heartbeats. A confirmed release proves them empty sooner than their leases would, the sooner the
-	 * fewer they are; if many are missing it is rather this controller that is cut off.
+	 * respond nor send heartbeats. A confirmed release proves them empty sooner than lease expiry. The fewer are missing,
+	 * the shorter the wait; if many are missing, it is more likely that this controller is partitioned.
 	 */
 	tick(now: number): void {
 		const missing = [...this.unconfirmed].flatMap((id) => this.state.machines.get(id) ?? [])
 		for (const machine of missing) this.probe(machine)
 		const { heartbeatMs, controllerLeaseMs } = this.state.config.limits
-		const maxPatienceMs = Math.min(heartbeatMs * MAX_PATIENCE_HEARTBEATS, controllerLeaseMs)
-		const patienceMs = reconcilePatienceMs(missing.length, this.state.machines.size, maxPatienceMs)
-		if (patienceMs === null || now - this.takenOverAt <= patienceMs) return
+		const maxWaitMs = Math.min(heartbeatMs * MAX_MISSING_MACHINE_WAIT_HEARTBEATS, controllerLeaseMs)
+		const waitMs = reconcilePatienceMs(missing.length, this.state.machines.size, maxWaitMs)
+		if (waitMs === null || now - this.takenOverAt <= waitMs) return
 		if (this.state.dependencies.leadership() !== 'lease' || this.state.dependencies.availableCloudCalls() < 1)
 			return
 		const blocking = missing.filter((machine) => !machine.releasing)
--- a/packages/controller/src/task-placement.ts
+++ b/packages/controller/src/task-placement.ts
@@ -14,38 +14,38 @@
 import type { ShardState } from './state.js'
 
 /**
- * Attempt numbers of one owner. An attempt is numbered `fencingToken * ATTEMPTS_PER_FENCING_TOKEN + counter`, which is
- * unique over owners and restarts, and exact in a double.
+ * Attempt numbers per owner. An attempt's number is `fencingToken * ATTEMPTS_PER_FENCING_TOKEN + counter`, which is
+ * unique across owners and restarts, and exact in a double.
  */
 const ATTEMPTS_PER_FENCING_TOKEN = 2 ** 20
 
-/** Amounts up to this are rounding errors of sums, not free resources. */
+/** Amounts up to this are rounding errors, not free resources. */
 const RESOURCE_EPSILON = 1e-9
 
 interface PlacementCandidate extends Candidate {
 	machine: Machine
 }
 
-/** Has the machine both processors (CPUs or GPUs) and memory left? */
+/** Returns whether the machine has both processors (CPUs or GPUs) and memory free. */
 const hasFreeResources = ({ freeResources }: Machine): boolean =>
 	freeResources.cpus + freeResources.gpus > RESOURCE_EPSILON && freeResources.ramGb > RESOURCE_EPSILON
 
-/** Does one more task of the job fit on the machine, and may it run in the machine's zone? */
+/** Returns whether one more task of the job fits on the machine and may run in the machine's zone. */
 const hasRoomFor = (job: JobRun, machine: Machine): boolean =>
 	fits(job.spec, machine.freeResources) && isZoneAllowed(job.spec, machine.zone, job.taskCountByZone)
 
-/** Is the machine reserved for a job of higher rank that still waits? */
+/** Returns whether the machine is reserved for a job of higher rank that is still waiting. */
 const isReservedForHigherRank = ({ reservedFor }: Machine, job: JobRun): boolean =>
 	reservedFor !== null && reservedFor.rank > job.rank && reservedFor.readyTasks.size > 0
 
-/** May the job's next task go to this machine at `now` (steady time in ms)? */
+/** Returns whether the job's next task may be placed on this machine at `now` (monotonic time in ms). */
 const isCandidate = (job: JobRun, machine: Machine, now: number): boolean => {
 	if (!hasRoomFor(job, machine) || !isAllowedOn(job.spec, machine)) return false
 	if (job.failedMachineIds.has(machine.id) && now < job.retryFailedMachinesAt) return false
 	return !isReservedForHigherRank(machine, job)
 }
 
-/** A gang starts only when none of its tasks is placed and every unfinished task is ready. */
+/** A gang may start only if none of its tasks is placed and every unfinished task is ready. */
 const isGangReady = (job: JobRun): boolean =>
 	job.placements.size === 0 && job.readyTasks.size >= job.spec.tasks - job.doneTasks.size
 
@@ -53,7 +53,7 @@
 const isLimitedByQuarantine = (job: JobRun): boolean =>
 	job.isQuarantined && job.spec.kind !== 'gang' && job.placements.size > 0
 
-/** Places ready tasks on machines. Placed attempts are `planned`; the machines' next heartbeats start them. */
+/** Places ready tasks on machines as `planned` attempts, which start with the machines' next heartbeats. */
 export class TaskPlacer {
 	private attemptCounter = 0
 
@@ -62,7 +62,7 @@
 		private readonly scaleOut: ScaleOut,
 	) {}
 
-	/** Runs one placement round over these machines, job by job in the order of the queue. */
+	/** Runs one placement round over these machines, job by job in queue order. */
 	placeTasks(machines: Iterable<Machine>): void {
 		const now = this.state.dependencies.now()
 		if (!this.mayStartTasks()) return
@@ -77,14 +77,14 @@
 		}
 	}
 
-	/** Only an owner whose records are as recent as its ownership may start tasks. */
+	/** Only an owner whose watch cache has reached the revision of its takeover may start tasks. */
 	private mayStartTasks(): boolean {
 		if (this.state.stopped || this.state.dependencies.leadership() === 'none') return false
-		// Writes that precede the takeover and are not known here yet may have moved jobs to other shards.
+		// Writes before the takeover that are not in the watch cache yet may have moved jobs to other shards.
 		return this.state.dependencies.revision() >= this.state.fencingToken
 	}
 
-	/** Places all remaining tasks of a gang, or none of them. */
+	/** Places all remaining tasks of a gang or none. */
 	private placeGang(job: JobRun, openMachines: readonly Machine[]): void {
 		if (!isGangReady(job)) return
 		this.placeReadyTasks(job, openMachines)
@@ -93,8 +93,8 @@
 	}
 
 	/**
-	 * Places a job's ready tasks. They are all alike, so the machines are ranked once for all of them: a machine that
-	 * takes a task has the image from then on and stays the best choice until it is full.
+	 * Places a job's ready tasks. They are identical, so the machines are ranked once for all of them: a machine with a
+	 * placed task will have the image, and stays the best choice until it is full.
 	 */
 	private placeReadyTasks(job: JobRun, openMachines: readonly Machine[]): void {
 		if (!this.isWithinTeamLimit(job.spec)) return
@@ -112,7 +112,7 @@
 			}
 	}
 
-	/** The machines that may take the job's next task, with what placement policy ranks them by. */
+	/** Machines on which the job's next task may be placed, with the values that placement policy ranks them by. */
 	private findCandidates(
 		job: JobRun,
 		runS: number,
@@ -129,7 +129,7 @@
 			})
 	}
 
-	/** Does one more task of the job stay within its team's limit? */
+	/** Returns whether one more task of the job stays within its team's limit. */
 	private isWithinTeamLimit(spec: JobSpec): boolean {
 		const team = this.state.teamLimit(spec.team)
 		if (team === undefined) return false
@@ -163,7 +163,7 @@
 		this.state.recordCachedImage(machine, spec)
 	}
 
-	/** Tasks of a gang find each other by their attempt number: all tasks of one start share it. */
+	/** All tasks of a gang's start share one attempt number, by which they find each other. */
 	private nextAttemptNumber(job: JobRun): number {
 		const joinsGang = job.spec.kind === 'gang' && job.placements.size > 0
 		if (!joinsGang) this.attemptCounter++
--- a/packages/controller/src/team-usage.ts
+++ b/packages/controller/src/team-usage.ts
@@ -1,4 +1,4 @@
-/** What teams use of the machines, against their guarantees (quotas) and limits. */
+/** Resource usage of teams, compared with their guarantees (quotas) and limits. */
 import type { TeamLimit } from '@heathroad/policy'
 import type { ShardDependencies } from './shard-dependencies.js'
 
@@ -8,7 +8,7 @@
 	gpus: number
 }
 
-/** Counts the resources that attempts in this shard hold, by team, and compares them with what teams are granted. */
+/** Counts the resources that attempts in this shard hold by team, and compares usage with the teams' guarantees. */
 export class TeamUsage {
 	private readonly usageByTeam = new Map<string, TeamResources>()
 	private readonly limitsByTeam: ReadonlyMap<string, TeamLimit>
@@ -26,12 +26,12 @@
 		return this.limitsByTeam.get(team)
 	}
 
-	/** What the team's attempts hold in this shard. */
+	/** Resources that the team's attempts hold in this shard. */
 	inShard(team: string): TeamResources {
 		return this.usageByTeam.get(team) ?? { cpus: 0, gpus: 0 }
 	}
 
-	/** An attempt of the team takes resources. */
+	/** Adds the resources of an attempt of the team. */
 	add(team: string, resources: TeamResources): void {
 		const used = this.inShard(team)
 		used.cpus += resources.cpus
@@ -39,7 +39,7 @@
 		this.usageByTeam.set(team, used)
 	}
 
-	/** An attempt of the team no longer takes resources. */
+	/** Subtracts the resources of an attempt of the team. */
 	subtract(team: string, resources: TeamResources): void {
 		const used = this.usageByTeam.get(team)
 		if (used === undefined) return
@@ -47,7 +47,7 @@
 		used.gpus -= resources.gpus
 	}
 
-	/** Usage in all shards, the others' as their owners last reported it: guarantees hold for the whole service. */
+	/** Usage in all shards, for other shards as last reported by their owners: guarantees hold for the whole service. */
 	private inAllShards(team: string): TeamResources {
 		const here = this.inShard(team)
 		const elsewhere = this.dependencies.usageInOtherShards(this.shardId, team)
@@ -60,7 +60,7 @@
 		return limit === undefined || (limit.cpus <= 0 && limit.gpus <= 0) ? null : limit
 	}
 
-	/** Would one more task of this size still lie within the team's guarantee? */
+	/** Returns whether one more task of this size stays within the team's guarantee. */
 	isWithinGuarantee(task: TeamResources & { team: string }): boolean {
 		const guarantee = this.guaranteeOf(task.team)
 		if (guarantee === null) return false
@@ -68,7 +68,7 @@
 		return used.cpus + task.cpus <= guarantee.cpus && used.gpus + task.gpus <= guarantee.gpus
 	}
 
-	/** Does the team use more than its guarantee? True for teams without one. */
+	/** Returns whether the team uses more than its guarantee; true for teams without one. */
 	exceedsGuarantee(team: string): boolean {
 		const guarantee = this.guaranteeOf(team)
 		if (guarantee === null) return true
--- a/packages/controller/src/terminal-state-writer.ts
+++ b/packages/controller/src/terminal-state-writer.ts
@@ -1,18 +1,18 @@
-/** Writes the terminal states of completed jobs to the pages that they share. */
+/** Writes the terminal states of completed jobs to shared pages. */
 import { recordTerminalJobs, toTerminalJob } from '@heathroad/cluster'
 import { type QueuedWrite, type TransactionContent, WritePriority } from '@heathroad/store'
 import type { JobRun } from './model.js'
 import type { ShardState } from './state.js'
 
-/** A transaction as it was sent, and the jobs whose terminal states it contains. */
+/** The transaction sent to the state service, and the jobs whose terminal states it contains. */
 interface SentWrite {
 	jobs: readonly JobRun[]
 	content: TransactionContent
 }
 
 /**
- * Makes terminal states durable, all that were reached during one write together in the next. One write at a time:
- * each is based on the page that the one before it left.
+ * Makes terminal states durable. Jobs that complete during one write are batched into the next; there is one write at a
+ * time, as each is based on the page that the previous one wrote.
  */
 export class TerminalStateWriter {
 	private readonly pendingJobs = new Set<JobRun>()
@@ -20,13 +20,13 @@
 
 	constructor(private readonly state: ShardState) {}
 
-	/** All of the job's tasks are done. May be called again and again until that is durable. */
+	/** Adds a job whose tasks are all done. May be called repeatedly until its terminal state is durable. */
 	add(job: JobRun): void {
 		this.pendingJobs.add(job)
 		this.flush()
 	}
 
-	/** Pending jobs without a terminal state on record; the others leave the set. */
+	/** Returns the pending jobs without a recorded terminal state, and removes the others from the set. */
 	private openJobs(): JobRun[] {
 		for (const job of this.pendingJobs)
 			if (job.isTerminal || this.state.dependencies.job(job.spec.uid)?.record.finalState !== undefined)
