--- a/packages/controller/src/rental-executor.ts
+++ b/packages/controller/src/rental-executor.ts
@@ -1,4 +1,4 @@
-/** Rental execution: records the intent of a rental, carries it out and records its answer. */
+/** Executes rentals: records the intent, calls the cloud and records the result. */
 import type { RentalRequest, RentResult } from '@heathroad/cloud'
 import { encodeMachineGroup, type MachineGroupRecord, machineGroupKey } from '@heathroad/cluster'
 import { type InstanceOffer, offerKey } from '@heathroad/policy'
@@ -7,15 +7,15 @@
 import type { PendingRental } from './spare-capacity.js'
 import type { ShardState } from './state.js'
 
-/** After a refusal the offer is not asked for again for this share of its boot time, at first. */
-const FIRST_REFUSAL_PAUSE_IN_BOOTS = 0.25
+/** Backoff after the first refusal of an offer, as a share of its boot time. */
+const INITIAL_REFUSAL_BACKOFF_IN_BOOTS = 0.25
 
-/** Refusals in a row lengthen the pause up to this many boot times: capacity that came back is found in time. */
-const MAX_REFUSAL_PAUSE_IN_BOOTS = 2
+/** Maximum backoff after consecutive refusals, in boot times: capacity that returns is found in time. */
+const MAX_REFUSAL_BACKOFF_IN_BOOTS = 2
 
 /**
- * Rents machines. A rental's intent is durable before the cloud is asked, and the same name gets the same answer: so a
- * rental is carried out once, whoever carries it out.
+ * Rents machines. The intent is durable before the cloud is called, and the cloud returns the same result for the same
+ * name, so each rental takes effect once, whichever owner executes it.
  */
 export class RentalExecutor {
 	private rentalCounter = 0
@@ -27,17 +27,17 @@
 		private readonly machineGroups: MachineGroupWriter,
 	) {}
 
-	/** Rentals by name from their intent until their machines are recorded. */
+	/** Rentals by name, from the intent until their machines are recorded. */
 	get pending(): ReadonlyMap<string, PendingRental> {
 		return this.rentalsByName
 	}
 
-	/** Rentals whose intent is being written: each is about to use a call to the cloud. */
+	/** Number of rentals whose intent is being written: each will use a cloud call. */
 	get unwrittenCount(): number {
 		return this.intentWriteCount
 	}
 
-	/** Records the intent of a rental, then carries it out. */
+	/** Records the intent of a rental, then executes it. */
 	start({ offer, count }: PendingRental): void {
 		const name = `r${this.state.shardId}-${this.state.fencingToken}-${++this.rentalCounter}`
 		const record: MachineGroupRecord = {
@@ -50,7 +50,11 @@
 		}
 		this.rentalsByName.set(name, { offer, count })
 		this.intentWriteCount++
-		this.state.ports.log('info', 'scale-out requested', { rental: name, offer: offerKey(offer), count })
+		this.state.dependencies.log('info', 'scale-out requested', {
+			rental: name,
+			offer: offerKey(offer),
+			count,
+		})
 		const key = KEY_PREFIX + machineGroupKey(name)
 		const data = encodeMachineGroup(record)
 		this.state.enqueueOwnedWrite(
@@ -61,7 +65,7 @@
 		)
 	}
 
-	/** Carries out a recorded intent, also one of a former owner: the same name gets the same answer. */
+	/** Executes a recorded intent, also one of a former owner: the cloud returns the same result for the same name. */
 	rentRecordedGroup(name: string, record: MachineGroupRecord): void {
 		if (this.state.stopped) return
 		if (!this.rentalsByName.has(name)) this.rentalsByName.set(name, this.toPendingRental(record))
@@ -72,16 +76,16 @@
 			spot: record.spot,
 			count: record.requestedCount,
 		}
-		this.state.ports.rent(request, (result) => this.onRentalAnswered(name, record, result))
+		this.state.dependencies.rent(request, (result) => this.onRentalAnswered(name, record, result))
 	}
 
-	/** A machine group of this shard changed: its rental is answered, or its intent was written late and is carried out. */
+	/** Handles a changed machine group: its rental has a result, or its intent was applied late and is executed now. */
 	onGroupRecorded(name: string, record: MachineGroupRecord): void {
 		if (record.requestedCount === 0) this.rentalsByName.delete(name)
 		else if (!this.rentalsByName.has(name)) this.rentRecordedGroup(name, record)
 	}
 
-	/** A machine group of this shard was removed: machines that its rental may still bring have no record, and are adopted. */
+	/** Handles a removed machine group: machines that its rental may still return are unregistered and will be adopted. */
 	onGroupRemoved(name: string): void {
 		this.rentalsByName.delete(name)
 	}
@@ -99,16 +103,17 @@
 	): void {
 		this.intentWriteCount--
 		if (result.kind === 'ok') {
-			this.state.ports.applyOwnWrite(machineGroupKey(name), data, result.revision)
+			this.state.dependencies.applyOwnWrite(machineGroupKey(name), data, result.revision)
 			this.rentRecordedGroup(name, record)
 		} else if (result.kind === 'unknown') this.resolveUnknownIntent(name, record)
 		else this.rentalsByName.delete(name)
 	}
 
-	/** If the intent was applied after all, the rental is carried out: its record must not stay open. */
+	/** Executes the rental if the intent was in fact applied: its record must not stay open. */
 	private resolveUnknownIntent(name: string, record: MachineGroupRecord): void {
-		this.state.ports.refreshCache(() => {
-			if (this.state.ports.entry(machineGroupKey(name)) !== undefined) this.rentRecordedGroup(name, record)
+		this.state.dependencies.refreshCache(() => {
+			if (this.state.dependencies.entry(machineGroupKey(name)) !== undefined)
+				this.rentRecordedGroup(name, record)
 			else this.rentalsByName.delete(name)
 		})
 	}
@@ -116,13 +121,13 @@
 	private onRentalAnswered(name: string, record: MachineGroupRecord, result: RentResult): void {
 		if (this.state.stopped) return
 		if (result.kind === 'again') {
-			// A rental that is not pending any more was answered otherwise, or its record was removed.
+			// A rental that is no longer pending has a result from another call, or its record was removed.
 			if (this.rentalsByName.has(name)) this.rentRecordedGroup(name, record)
 			return
 		}
 		const machineIds = result.kind === 'rented' ? result.machineIds : []
 		const { offer } = this.rentalsByName.get(name) ?? this.toPendingRental(record)
-		this.state.ports.log('info', 'scale-out answered', {
+		this.state.dependencies.log('info', 'scale-out answered', {
 			rental: name,
 			offer: offerKey(offer),
 			got: machineIds.length,
@@ -130,21 +135,21 @@
 		})
 		this.recordAvailability(offer, machineIds.length, record.requestedCount)
 		this.machineGroups.recordRentalResult(name, machineIds)
-		// Rented machines are counted as machines once their group has them; until then the rental stays pending.
+		// The rental stays pending until its machines are in their group's record and count as machines.
 		if (machineIds.length === 0) this.rentalsByName.delete(name)
 	}
 
-	/** Fewer machines than requested mean that the offer's capacity is exhausted. */
+	/** Records whether the offer's capacity is exhausted: it is if fewer machines than requested were rented. */
 	private recordAvailability(offer: InstanceOffer, rentedCount: number, requestedCount: number): void {
-		const { offerAvailability } = this.state.ports
+		const { offerAvailability } = this.state.dependencies
 		if (rentedCount >= requestedCount) {
 			offerAvailability.recordSuccess(offerKey(offer))
 			return
 		}
 		const bootMs = offer.type.bootS * 1000
-		offerAvailability.recordRefusal(offerKey(offer), this.state.ports.now(), {
-			firstPauseMs: bootMs * FIRST_REFUSAL_PAUSE_IN_BOOTS,
-			maxPauseMs: bootMs * MAX_REFUSAL_PAUSE_IN_BOOTS,
+		offerAvailability.recordRefusal(offerKey(offer), this.state.dependencies.now(), {
+			initialBackoffMs: bootMs * INITIAL_REFUSAL_BACKOFF_IN_BOOTS,
+			maxBackoffMs: bootMs * MAX_REFUSAL_BACKOFF_IN_BOOTS,
 			isPartlyFilled: rentedCount > 0,
 		})
 	}
