--- a/packages/daemon/src/controller-process.ts
+++ b/packages/daemon/src/controller-process.ts
@@ -63,7 +63,7 @@
 		if (metrics !== null) {
 			const { serveMetrics } = await import('@heathroad/metrics')
 			this.metrics = await serveMetrics(metrics.listen, {
-				figures: () => this.service.figures(),
+				figures: () => this.service.operatorStats(),
 				plugins: () => this.plugins?.list() ?? [],
 			})
 		}
--- a/packages/server/src/archival-controller.ts
+++ b/packages/server/src/archival-controller.ts
@@ -1,4 +1,4 @@
-/** Terminal jobs of one controller: which are in memory, where the others are found, and their way into the archive. */
+/** Archival of one controller: retains terminal states in memory, moves them to the archive and looks them up there. */
 import { HISTORY_KEY, RECORD_FORMAT } from '@heathroad/cluster'
 import { defaultHistorySettings } from '@heathroad/config'
 import {
@@ -11,23 +11,23 @@
 import type { FullReadFilter, StoreClient } from '@heathroad/store'
 import { Effect } from 'effect'
 import { ArchivalLoop } from './archival-loop.js'
-import { type ArchivalPorts, ArchivalWriter } from './archival-writer.js'
-import { type ArchivalStatus, type ControllerContext, USER_ANSWER_TIMEOUT_MS } from './controller-context.js'
+import { type ArchivalDependencies, ArchivalWriter } from './archival-writer.js'
+import { type ArchivalStatus, type ControllerContext, USER_REQUEST_TIMEOUT_MS } from './controller-context.js'
 import type { SearchScope, TerminalStateArchive } from './job-locator.js'
 import { RecordMigration } from './record-migration.js'
 import { historyRecord, TerminalStateRetention } from './terminal-state-retention.js'
 
-/** Look-ups have one in three of this controller's reads; the watch and linearizable reads have the others. */
+/** Lookups get one in three of this controller's reads; the others are for the watch and linearizable reads. */
 const READS_PER_LOOKUP_READ = 3
-/** As many look-ups may wait as are read within this time, for which users would wait for an answer. */
+/** Longest time that a lookup waits for its read, and with it a user for the response; bounds the pending lookups. */
 const MAX_LOOKUP_WAIT_S = 3
-/** Archive pages that one request reads at most, where many look-ups wait. */
+/** Maximum number of archive pages that one request reads while many lookups wait. */
 const MAX_PAGES_PER_READ = 16
 const CHARS_PER_MB = 1e6
 
 /**
- * Composes archival: retention at full reads, look-ups, the archival loop and the migration of the first format. What is
- * decided is in `archival-policy.ts`, how the archive is written in `@heathroad/history`.
+ * Composes archival: retention at full reads, lookups, the archival loop and the migration of the first record format.
+ * Its decisions are made in `archival-policy.ts`; `@heathroad/history` writes the archive.
  */
 export class ArchivalController implements TerminalStateArchive, ArchivalStatus {
 	readonly reader: ArchiveReader
@@ -40,17 +40,17 @@
 	constructor(
 		private readonly context: ControllerContext,
 		client: StoreClient,
-		private readonly ports: ArchivalPorts,
+		private readonly dependencies: ArchivalDependencies,
 	) {
 		const { limits, history } = context.config
 		const settings = history ?? defaultHistorySettings
 		const lookupReadsPerS = limits.readsPerS / READS_PER_LOOKUP_READ
 		const maxPendingLookups = Math.ceil(lookupReadsPerS * MAX_LOOKUP_WAIT_S)
 		const onReadFailed = (error: unknown) => this.writer.logError('archive read failed', error)
-		this.retention = new TerminalStateRetention(context, ports.onTerminalStateOmitted)
-		this.writer = new ArchivalWriter(context, ports, settings.writeRateShare)
-		this.loop = new ArchivalLoop(context, client, ports, this.writer, settings)
-		this.migration = new RecordMigration(context, client, ports, this.writer)
+		this.retention = new TerminalStateRetention(context, dependencies.onTerminalStateOmitted)
+		this.writer = new ArchivalWriter(context, dependencies, settings.writeRateShare)
+		this.loop = new ArchivalLoop(context, client, dependencies, this.writer, settings)
+		this.migration = new RecordMigration(context, client, dependencies, this.writer)
 		this.reader = new ArchiveReader(
 			client,
 			() => this.retention.searchScope().archive,
@@ -70,7 +70,7 @@
 		)
 	}
 
-	/** Begins nothing new; what is in flight ends at its next step. */
+	/** Starts no new work; work in flight stops at its next step. */
 	stop(): void {
 		this.writer.stopped = true
 	}
@@ -79,24 +79,24 @@
 		return this.context.cache.modRevision(HISTORY_KEY)
 	}
 
-	/** A full read begins. */
+	/** Called when a full read begins; returns the filter that decides which records it keeps in memory. */
 	beginFullRead(): FullReadFilter {
 		return this.retention.beginFullRead()
 	}
 
-	/** The record of the format and the archival epoch changed. */
+	/** Called when the record of the format and the archival epoch has changed. */
 	onHistoryRecordChanged(): void {
 		this.loop.onEpochChanged()
 		const record = historyRecord(this.context)
-		if (record !== null && record.format > RECORD_FORMAT) this.ports.onUnsupportedFormat(record.format)
+		if (record !== null && record.format > RECORD_FORMAT) this.dependencies.onUnsupportedFormat(record.format)
 	}
 
-	/** A full read is applied: states may have left memory for the archive unseen, as late as the changes made during it. */
+	/** Called once a full read is applied: states may have moved to the archive unnoticed before or during the read. */
 	onFullReadApplied(): void {
 		this.reader.reset(this.context.cache.revision)
 	}
 
-	/** Every change up to the watch cache's revision is applied. */
+	/** Called once every change up to the watch cache's revision is applied. */
 	onRevisionAdvanced(): void {
 		const droppedJobs = this.context.jobs.dropJobsThatLeftPages()
 		if (droppedJobs.length > 0) this.reader.onJobsLeftMemory(droppedJobs, this.context.cache.revision)
@@ -130,12 +130,12 @@
 
 	latestRevision(): Effect.Effect<number | null> {
 		return this.reader.latestRevision().pipe(
-			Effect.timeoutOption(USER_ANSWER_TIMEOUT_MS),
+			Effect.timeoutOption(USER_REQUEST_TIMEOUT_MS),
 			Effect.map((found) => (found._tag === 'Some' ? found.value : null)),
 		)
 	}
 
-	/** The regular step of archival; does nothing while the state service is out of reach. */
+	/** The periodic step of archival; does nothing while the state service is unreachable. */
 	tick(): void {
 		if (this.context.cache.revision < 0 || this.writer.stopped) return
 		const record = historyRecord(this.context)
--- a/packages/server/src/archival-loop.ts
+++ b/packages/server/src/archival-loop.ts
@@ -1,4 +1,4 @@
-/** Moves pages of terminal states from memory into the archive, one archival epoch after the other. */
+/** Moves pages of terminal states from memory into the archive, one archival epoch after another. */
 import {
 	advanceArchivalEpoch,
 	deletePages,
@@ -12,15 +12,15 @@
 import { KEY_PREFIX, type StoreClient, type TransactionContent } from '@heathroad/store'
 import { Effect } from 'effect'
 import { archivablePages, type ClosedPage, mayAdvanceArchivalEpoch } from './archival-policy.js'
-import type { ArchivalPorts, ArchivalWriter } from './archival-writer.js'
+import type { ArchivalDependencies, ArchivalWriter } from './archival-writer.js'
 import type { ControllerContext } from './controller-context.js'
 import { prefixOf, RecordKind } from './record-kinds.js'
 
-/** Level of the archive that receives what leaves memory. */
+/** Level of the archive that receives the states that leave memory. */
 const FIRST_ARCHIVE_LEVEL = 1
-/** Bytes of one transaction of a move at most; what the write queue adds comes on top. */
+/** Maximum size in bytes of one transaction of a move, without what the write queue adds. */
 const MAX_MOVE_BYTES = 40 * 1024
-/** Time between two ticks in controller leases, for which unpinning may use archival's share of the changes. */
+/** Interval between two ticks in controller leases; unpinning may use archival's share of the writes within it. */
 const TICK_INTERVAL_LEASES = 2
 
 type PageOfJobs = ClosedPage<TerminalJob & { revision: number }>
@@ -33,28 +33,28 @@
 	revision: job.revision,
 })
 
-/** The regular work of archival on the pages of the shards that this controller owns. */
+/** The periodic work of archival on the pages of the shards that this controller owns. */
 export class ArchivalLoop {
-	/** steady time in ms at which the latest archival epoch became known here */
+	/** monotonic time in ms at which this controller learned of the latest archival epoch */
 	private epochKnownSince: number
 	private moveInFlight = false
 
 	constructor(
 		private readonly context: ControllerContext,
 		private readonly client: StoreClient,
-		private readonly ports: ArchivalPorts,
+		private readonly dependencies: ArchivalDependencies,
 		private readonly writer: ArchivalWriter,
 		private readonly settings: HistorySettings,
 	) {
 		this.epochKnownSince = context.now()
 	}
 
-	/** The record that holds the archival epoch changed. */
+	/** Called when the record that holds the archival epoch has changed. */
 	onEpochChanged(): void {
 		this.epochKnownSince = this.context.now()
 	}
 
-	/** Advances the archival epoch, unpins records and starts a move, each if there is reason to. */
+	/** Advances the archival epoch, unpins accepted batches and starts a move, each if it is due. */
 	tick(record: HistoryRecord): void {
 		this.advanceEpoch(record)
 		this.unpinBatches()
@@ -77,7 +77,7 @@
 		)
 	}
 
-	/** Returns the pages of this controller's shards that nothing is added to any more, the oldest first. */
+	/** Returns the pages of this controller's shards that receive no more states, oldest first. */
 	private closedPages(): { shardId: number; key: string }[] {
 		const pages: { shardId: number; key: string }[] = []
 		for (const [key] of this.context.cache.withPrefix(prefixOf(RecordKind.terminalPage))) {
@@ -86,11 +86,11 @@
 			if (closedAtRevision === undefined) continue
 			if (this.writer.owns(this.writer.responsibleShard(shardId))) pages.push({ shardId, key })
 		}
-		// Keys end in a number, so shorter ones are older.
+		// Keys end in an increasing number, so shorter ones are older.
 		return pages.sort((a, b) => a.key.length - b.key.length || (a.key < b.key ? -1 : 1))
 	}
 
-	/** Gives open jobs that keep the batch records of others in memory keys of their own, a few at a time. */
+	/** Writes own keys for open jobs whose accepted batches cannot be deleted because of them, a few per tick. */
 	private unpinBatches(): void {
 		const { jobs, config, archive } = this.context
 		const tickIntervalS = (config.limits.controllerLeaseMs * TICK_INTERVAL_LEASES) / 1000
@@ -102,7 +102,7 @@
 		}
 	}
 
-	/** Builds a job's own key, on condition that its shard's owner is unchanged; null: it has one, or is terminal. */
+	/** Builds the write of a job's own key, conditional on its shard's owner; null: it has one, or is terminal. */
 	private ownKeyFor(uid: string, shardId: number): TransactionContent | null {
 		const { jobs, cache } = this.context
 		const known = jobs.get(uid)
@@ -116,7 +116,7 @@
 		return { key: KEY_PREFIX + key, modRevision: this.context.cache.modRevision(key) }
 	}
 
-	/** Starts to move closed pages of one shard, the first that has enough of them. */
+	/** Starts moving the closed pages of the first shard that has enough of them. */
 	private startMove(): void {
 		const closed = this.closedPages()
 		if (closed.length === 0) return
@@ -139,7 +139,7 @@
 		referencedJobs: ReadonlySet<string>,
 	): PageOfJobs[] {
 		const { jobs, cache, archive } = this.context
-		const jobsOnMachines = this.ports.jobsOnMachines(this.writer.responsibleShard(shardId))
+		const jobsOnMachines = this.dependencies.jobsOnMachines(this.writer.responsibleShard(shardId))
 		if (jobsOnMachines === null) return []
 		const pages = keys.map((key) => ({
 			key,
@@ -186,7 +186,7 @@
 			.sort((a, b) => (a.ordinal < b.ordinal ? -1 : 1))
 		return Effect.gen({ self: this }, function* () {
 			if (!(yield* archiver.insert(FIRST_ARCHIVE_LEVEL, archivedJobs))) return
-			// Only now: until here both places hold the states.
+			// The pages are deleted last, so that the states are always in memory or in the archive.
 			if (!(yield* this.deleteMovedPages(responsibleShard, pages, isOwner))) return
 			const counts = { jobs: archivedJobs.length, pages: pages.length }
 			this.context.log('info', 'jobs archived', { part: shardId, ...counts })
--- a/packages/server/src/archival-policy.ts
+++ b/packages/server/src/archival-policy.ts
@@ -1,9 +1,9 @@
-/** Decisions of archival: when a new archival epoch begins and which pages of terminal states leave memory. */
+/** Archival decisions: when a new archival epoch begins and which pages of terminal states leave memory. */
 
-/** How many batches one move takes at most: what it writes grows with the ranges that it touches, not with this. */
+/** Maximum number of batches in one move. Its writes grow with the archive ranges that it touches, not with this. */
 const MAX_BATCHES_PER_MOVE = 2
 
-/** A page of terminal states that nothing is added to any more. */
+/** A page of terminal states that receives no more states. */
 export interface ClosedPage<J extends { uid: string; revision: number }> {
 	key: string
 	modRevision: number
@@ -11,12 +11,12 @@
 }
 
 /**
- * Tells whether a new archival epoch may begin. An epoch makes writes in flight that accept jobs or record progress fail
- * once, so it begins only for enough states at a time, and not again within `minIntervalMs`.
+ * Returns whether a new archival epoch may begin. A new epoch makes in-flight writes that accept jobs or record progress
+ * fail once, so it begins only when enough states wait, and not within `minIntervalMs` of the previous one.
  *
  * @param waitingRevisions revisions of the terminal states on this controller's closed pages
  * @param archivalEpoch revision at which the current epoch began
- * @param elapsedMs time since the current epoch became known here
+ * @param elapsedMs time since this controller learned of the current epoch
  */
 export const mayAdvanceArchivalEpoch = (
 	waitingRevisions: readonly number[],
@@ -29,13 +29,13 @@
 	waitingRevisions.filter((revision) => revision >= archivalEpoch).length >= batchSize
 
 /**
- * Returns the pages that may leave memory, oldest first, if there are enough for a move: all their states are older than
- * the latest archival epoch, so that no write made without knowing them is carried out any more; no other record names
- * their jobs, or a job would be open again once its page is gone; and no attempt of theirs is on a machine, where it
- * would count for its team's limit. A page that has to stay does not hold up the next.
+ * Returns the pages that may leave memory, oldest first, if there are enough for a move. All their states must be older
+ * than the latest archival epoch, so that no write made without knowledge of them can still be applied. No other record
+ * may name their jobs, or a job would be open again after the deletion of its page. None of their attempts may be on a
+ * machine, where it would count towards its team's limit. A page that has to stay does not block the next one.
  *
  * @param referencedJobs ids of jobs that other records name
- * @param jobsOnMachines ids of jobs of which attempts may be on machines
+ * @param jobsOnMachines ids of jobs that may have attempts on machines
  */
 export const archivablePages = <P extends ClosedPage<{ uid: string; revision: number }>>(
 	pages: readonly P[],
@@ -49,7 +49,7 @@
 	const archivable: P[] = []
 	let jobCount = 0
 	for (const page of pages) {
-		// A page that cannot be decoded has no jobs, and stays for an operator to look at.
+		// A page that cannot be decoded has no jobs; it stays for an operator to inspect.
 		if (page.jobs.length === 0 || !page.jobs.every(isArchivable)) continue
 		archivable.push(page)
 		jobCount += page.jobs.length
--- a/packages/server/src/controller-context.ts
+++ b/packages/server/src/controller-context.ts
@@ -1,4 +1,4 @@
-/** What the modules of one controller share: its context, its shard router, its archive and observers of its records. */
+/** Interfaces shared by the modules of one controller: its context, job routing, archival status and record observers. */
 import type { CancellationLog, JobRecord, JobRegistry, MachineGroups, Membership } from '@heathroad/cluster'
 import type { Config } from '@heathroad/config'
 import type { AdmissionChecks, OfferAvailability, Shard } from '@heathroad/controller'
@@ -8,21 +8,21 @@
 import type { Effect } from 'effect'
 import type { JobLocator } from './job-locator.js'
 
-/** Time limit in ms for whatever a user's question waits for: users wait 2 s for the answer (protocol). */
-export const USER_ANSWER_TIMEOUT_MS = 1700
+/** Timeout in ms of reads that a user's request waits for: users wait 2 s for the response (protocol). */
+export const USER_REQUEST_TIMEOUT_MS = 1700
 
-/** How far archival has come. */
+/** The progress of archival. */
 export interface ArchivalStatus {
 	/** Returns the revision of the latest archival epoch; 0: nothing is archived. */
 	archivalEpoch(): number
 	/**
 	 * Returns the latest revision at which an archived state became durable; -1: nothing is archived; infinite: the archive
-	 * is too large to tell; null: it could not be read.
+	 * is too large to determine it; null: it could not be read.
 	 */
 	latestRevision(): Effect.Effect<number | null>
 }
 
-/** A waiting job that is already on its way to another shard. */
+/** A waiting job that is already being migrated to another shard. */
 export interface MigratingJob {
 	spec: JobSpec
 	/** target shard */
@@ -33,17 +33,17 @@
 export interface JobRouting {
 	/** Returns the shard for a new job. */
 	chooseShard(spec: JobSpec): number
-	/** Returns a function that names the better shard for one waiting job after the other; null: the job stays. */
+	/** Returns a function that returns the better shard for each waiting job in turn; null: the job stays. */
 	migrationPlanner(shardId: number, leaving: readonly MigratingJob[]): (spec: JobSpec) => number | null
-	/** Returns the number of an open job's running tasks, as its owner knows it or reported it last. */
+	/** Returns the number of an open job's running tasks, as its owner knows or last reported it. */
 	runningTaskCount(uid: string, record: JobRecord): number
 }
 
-/** What the modules of one controller use of each other. */
+/** The components and state of one controller that its modules use. */
 export interface ControllerContext {
 	readonly config: Config
 	readonly log: Log
-	/** steady clock, in ms */
+	/** monotonic clock, in ms */
 	readonly now: () => number
 	readonly cache: WatchCache
 	readonly writeQueue: WriteQueue
@@ -56,7 +56,7 @@
 	readonly archive: ArchivalStatus
 	readonly jobLocator: JobLocator
 	readonly shardRouter: JobRouting
-	/** the operators' admission checks; none unless settings ask for them */
+	/** the operators' admission checks; none unless configured */
 	readonly checks: AdmissionChecks
 	/** Returns the machine types that the cloud offers; empty until they are known. */
 	machineTypes(): readonly MachineType[]
@@ -64,34 +64,34 @@
 	shard(shardId: number): Shard | undefined
 	/** Returns the name of a shard's owner according to the records. */
 	ownerName(shardId: number): string | undefined
-	/** Returns the ids of quarantined jobs, those of other owners included. */
+	/** Returns the ids of quarantined jobs, including those of other owners. */
 	quarantinedJobs(): Set<string>
-	/** Returns the shards most of whose machines are out of their owners' reach. */
+	/** Returns the shards whose owners cannot reach most of the shard's machines. */
 	partitionedShards(): Set<number>
-	/** Tells whether admission checks still hold the job back, so that it counts as no load. */
+	/** Returns whether the job is pending release by admission checks, so that it does not count as load. */
 	isPendingRelease(uid: string, record: JobRecord): boolean
-	/** whether this controller still accepts new jobs; it does not while it hands its shards off */
+	/** whether this controller accepts new jobs; false while it hands off its shards */
 	readonly acceptsJobs: boolean
-	/** Tells whether the state service has answered lately. */
+	/** Returns whether the state service has responded recently. */
 	isStoreReachable(): boolean
-	/** Returns true once everything durable before the call is in the watch cache; false if that takes too long. */
+	/** Succeeds with true once everything durable before the call is in the watch cache; false after a timeout. */
 	linearizableRead(): Effect.Effect<boolean>
-	/** Calls back once the watch cache holds everything up to a revision; with false after `USER_ANSWER_TIMEOUT_MS`. */
+	/** Calls back once the watch cache holds everything up to a revision; with false after `USER_REQUEST_TIMEOUT_MS`. */
 	waitForRevision(revision: number, done: (ok: boolean) => void): void
-	/** Brings the watch cache up to date, then calls back; without an answer it calls back after a pause. */
+	/** Brings the watch cache up to date, then calls back; if the read fails, calls back after a pause. */
 	refreshCache(done: () => void): void
 }
 
-/** Is notified of changes in the records, in the order in which they become known here. */
+/** Is notified of changes of the records in the order in which this controller learns of them. */
 export interface RecordObserver {
-	/** A job's records changed, those of its progress included. */
+	/** A job's records changed, including those of its progress. */
 	onJobChanged(uid: string): void
 	/** A shard has another owner, or none. */
 	onShardChanged(shardId: number): void
-	/** Every change up to a later revision is known. */
+	/** The watch cache has advanced: every change up to a later revision is known. */
 	onRevisionAdvanced(): void
-	/** A full read leaves a terminal state out of memory; `revision`: of the change that made it durable. */
+	/** A full read left a terminal state out of memory; `revision`: of the change that made it durable. */
 	onTerminalStateOmitted(uid: string, record: JobRecord, revision: number): void
-	/** A full read is about to be applied: changes since the latest read may never be reported one by one. */
+	/** A full read is about to be applied: changes since the last read may not be reported individually. */
 	onFullRead(): void
 }
--- a/packages/server/src/drain.ts
+++ b/packages/server/src/drain.ts
@@ -2,12 +2,12 @@
 import type { Membership } from '@heathroad/cluster'
 
 /**
- * `serving`: no drain; `leaving`: the load balancer's health checks fail, users who still come are served; `handing`:
- * shards are handed off to other controllers, new jobs are not accepted. Operators see these names.
+ * `serving`: no drain; `leaving`: the load balancer's health checks fail, but users are still served; `handing`: shards
+ * are handed off to other controllers and new jobs are not accepted. Operators see these names.
  */
 export type DrainPhase = 'serving' | 'leaving' | 'handing'
 
-/** The drain of one controller. */
+/** Tracks the drain of one controller and hands off its shards. */
 export class Drain {
 	private currentPhase: DrainPhase = 'serving'
 	private handsOffAtOnce = false
@@ -18,19 +18,19 @@
 		return this.currentPhase
 	}
 
-	/** Users go elsewhere as soon as the load balancer has noticed. */
+	/** Begins the drain: the load balancer sends users elsewhere once it sees the failed health checks. */
 	begin(): void {
 		this.currentPhase = 'leaving'
 	}
 
-	/** Begins handoff; `atOnce`: also of shards whose machines are not all accounted for. */
+	/** Begins the handoff; `atOnce`: including shards whose machines are not all accounted for. */
 	handOffShards(atOnce: boolean): void {
 		this.currentPhase = 'handing'
 		this.handsOffAtOnce = atOnce
 		this.membership.draining = true
 	}
 
-	/** Continues the handoff, if it has begun. */
+	/** Continues the handoff if it has begun. */
 	tick(): void {
 		if (this.currentPhase === 'handing') this.membership.handOffAll(this.handsOffAtOnce)
 	}
--- a/packages/server/src/health.ts
+++ b/packages/server/src/health.ts
@@ -1,10 +1,11 @@
-/** Health of one controller, as the load balancer asks for it. */
+/** The health check that the load balancer queries. */
 import type { ControllerContext } from './controller-context.js'
 import type { Drain } from './drain.js'
 
 /**
- * Tells whether users' requests can be answered. In an outage that every member sees, leaving the balancer would only
- * delay the return; a member that alone cannot reach the state service leaves the users to the others.
+ * Returns whether users' requests can be served. A controller that alone cannot reach the state service is unhealthy, so
+ * its peers serve the users. If its live peers cannot reach it either, it stays healthy, since leaving the load balancer
+ * would only delay the recovery.
  */
 export const isHealthy = (context: ControllerContext, drain: Drain): boolean => {
 	const { cache, membership } = context
--- a/packages/server/src/heartbeat-router.ts
+++ b/packages/server/src/heartbeat-router.ts
@@ -1,4 +1,4 @@
-/** Routes machines' heartbeats to the shard that they belong to, or to the controller that owns it. */
+/** Routes machines' heartbeats to their shard, or redirects them to the controller that owns it. */
 import { hashName } from '@heathroad/cluster'
 import { encodeCommands, type Heartbeat, parseHeartbeat } from '@heathroad/wire'
 import type { ControllerContext } from './controller-context.js'
@@ -7,10 +7,10 @@
 import type { LocalStatus } from './local-status.js'
 import { UnregisteredMachines } from './unregistered-machines.js'
 
-/** Delay of the extra gossip in controller leases, so that many look-ups share one message. */
+/** Delay of the extra gossip in controller leases, so that many lookups share one message. */
 const GOSSIP_DELAY_LEASES = 0.04
 
-/** Handles heartbeats of all machines, whichever shard they belong to. */
+/** Handles the heartbeats of machines of all shards. */
 export class HeartbeatRouter {
 	private readonly unregisteredMachines: UnregisteredMachines
 	private gossipScheduled = false
@@ -28,8 +28,8 @@
 	}
 
 	/**
-	 * Handles the body of a heartbeat: 200 with commands, 400 for what is no heartbeat, 421 with the owner if that is
-	 * another controller, 503 while nothing can be decided.
+	 * Handles the body of a heartbeat and responds with 200 and commands, 400 to an invalid heartbeat, 421 with the owner
+	 * if that is another controller, or 503 while this cannot be decided.
 	 */
 	handle(body: unknown, respond: Respond): void {
 		const heartbeat = parseHeartbeat(body)
@@ -55,14 +55,14 @@
 		const { membership, config } = this.context
 		this.localStatus.onOwnerLookup(machineId, shardId)
 		const owner = membership.ownerOf(shardId)
-		// Redirected to an owner that it cannot reach, the machine would wait there for most of its lease.
+		// A machine that is redirected to an owner it cannot reach would wait there for most of its lease.
 		const isReachable = owner?.alive && owner.hears && owner.name !== config.limits.self
-		if (owner?.alive && !owner.hears) this.gossipSoon()
+		if (owner?.alive && !owner.hears) this.scheduleGossip()
 		respond({ status: 421, body: isReachable ? { overseer: owner.name } : {} })
 	}
 
-	/** Informs peers early that machines look for an owner here. */
-	private gossipSoon(): void {
+	/** Schedules an extra gossip that reports owner lookups to peers early. */
+	private scheduleGossip(): void {
 		if (this.gossipScheduled) return
 		this.gossipScheduled = true
 		setTimeout(() => {
@@ -71,7 +71,7 @@
 		}, this.context.config.limits.controllerLeaseMs * GOSSIP_DELAY_LEASES)
 	}
 
-	/** Returns the shard of the machine's group; of an unregistered machine the one that its name falls to. */
+	/** Returns the shard of the machine's group, or the one that an unregistered machine's id hashes to. */
 	private shardIdOf({ machineId }: Heartbeat): number {
 		const group = this.context.machineGroups.groupOf(machineId)
 		return group?.shardId ?? hashName(machineId) % this.context.config.limits.controllerNames.length
--- a/packages/server/src/http-routes.ts
+++ b/packages/server/src/http-routes.ts
@@ -1,18 +1,18 @@
-/** Routes of both HTTP addresses: users, machines and the load balancer; peers and operators. */
+/** Routes of the public HTTP address (users, machines, load balancer) and of the internal one (peers, operators). */
 import type { ControllerContext } from './controller-context.js'
 import type { HeartbeatRouter } from './heartbeat-router.js'
 import { UNAVAILABLE } from './http-replies.js'
 import type { HttpRequest, RequestHandler, Respond } from './http-server.js'
 import type { UserApi } from './user-api.js'
 
-/** Handles an operator's call from another process. */
+/** Handles an operator's request from another process. */
 export type AdminHandler = (path: string, body: unknown, respond: Respond) => void
 
-/** What the public address serves. */
+/** Handlers behind the public address. */
 export interface PublicRoutes {
 	heartbeats: HeartbeatRouter
 	userApi: UserApi
-	/** Tells whether users' requests can be answered. */
+	/** Returns whether users' requests can be served. */
 	isHealthy(): boolean
 }
 
@@ -32,7 +32,7 @@
 		userApi.handle(request, respond)
 	}
 
-/** Returns the handler of the internal address, for peers and operators' calls. */
+/** Returns the handler of the internal address, for peers and operators. */
 export const internalRequestHandler =
 	({ membership }: Pick<ControllerContext, 'membership'>, adminHandler: () => AdminHandler | null) =>
 	({ method, path, body }: HttpRequest, respond: Respond): void => {
--- a/packages/server/src/http-server.ts
+++ b/packages/server/src/http-server.ts
@@ -1,49 +1,49 @@
-/** HTTP listener: reads requests in full, within limits, and keeps sockets free for machines' heartbeats. */
+/** HTTP listener that reads whole requests within limits and keeps sockets free for machines' heartbeats. */
 import * as http from 'node:http'
 import type { Socket } from 'node:net'
 import { type HttpReply, MAX_BODY_BYTES, readBody, sendReply, sendReplyAndClose } from '@heathroad/wire'
 
-/** A request whose body, if any, has been read and decoded. */
+/** A request with its decoded body, if it has one. */
 export interface HttpRequest {
 	method: string
 	path: string
 	body: unknown
 }
 
-/** Sends the reply to one request; called once. */
+/** Sends the reply to one request; must be called once. */
 export type Respond = (reply: HttpReply) => void
-/** Handles one request and responds to it, now or later. */
+/** Handles one request and responds to it synchronously or later. */
 export type RequestHandler = (request: HttpRequest, respond: Respond) => void
 
 /** Limits of one listening address. */
 export interface ListenerLimits {
-	/** silent connections are closed after this long */
+	/** idle connections are closed after this time */
 	idleTimeoutMs: number
-	/** a request must be complete after this long */
+	/** time within which a request must be complete */
 	requestTimeoutMs: number
-	/** open connections at most */
+	/** maximum number of open connections */
 	maxSockets: number
-	/** paths whose connections make room for others when there are many */
+	/** matches paths whose connections are closed first when there are many */
 	isLowPriorityPath?: (path: string) => boolean
 }
 
-/** Of a body that is too long, this many times the limit is read and dropped, so that its sender sees the answer. */
-const DROPPED_BODIES = 64
-/** Share of the sockets from which on connections of yielding paths are closed with their answer. */
-const CLOSE_AFTER_ANSWER_SHARE = 0.75
-/** Share of the sockets from which on each new connection closes the one that has been idle longest. */
+/** Of an oversized body, up to this many times the size limit is discarded, so that the sender gets the reply. */
+const DISCARD_LIMIT_FACTOR = 64
+/** Share of the sockets in use from which connections of low-priority paths are closed after their response. */
+const CLOSE_AFTER_RESPONSE_SHARE = 0.75
+/** Share of the sockets in use from which each new connection closes the one that has been idle longest. */
 const EVICT_IDLE_SHARE = 0.9
-/** Connections that may wait to be accepted by the process. */
+/** Maximum number of connections that wait to be accepted by the process. */
 const LISTEN_BACKLOG = 511
 
 /**
- * Keeps users' idle connections from taking the sockets that machines need: a refused heartbeat costs a machine a second,
- * some of them their lease. From `CLOSE_AFTER_ANSWER_SHARE` of the sockets on, users are answered and disconnected; from
- * `EVICT_IDLE_SHARE` on, each new connection evicts the one that has been idle longest.
+ * Keeps users' idle connections from using up the sockets that machines need: a refused heartbeat costs a machine a
+ * second, and some machines their lease. Above `CLOSE_AFTER_RESPONSE_SHARE` of the sockets, users' connections are closed
+ * after each response; above `EVICT_IDLE_SHARE`, each new connection evicts the one that has been idle longest.
  */
 class ConnectionLimiter {
 	private openCount = 0
-	/** idle connections of yielding paths, the longest idle first */
+	/** idle connections of low-priority paths, longest idle first */
 	private readonly idleSockets = new Set<Socket>()
 
 	constructor(private readonly limits: ListenerLimits) {}
@@ -62,7 +62,7 @@
 	onRequest(path: string, socket: Socket, response: http.ServerResponse): void {
 		this.idleSockets.delete(socket)
 		if (this.limits.isLowPriorityPath?.(path) !== true) return
-		if (this.openCount > this.limits.maxSockets * CLOSE_AFTER_ANSWER_SHARE)
+		if (this.openCount > this.limits.maxSockets * CLOSE_AFTER_RESPONSE_SHARE)
 			response.setHeader('connection', 'close')
 		response.once('finish', () => {
 			if (!socket.destroyed) this.idleSockets.add(socket)
@@ -70,7 +70,7 @@
 	}
 }
 
-/** Reads the request's body, if its method has one, and hands the request to the handler or answers 400. */
+/** Reads the request's body, if its method has one, and calls the handler, or responds with 400. */
 const readRequest = (
 	request: http.IncomingMessage,
 	{ method, path }: { method: string; path: string },
@@ -88,8 +88,8 @@
 		if (failure === 'not MessagePack')
 			return respond({ status: 400, body: { error: 'the body is not MessagePack' } })
 		const error = `the body is longer than ${MAX_BODY_BYTES / 1024} KiB`
-		const drop = { ms: limits.requestTimeoutMs, bytes: MAX_BODY_BYTES * DROPPED_BODIES }
-		sendReplyAndClose(request, { status: 400, body: { error } }, drop)
+		const discard = { ms: limits.requestTimeoutMs, bytes: MAX_BODY_BYTES * DISCARD_LIMIT_FACTOR }
+		sendReplyAndClose(request, { status: 400, body: { error } }, discard)
 	})
 }
 
@@ -104,7 +104,7 @@
 }
 
 /**
- * Listens on one address (`host:port`). Bodies are read in full, within limits, before the handler sees a request.
+ * Listens on one address (`host:port`). The handler is called once a request's whole body has been read, within limits.
  * Rejects if the address cannot be listened on.
  */
 export const startHttpServer = (
@@ -119,7 +119,7 @@
 			const path = (request.url ?? '/').split('?', 1)[0]
 			const method = request.method ?? 'GET'
 			connectionLimiter.onRequest(path, request.socket, response)
-			// An error of the response means that the client is gone: nobody is left to answer.
+			// An error of the response means that the client has disconnected.
 			response.on('error', () => {})
 			readRequest(request, { method, path }, limits, handler, (reply) => sendReply(response, reply))
 		},
--- a/packages/server/src/index.ts
+++ b/packages/server/src/index.ts
@@ -1,4 +1,4 @@
-/** One controller as a program's component: its composition root, its HTTP server and what other packages plug into. */
+/** One controller as a component of a program: its composition root, its HTTP server and its extension points. */
 export * from './archival-policy.js'
 export * from './controller-context.js'
 export * from './http-server.js'
--- a/packages/server/src/job-cancellation.ts
+++ b/packages/server/src/job-cancellation.ts
@@ -1,4 +1,4 @@
-/** Cancels jobs for users. */
+/** Cancels jobs on users' requests. */
 import {
 	HISTORY_KEY,
 	type JobRecord,
@@ -14,19 +14,19 @@
 import { retryLater } from './http-replies.js'
 import type { JobStatusReader } from './job-status.js'
 
-/** Writes of one cancellation at most, where each but the last conflicts with other changes of the job. */
+/** Maximum number of writes of one cancellation; a write that conflicts with other changes of the job is retried. */
 const MAX_CANCEL_ATTEMPTS = 3
-/** A cancellation that could not be made durable by then is given up; users wait 5 s for an answer (protocol). */
+/** A cancellation that is not durable within this time is given up; users wait 5 s for a response (protocol). */
 const CANCEL_TIMEOUT_MS = 3000
 
-/** Makes cancellations durable and answers with the job's status. */
+/** Makes cancellations durable and responds with the job's status. */
 export class JobCanceller {
 	constructor(
 		private readonly context: ControllerContext,
 		private readonly statusReader: JobStatusReader,
 	) {}
 
-	/** Cancels a job unless it is terminal; answers with its status, or 503 if the outcome is not known. */
+	/** Cancels a job unless it is terminal; responds with its status, or 503 if the outcome is unknown. */
 	cancel(uid: string, attemptsLeft = MAX_CANCEL_ATTEMPTS): Effect.Effect<HttpReply> {
 		return this.statusReader.read(uid).pipe(
 			Effect.flatMap((status) => {
@@ -71,7 +71,7 @@
 				this.context.cache.applyOwnWrite(mutation.set.slice(KEY_PREFIX.length), mutation.data, revision)
 	}
 
-	/** Builds what makes a cancellation durable, from what is known when its turn comes; null: the job is terminal. */
+	/** Builds the write of a cancellation from the records known when its turn comes; null: the job is terminal. */
 	private transaction(uid: string, record: JobRecord): TransactionContent | null {
 		const { cache, config, jobs } = this.context
 		const known = jobs.get(uid)
@@ -87,8 +87,8 @@
 		}
 		const ownKey = putJobRecord(cache, uid, known.modRevision, cancelled)
 		if (cache.get(HISTORY_KEY) === undefined) return ownKey
-		// The own key too, until it is deleted: an owner that has not seen the cancellation yet must not write progress
-		// behind it, for counts that were answered never fall.
+		// The job's own key is written too, until it is deleted as obsolete: an owner that has not learned of the
+		// cancellation must not write progress after it, since reported counts must never decrease.
 		const { content: page } = recordTerminalJobs(
 			cache,
 			record.shardId,
--- a/packages/server/src/job-status.ts
+++ b/packages/server/src/job-status.ts
@@ -1,4 +1,4 @@
-/** Answers users' questions for a job's status from the records and the archive. */
+/** Serves users' requests for a job's status from the records and the archive. */
 import { countRecordedDone, type JobRecord, terminalDoneCount } from '@heathroad/cluster'
 import type { ArchivedJob } from '@heathroad/history'
 import { type HttpReply, JOB_ID_PATTERN, type JobStatusResponse } from '@heathroad/wire'
@@ -12,7 +12,7 @@
 	body: { uid, status: aborted ? 'aborted' : 'done', done: doneCount, running: 0 },
 })
 
-/** Reads jobs' statuses. A status is durable, and no older than a read begun after the question. */
+/** Reads jobs' statuses. A status is durable and at least as recent as a read that starts after the request. */
 export class JobStatusReader {
 	constructor(private readonly context: ControllerContext) {}
 
@@ -21,7 +21,7 @@
 		return this.context.jobs.get(uid)?.record ?? null
 	}
 
-	/** Returns how many of a job's tasks are recorded as done. */
+	/** Returns the number of a job's tasks that are recorded as done. */
 	recordedDoneCount(uid: string, record: JobRecord): number {
 		return countRecordedDone(uid, record, (key) => this.context.cache.get(key)?.data)
 	}
@@ -32,14 +32,15 @@
 			const done = terminalDoneCount(record)
 			return { status: 200, body: { uid, status: record.finalState, done, running: 0 } }
 		}
-		// From the records, also where we own the job and know more: another controller, asked next, must not answer less.
+		// The count is from the records even if this controller owns the job and knows of more: a lower count from another
+		// controller must not follow.
 		const done = this.recordedDoneCount(uid, record)
 		const running = this.context.shardRouter.runningTaskCount(uid, record)
 		const body: JobStatusResponse = { uid, status: running > 0 ? 'running' : 'pending', done, running }
 		return { status: 200, body }
 	}
 
-	/** Reads a job's status: 200 with the status, 404 for a job that nobody submitted, 503 if neither can be proven. */
+	/** Reads a job's status: 200 with the status, 404 if the job was never submitted, 503 if neither can be proven. */
 	read(uid: string): Effect.Effect<HttpReply> {
 		if (!JOB_ID_PATTERN.test(uid)) return Effect.succeed(NO_SUCH_JOB)
 		return Effect.map(this.context.jobLocator.locateNow(uid), (location) => this.replyFor(uid, location))
@@ -59,7 +60,7 @@
 		}
 	}
 
-	/** Delays the confirmation of a cancellation until all the job's tasks are sure to be gone, whoever owns them by now. */
+	/** Delays the confirmation of a cancellation until all the job's tasks, whoever owns them, are certain to be gone. */
 	delayUnconfirmed(reply: HttpReply): HttpReply {
 		const { uid, status } = (reply.body ?? {}) as Partial<JobStatusResponse>
 		if (reply.status !== 200 || status !== 'aborted' || uid === undefined) return reply
--- a/packages/server/src/job-submission.ts
+++ b/packages/server/src/job-submission.ts
@@ -1,4 +1,4 @@
-/** Accepts users' submissions: validates them, has them admitted and queues them to become durable. */
+/** Accepts users' submissions: validates them, runs the admission checks and queues them to be made durable. */
 import type { AcceptedJobRecord } from '@heathroad/cluster'
 import { canEverRun, withinLimit } from '@heathroad/policy'
 import { type HttpReply, InvalidSubmission, type JobSpec, parseSubmission } from '@heathroad/wire'
@@ -9,17 +9,17 @@
 import type { JobStatusReader } from './job-status.js'
 import { type SubmissionOutcome, SubmissionQueue } from './submission-queue.js'
 
-/** A submission that could not be made durable by then is given up; users wait 5 s for an answer (protocol). */
+/** A submission that is not durable within this time is given up; users wait 5 s for a response (protocol). */
 const SUBMISSION_TIMEOUT_MS = 3000
-/** Longest time in s that users are asked to wait while too many submissions are pending. */
+/** Longest retry delay in s that users are given while too many submissions are pending. */
 const MAX_RETRY_AFTER_S = 30
 
-/** Runs a user call and sends its reply. */
+/** Runs the effect of a user's request and sends its reply. */
 type RunCall = (call: Effect.Effect<HttpReply>, respond: Respond) => void
 
-/** Submissions of this controller's users, from the request to the answer. */
+/** Handles the submissions that this controller receives, from request to response. */
 export class JobSubmissions {
-	/** users to answer, by job; retries of a pending submission share its answer */
+	/** responses to send, by job id; retries of a pending submission share its outcome */
 	private readonly waitingResponses = new Map<string, Respond[]>()
 	private readonly queue: SubmissionQueue
 
@@ -31,12 +31,12 @@
 		this.queue = new SubmissionQueue(context)
 	}
 
-	/** Number of submissions that wait for their answer. */
+	/** Number of submissions without a response so far. */
 	get pendingCount(): number {
 		return this.waitingResponses.size
 	}
 
-	/** Handles the body of a submission. A job that is known is answered with its status. */
+	/** Handles the body of a submission. The response to a job that is known already is its status. */
 	submit(body: unknown, respond: Respond): void {
 		const spec = parseSubmission(body)
 		if (spec instanceof InvalidSubmission) {
@@ -48,7 +48,7 @@
 			this.runCall(this.statusReader.read(uid), respond)
 			return
 		}
-		if (!this.canJudge()) {
+		if (!this.canEvaluate()) {
 			respond(retryLater())
 			return
 		}
@@ -73,8 +73,8 @@
 		this.admit(spec, respond)
 	}
 
-	/** Tells whether this controller accepts jobs and knows enough to judge them. */
-	private canJudge(): boolean {
+	/** Returns whether this controller accepts jobs and has the data to evaluate them. */
+	private canEvaluate(): boolean {
 		const { acceptsJobs, cache } = this.context
 		return acceptsJobs && cache.revision >= 0 && this.context.machineTypes().length > 0
 	}
@@ -100,14 +100,14 @@
 		})
 	}
 
-	/** Answers 422, unless another controller accepted the job earlier: it must not be refused then. */
+	/** Responds with 422, or with the job's status if another controller accepted the job earlier. */
 	private refuseUnlessKnown(uid: string, refusal: string): Effect.Effect<HttpReply> {
 		const refuseUnknown = (status: HttpReply) =>
 			status.status === 404 ? { status: 422, body: { error: refusal } } : status
 		return this.statusReader.read(uid).pipe(Effect.map(refuseUnknown))
 	}
 
-	/** Queues an admitted job; `released`: checks that released it with their admission. */
+	/** Queues an admitted job; `released`: the checks that released the job when they admitted it. */
 	private accept(spec: JobSpec, released: readonly string[], respond: Respond): void {
 		const requiredChecks = this.context.checks.required(spec).filter((name) => !released.includes(name))
 		const record: AcceptedJobRecord = {
@@ -150,7 +150,7 @@
 		respond({ status: 201, body: { uid, status: 'pending' } })
 	}
 
-	/** Tells why a job can never run here; null if it can. */
+	/** Returns why a job can never run in this cluster; null if it can. */
 	private refusalReason(spec: JobSpec): string | null {
 		const team = this.context.config.settings.deployment.teams.find(({ name }) => name === spec.team)
 		if (team === undefined) return `unknown team ${spec.team}`
--- a/packages/server/src/local-status.ts
+++ b/packages/server/src/local-status.ts
@@ -1,4 +1,4 @@
-/** What this controller knows of the shards it owns and reports to its peers, and how that adds up with their reports. */
+/** The status of this controller's shards that it reports to its peers, and the combination with the peers' statuses. */
 import type { MembershipEvents } from '@heathroad/cluster'
 import type { Shard } from '@heathroad/controller'
 import type { ControllerContext } from './controller-context.js'
@@ -10,14 +10,14 @@
 }
 
 /**
- * Age from which on a machine's look-up of an owner no longer counts, in agent leases: the machine may have lost its lease
- * by then.
+ * Age in agent leases above which a machine's lookup of its owner no longer counts, since the machine may have lost its
+ * lease by then.
  */
 const OWNER_LOOKUP_MAX_AGE_LEASES = 0.6
 
-/** The local part of the peer status, and figures of the whole cluster made of it and of the peers' statuses. */
+/** Computes this controller's peer status, and combines it with the peers' statuses for the whole cluster. */
 export class LocalStatus {
-	/** machines of shards of others that asked here for their owner, by machine id */
+	/** machines of other controllers' shards that looked up their owner here, by machine id */
 	private readonly ownerLookups = new Map<string, { shardId: number; at: number }>()
 
 	constructor(
@@ -40,7 +40,7 @@
 		}
 	}
 
-	/** Returns the running tasks of the jobs in our shards, by job; jobs without any are left out. */
+	/** Returns the number of running tasks by job in this controller's shards; jobs without any are omitted. */
 	runningTasks(): Record<string, number> {
 		const runningTasks: Record<string, number> = {}
 		for (const shard of this.shards.values())
@@ -51,28 +51,28 @@
 		return runningTasks
 	}
 
-	/** A machine of a shard that is not ours asked here for its owner. */
+	/** A machine of another controller's shard looked up its owner here. */
 	onOwnerLookup(machineId: string, shardId: number): void {
 		this.ownerLookups.set(machineId, { shardId, at: this.context.now() })
 	}
 
-	/** Returns the ids of quarantined jobs, as their owners report them, or reported them before they were lost. */
-	quarantinedJobsOfAll(): Set<string> {
+	/** Returns the ids of quarantined jobs as their owners report them, or last reported them before they were lost. */
+	clusterQuarantinedJobs(): Set<string> {
 		const ofPeers = this.context.membership.peers.flatMap((peer) => peer.status?.quarantinedJobs ?? [])
 		return new Set([...this.quarantinedJobs(), ...ofPeers])
 	}
 
-	/** Returns the partitioned shards, as their owners see them or reported them last. */
-	partitionedShardsOfAll(): Set<number> {
+	/** Returns the partitioned shards as their owners see or last reported them. */
+	clusterPartitionedShards(): Set<number> {
 		const { membership } = this.context
 		const ofPeers = membership.peers.flatMap((peer) =>
 			membership.isAlive(peer.name) ? (peer.status?.partitionedShards ?? []) : [],
 		)
-		const notOurs = ofPeers.filter((shardId) => !this.shards.has(shardId))
-		return new Set([...notOurs, ...this.partitionedShards()])
+		const inOtherShards = ofPeers.filter((shardId) => !this.shards.has(shardId))
+		return new Set([...inOtherShards, ...this.partitionedShards()])
 	}
 
-	/** Returns what a team uses in all shards but one. */
+	/** Returns a team's usage in all shards except one. */
 	usageInOtherShards(shardId: number, team: string): ResourceUsage {
 		const { membership } = this.context
 		const usage = { ...(this.teamUsage(shardId)[team] ?? { cpus: 0, gpus: 0 }) }
@@ -84,7 +84,7 @@
 		return usage
 	}
 
-	/** Counts, by shard, the machines that asked here for its owner and may still have a lease. */
+	/** Counts, by shard, the machines that looked up its owner here and may still have a lease. */
 	private countOwnerLookups(): Record<string, number> {
 		const counts: Record<string, number> = {}
 		const maxAgeMs = this.context.config.limits.agentLeaseMs * OWNER_LOOKUP_MAX_AGE_LEASES
@@ -95,7 +95,7 @@
 		return counts
 	}
 
-	/** Returns what teams with a guarantee use in our shards, but for `excludedShard`. */
+	/** Returns the usage of teams with a guarantee in this controller's shards except `excludedShard`. */
 	private teamUsage(excludedShard?: number): Record<string, ResourceUsage> {
 		const usageByTeam: Record<string, ResourceUsage> = {}
 		for (const { name, cpus, gpus } of this.context.config.settings.deployment.teams) {
--- a/packages/server/src/machine-type-catalog.ts
+++ b/packages/server/src/machine-type-catalog.ts
@@ -1,4 +1,4 @@
-/** The machine types that the cloud offers, from the cloud itself or, while it is down, from the records. */
+/** The machine types that the cloud offers, from the cloud or, while it is unavailable, from the records. */
 import type { CloudClient } from '@heathroad/cloud'
 import { CATALOG_KEY } from '@heathroad/cluster'
 import { KEY_PREFIX, WritePriority } from '@heathroad/store'
@@ -6,12 +6,12 @@
 import { Effect } from 'effect'
 import type { ControllerContext } from './controller-context.js'
 
-/** Pause before the next attempt after the cloud gave no types, in controller leases. */
+/** Pause in controller leases before the retry of a fetch that returned no types. */
 const RETRY_LEASES = 0.2
-/** Time between two refreshes, in controller leases: types change rarely, and calls to the cloud are scarce. */
+/** Interval between refreshes in controller leases: types change rarely, and cloud calls are rate-limited. */
 const REFRESH_LEASES = 8
 
-/** Knows the machine types and keeps them fresh. */
+/** Holds the machine types and refreshes them from the cloud. */
 export class MachineTypeCatalog {
 	private knownTypes: readonly MachineType[] = []
 
@@ -27,12 +27,12 @@
 		return this.knownTypes
 	}
 
-	/** The recorded types changed; they count only until the cloud has given its own. */
+	/** Called when the recorded types have changed; they are used only until the cloud has returned its own. */
 	onRecordChanged(data: unknown): void {
 		if (this.knownTypes.length === 0 && Array.isArray(data)) this.setTypes(data as MachineType[])
 	}
 
-	/** Fetches the types from the cloud again and again. */
+	/** Fetches the types from the cloud periodically, forever. */
 	watch(): Effect.Effect<never> {
 		const { controllerLeaseMs } = this.context.config.limits
 		const refresh = Effect.suspend(() => this.cloud.fetchMachineTypes()).pipe(
@@ -53,7 +53,7 @@
 		if (isFirst) this.onFirstKnown()
 	}
 
-	/** Records the types once, so that a controller that starts while the cloud is down knows them. */
+	/** Records the types once, for controllers that start while the cloud is unavailable. */
 	private recordTypes(types: readonly MachineType[]): void {
 		const { cache, writeQueue, config, now } = this.context
 		if (cache.revision < 0 || cache.get(CATALOG_KEY) !== undefined) return
--- a/packages/server/src/obsolete-records.ts
+++ b/packages/server/src/obsolete-records.ts
@@ -1,13 +1,13 @@
-/** Deletes records that have become obsolete. */
+/** Deletion of records that are no longer needed, such as the progress of terminal jobs. */
 import { hashName } from '@heathroad/cluster'
 import type { Shard } from '@heathroad/controller'
 import { KEY_PREFIX, WritePriority } from '@heathroad/store'
 import type { ControllerContext } from './controller-context.js'
 
 /**
- * Deletes obsolete records whose names fall to shards that this controller owns. It queues as many at a time as half of
- * this controller's share of the changes takes until the next tick, two controller leases later: a vast job array leaves
- * a hundred of them, and deletions that timed out in the queue left records for ever.
+ * Deletes obsolete records whose names hash to shards that this controller owns. Each call queues at most as many
+ * deletions as half of this controller's write rate allows until the next tick, two controller leases later: a large job
+ * array leaves a hundred obsolete records, and deletions that timed out in the queue left records forever.
  */
 export const deleteObsoleteRecords = (
 	context: ControllerContext,
--- a/packages/server/src/operator-figures.ts
+++ b/packages/server/src/operator-stats.ts
@@ -1,18 +1,18 @@
-/** Figures of one controller for operators, counted when they are asked for. */
+/** Statistics of one controller for operators, computed on request. */
 import type { LeadershipStatus } from '@heathroad/cluster'
 import type { Shard } from '@heathroad/controller'
 import type { ControllerContext } from './controller-context.js'
 import type { DrainPhase } from './drain.js'
 
-/** How operators' figures and metrics name the leadership status. */
+/** Names of the leadership status in operators' statistics and metrics. */
 const LEADERSHIP_LABELS: Record<LeadershipStatus, string> = {
 	lease: 'grant',
 	promise: 'promise',
 	none: 'none',
 }
 
-/** Returns the figures; metrics and admin calls read them by these names. */
-export const collectFigures = (
+/** Returns the statistics; metrics and admin requests read them by these names. */
+export const collectOperatorStats = (
 	{ jobs, cache, membership }: ControllerContext,
 	shards: readonly Shard[],
 	state: { isHealthy: boolean; drainPhase: DrainPhase },
@@ -32,7 +32,7 @@
 	}
 }
 
-/** Returns the ids of a team's jobs that are not terminal, the oldest first. */
+/** Returns the ids of a team's open jobs, oldest first. */
 export const openJobsOfTeam = ({ jobs }: ControllerContext, team: string): string[] => {
 	const openJobs: { uid: string; acceptedAtMs: number }[] = []
 	for (const uid of jobs.openJobs) {
--- a/packages/server/src/outgoing-clients.ts
+++ b/packages/server/src/outgoing-clients.ts
@@ -1,26 +1,26 @@
-/** The clients and the write queue through which one controller calls the state service, the cloud, peers and machines. */
+/** The clients and the write queue with which a controller calls the state service, the cloud, peers and machines. */
 import { CloudClient } from '@heathroad/cloud'
 import type { Config } from '@heathroad/config'
 import { createStoreClient, type StoreClient, WriteQueue } from '@heathroad/store'
 import { createHttpClient, type HttpClient } from '@heathroad/wire'
 
-/** Kept connections to one host of the services and peers: this fraction of the sockets, but not fewer than the minimum. */
-const SOCKETS_PER_KEPT_CONNECTION = 16
-const MIN_KEPT_CONNECTIONS = 4
-/** Connections to one machine; they are not kept, see `workerClient`. */
+/** Keep-alive connections to one service or peer: one in this many sockets, but at least the minimum. */
+const SOCKETS_PER_KEEP_ALIVE_CONNECTION = 16
+const MIN_KEEP_ALIVE_CONNECTIONS = 4
+/** Maximum number of connections to one machine; they are not kept alive, see `workerClient`. */
 const CONNECTIONS_PER_WORKER = 2
-/** Time limit of a call to the state service in controller leases: a lease has room for three attempts to renew it. */
+/** Timeout of a call to the state service in controller leases: a lease has time for three attempts to renew it. */
 const STORE_TIMEOUT_LEASES = 0.3
-/** Time limit of a call to the cloud in controller leases. */
+/** Timeout of a call to the cloud in controller leases. */
 const CLOUD_TIMEOUT_LEASES = 2
-/** Bytes of one transaction at most. */
+/** Maximum size of one transaction in bytes. */
 const MAX_TRANSACTION_BYTES = 48 * 1024
 
-/** Everything through which a controller calls others. */
+/** The clients for a controller's outgoing calls. */
 export interface OutgoingClients {
 	/** for the state service, the cloud and peers */
 	httpClient: HttpClient
-	/** for machines, which are called once in a while each: connections kept to hundreds would use up the sockets */
+	/** for machines, each of which is called rarely: keep-alive connections to hundreds would use up the sockets */
 	workerClient: HttpClient
 	storeClient: StoreClient
 	writeQueue: WriteQueue
@@ -30,9 +30,9 @@
 /**
  * Creates a controller's clients.
  *
- * @param now steady clock, in ms
- * @param replacement client for all calls, as simulations have it
- * @param onStoreContact called after each call to the state service with whether it answered
+ * @param now monotonic clock, in ms
+ * @param replacement client used for all calls, such as the simulation's
+ * @param onStoreContact called after each call to the state service; `ok`: whether it responded
  */
 export const createOutgoingClients = (
 	{ settings, limits }: Config,
@@ -40,11 +40,11 @@
 	replacement: HttpClient | undefined,
 	onStoreContact: (ok: boolean) => void,
 ): OutgoingClients => {
-	const keptConnections = Math.max(
-		MIN_KEPT_CONNECTIONS,
-		Math.floor(limits.maxSockets / SOCKETS_PER_KEPT_CONNECTION),
+	const keepAliveConnections = Math.max(
+		MIN_KEEP_ALIVE_CONNECTIONS,
+		Math.floor(limits.maxSockets / SOCKETS_PER_KEEP_ALIVE_CONNECTION),
 	)
-	const httpClient = replacement ?? createHttpClient(keptConnections)
+	const httpClient = replacement ?? createHttpClient(keepAliveConnections)
 	const workerClient = replacement ?? createHttpClient(CONNECTIONS_PER_WORKER, false)
 	const storeTimeoutMs = limits.controllerLeaseMs * STORE_TIMEOUT_LEASES
 	const storeClient = createStoreClient(httpClient, settings.services.state, storeTimeoutMs, onStoreContact)
--- a/packages/server/src/periodic-tasks.ts
+++ b/packages/server/src/periodic-tasks.ts
@@ -1,25 +1,25 @@
-/** The regular tasks of a controller and their intervals. All are shares of configured times, so they scale with them. */
+/** The periodic tasks of a controller. Their intervals derive from configured times and scale with them. */
 import type { DerivedLimits } from '@heathroad/config'
 
-/** Longest interval of the main tick in ms: membership and shards react within it. */
+/** Maximum interval of the main tick in ms, within which membership and shards react. */
 const MAX_TICK_MS = 250
-/** Main ticks in a heartbeat interval at least, so that each heartbeat finds the decisions of a recent tick. */
+/** Minimum number of main ticks per heartbeat interval, so that each heartbeat gets the decisions of a recent tick. */
 const TICKS_PER_HEARTBEAT = 4
-/** Peers receive several messages within a lease, so that a lost one does not make this controller look dead. */
+/** Gossip interval in controller leases: several messages per lease, so that losing one does not look like a crash. */
 const GOSSIP_LEASES = 0.15
-/** Clean-up is not urgent: what it removes takes memory, and is no longer read. */
+/** Clean-up interval in controller leases. It is not urgent: obsolete records take memory but are no longer read. */
 const CLEAN_UP_LEASES = 2
-/** A controller that is cut off from machines finds out within a lease whether that is over: three probes are needed. */
+/** Probe interval in controller leases: three probes within a lease show that machines are reachable again. */
 const PROBE_LEASES = 0.2
 
-/** The tasks, in the order in which their timers are set: timers that are due together fire in it. */
+/** The tasks, in the order in which their timers are started; timers that are due together fire in this order. */
 export interface PeriodicTasks {
 	/** membership, handoff and shards */
 	tick(): void
 	gossip(): void
 	/** deletion of obsolete records and archival */
 	cleanUp(): void
-	/** probe of machines that are out of reach */
+	/** probe of unreachable machines */
 	probeWorkers(): void
 }
 
--- a/packages/server/src/record-dispatcher.ts
+++ b/packages/server/src/record-dispatcher.ts
@@ -1,4 +1,4 @@
-/** Dispatches changes of the records, as the watch reports them, to whoever keeps state that depends on them. */
+/** Dispatches changes of the records from the watch to the components whose state depends on them. */
 import {
 	CATALOG_KEY,
 	type CancelledJob,
@@ -14,19 +14,19 @@
 import type { MachineTypeCatalog } from './machine-type-catalog.js'
 import { RecordKind } from './record-kinds.js'
 
-/** Ids that one log line names at most. */
+/** Maximum number of job ids in one log event. */
 const MAX_LOGGED_JOBS = 20
 
 /** One change of a key. */
 interface RecordChange {
 	key: string
-	/** the key without its prefix; empty for keys without one */
+	/** the key after its first slash; empty for keys without one */
 	id: string
 	entry: CacheEntry | undefined
 	previous: CacheEntry | undefined
 }
 
-/** Everything that follows the records. */
+/** The components that are notified of changes of the records. */
 export interface RecordConsumers {
 	context: ControllerContext
 	/** shards that this controller owns */
@@ -34,7 +34,7 @@
 	archive: ArchivalController
 	releases: ReleaseRegistry
 	catalog: MachineTypeCatalog
-	/** Returns who follows the records for others; null: nobody does. */
+	/** Returns the observer of the records; null: there is none. */
 	observer(): RecordObserver | null
 }
 
@@ -44,9 +44,9 @@
 	return slash < 0 ? { kind: key, id: '' } : { kind: key.slice(0, slash), id: key.slice(slash + 1) }
 }
 
-/** Notifies each consumer of the changes that concern it; observers are notified last. */
+/** Notifies each consumer of the changes that concern it, and the observer last. */
 export class RecordDispatcher {
-	/** by the kind of record; keys of other kinds concern nobody here */
+	/** by kind of record; changes of other kinds are ignored */
 	private readonly handlers = new Map<string, (change: RecordChange) => void>([
 		[RecordKind.shardOwner, (change) => this.onShardKeyChanged(change)],
 		[RecordKind.progress, (change) => this.onProgressChanged(change)],
@@ -67,13 +67,13 @@
 		this.handlers.get(kind)?.({ key, id, entry, previous })
 	}
 
-	/** Applies cancellations that peers know while the state service is out of reach: from now on those jobs are terminal. */
+	/** Applies cancellations that peers report while the state service is unreachable: those jobs are terminal now. */
 	applyPeerCancellations(cancelledJobs: readonly CancelledJob[]): void {
 		for (const uid of this.consumers.context.jobs.applyPeerCancellations(cancelledJobs))
 			for (const shard of this.consumers.shards.values()) shard.applyCancellation(uid)
 	}
 
-	/** A full read is applied: jobs that left the records while changes were missed here are over. */
+	/** Called once a full read is applied: jobs that left the records while changes were missed are terminal. */
 	dropUnnamedJobs(): void {
 		const { context, shards } = this.consumers
 		const uids = context.jobs.dropUnnamedJobs()
@@ -83,7 +83,7 @@
 			uids: uids.slice(0, MAX_LOGGED_JOBS),
 			revision: context.cache.revision,
 		})
-		// Whatever an owner decides about a job is known to it: it was cancelled by another controller.
+		// An owner knows its own decisions about a job, so another controller must have cancelled it.
 		for (const uid of uids) for (const shard of shards.values()) shard.applyCancellation(uid)
 	}
 
@@ -106,7 +106,7 @@
 		const { jobs, cache } = this.consumers.context
 		for (const { uid, record, revision } of jobs.onTerminalPageChanged(key, entry, previous)) {
 			if (revision > cache.revision) this.onJobChanged(uid, record)
-			// The state only moved here, out of what a full read had left out: it is new to those who report it, and no more.
+			// The state moved here from a key that a full read had left out: it is new only to the observer.
 			else this.consumers.observer()?.onJobChanged(uid)
 		}
 	}
@@ -114,7 +114,7 @@
 	private onBatchAccepted({ entry }: RecordChange): void {
 		for (const record of this.consumers.context.jobs.onBatchAccepted(entry?.data)) {
 			const uid = record.spec?.uid
-			// The registry returns jobs of an accepted batch, and those have their specifications.
+			// Cannot happen: records of an accepted batch contain their specifications.
 			if (uid === undefined) continue
 			this.consumers.shards.get(record.shardId)?.onJobChanged(uid, record)
 			this.consumers.observer()?.onJobChanged(uid)
@@ -135,7 +135,7 @@
 	private recordCancellation(uid: string): void {
 		const { jobs, cancellations } = this.consumers.context
 		const terminal = jobs.terminalRecord(uid)
-		// The registry stores the final state before it reports the change, so it has the job.
+		// The registry stores the final state before it reports the change, so the record must exist.
 		if (terminal === undefined) throw new Error(`no terminal record of the cancelled job ${uid}`)
 		cancellations.record(uid, terminal.revision)
 	}
@@ -143,7 +143,7 @@
 	private onJobChanged(uid: string, record: JobRecord): void {
 		const { shards, observer } = this.consumers
 		if (record.finalState === 'aborted') this.recordCancellation(uid)
-		// All shards: the one that the job was in, too, if it moved.
+		// All shards are notified, since the job may have migrated from one to another.
 		for (const shard of shards.values()) shard.onJobChanged(uid, record)
 		observer()?.onJobChanged(uid)
 	}
--- a/packages/server/src/record-kinds.ts
+++ b/packages/server/src/record-kinds.ts
@@ -1,12 +1,12 @@
-/** Kinds of records by the first segment of their keys, as they are stored (see the glossary for the terms). */
+/** Kinds of records, by the first segment of their keys as they are stored (see the glossary for the terms). */
 
 /** The first segment of records' keys. */
 export const RecordKind = {
-	/** owner of a shard */
+	/** the owner of a shard */
 	shardOwner: 'part',
 	/** an open job, or a terminal state of the first format */
 	job: 'job',
-	/** progress of a job beyond what its own record holds */
+	/** progress of a job that its own record does not contain */
 	progress: 'done',
 	/** jobs accepted together */
 	acceptedBatch: 'intake',
@@ -18,5 +18,5 @@
 	machineGroup: 'fleet',
 } as const
 
-/** Returns what the keys of a kind begin with. */
+/** Returns the key prefix of a kind of records. */
 export const prefixOf = (kind: (typeof RecordKind)[keyof typeof RecordKind]): string => `${kind}/`
--- a/packages/server/src/record-migration.ts
+++ b/packages/server/src/record-migration.ts
@@ -1,4 +1,4 @@
-/** Migrates the records from their first format, where terminal states have keys of their own, to pages and archive. */
+/** Migrates the records from their first format, where each terminal state has its own key, to pages and archive. */
 import {
 	advanceArchivalEpoch,
 	decodeJobRecord,
@@ -11,19 +11,19 @@
 import { terminalPageLimits } from '@heathroad/config'
 import { KEY_PREFIX, type RangePage, type StoreClient } from '@heathroad/store'
 import { Effect } from 'effect'
-import type { ArchivalPorts, ArchivalWriter } from './archival-writer.js'
+import type { ArchivalDependencies, ArchivalWriter } from './archival-writer.js'
 import type { ControllerContext } from './controller-context.js'
 import { prefixOf, RecordKind } from './record-kinds.js'
 import { historyRecord } from './terminal-state-retention.js'
 
-/** Keys of the first format that one request of the migration reads. */
+/** Number of keys that one request of the migration reads. */
 const KEYS_PER_READ = 200
-/** Operations of a transaction that are not moved states: the page, and the condition on the shard's owner. */
+/** Operations of a transaction besides the moved states: the page, and the condition on the shard's owner. */
 const RESERVED_OPERATIONS = 2
 /** Pause between two reads, as a share of the controller lease. */
 const READ_PAUSE_LEASE_SHARE = 0.2
 
-/** What the keys of the first format begin with at the state service. */
+/** Prefix of the first format's keys in the state service. */
 const JOB_KEY_PREFIX = KEY_PREFIX + prefixOf(RecordKind.job)
 
 /** A terminal state of the first format, and the revision at which it was read. */
@@ -32,18 +32,18 @@
 	modRevision: number
 }
 
-/** The migration, begun by any controller and carried out by each owner for its shards. */
+/** Runs the migration. Any controller starts it; each owner moves the states of its shards. */
 export class RecordMigration {
 	private inFlight = false
 
 	constructor(
 		private readonly context: ControllerContext,
 		private readonly client: StoreClient,
-		private readonly ports: ArchivalPorts,
+		private readonly dependencies: ArchivalDependencies,
 		private readonly writer: ArchivalWriter,
 	) {}
 
-	/** Changes to the second format once every controller knows it: others would take terminal jobs for open ones. */
+	/** Switches to the second format once every controller supports it: others would take terminal jobs for open ones. */
 	begin(): void {
 		const { membership, config, cache } = this.context
 		if (config.history === null || membership.leadership() !== 'lease') return
@@ -70,7 +70,7 @@
 
 	/**
 	 * Moves terminal states of the first format to pages, from the first key to the last, within archival's share of the
-	 * changes. It can stop anywhere and begins anew: what is moved is no longer under its old key.
+	 * write rate. An interrupted pass can be restarted, since moved states are no longer under their old keys.
 	 */
 	private pass(): Effect.Effect<void, unknown> {
 		const { cache, config, log } = this.context
@@ -81,7 +81,7 @@
 				const page: RangePage = yield* this.client.list(JOB_KEY_PREFIX, startAfter, KEYS_PER_READ)
 				const states = this.legacyStates(page)
 				legacyCount += states.count
-				for (const shardId of this.ports.ownedShards())
+				for (const shardId of this.dependencies.ownedShards())
 					yield* this.moveToPages(shardId, states.byShard.get(shardId) ?? [])
 				if (!page.more || page.entries.length === 0) break
 				startAfter = page.entries[page.entries.length - 1].key
@@ -96,14 +96,14 @@
 		})
 	}
 
-	/** Returns the terminal states of the first format among keys, by the shard that has to move them. */
+	/** Returns the terminal states of the first format on a page of keys, by the shard responsible for moving them. */
 	private legacyStates(page: RangePage): { count: number; byShard: Map<number, LegacyState[]> } {
 		const byShard = new Map<number, LegacyState[]>()
 		let count = 0
 		for (const entry of page.entries) {
 			const record = decodeJobRecord(entry.data)
 			const uid = entry.key.slice(JOB_KEY_PREFIX.length)
-			// A cancelled job's own key is deleted with other obsolete records.
+			// The own key of a cancelled job is deleted with other obsolete records.
 			if (record?.finalState === undefined || this.context.jobs.isOnTerminalPage(uid)) continue
 			count++
 			const shardId = this.writer.responsibleShard(record.shardId)
@@ -119,7 +119,7 @@
 		return { count, byShard }
 	}
 
-	/** Moves states of one shard, as many at a time as a transaction holds; the next pass meets what is left. */
+	/** Moves states of one shard in transactions of limited size; the next pass handles states that remain. */
 	private moveToPages(shardId: number, states: readonly LegacyState[]): Effect.Effect<void> {
 		const { cache, config } = this.context
 		const pageLimits = terminalPageLimits(config)
--- a/packages/server/src/record-reads.ts
+++ b/packages/server/src/record-reads.ts
@@ -1,9 +1,9 @@
-/** Reads that wait until the watch cache is fresh enough. */
+/** Waits for the watch cache to reach a revision or the present state of the state service. */
 import type { StoreClient, WatchCache } from '@heathroad/store'
 import { Effect } from 'effect'
-import { USER_ANSWER_TIMEOUT_MS } from './controller-context.js'
+import { USER_REQUEST_TIMEOUT_MS } from './controller-context.js'
 
-/** `refreshCache` calls back this long after a failed read, in controller leases. */
+/** Delay in controller leases after which `refreshCache` calls back when the read has failed. */
 const REFRESH_RETRY_LEASES = 0.1
 
 interface RevisionWaiter {
@@ -12,7 +12,7 @@
 	done: (ok: boolean) => void
 }
 
-/** Brings one watch cache up to date for those who need it fresh. */
+/** Linearizable reads and revision waits on one watch cache. */
 export class RecordReads {
 	private readonly revisionWaiters = new Set<RevisionWaiter>()
 	private readonly retryTimers = new Set<ReturnType<typeof setTimeout>>()
@@ -24,10 +24,10 @@
 		private readonly controllerLeaseMs: number,
 	) {}
 
-	/** Returns true once everything durable before the call is in the cache; false if that takes too long. */
+	/** Succeeds with true once everything durable before the call is in the cache; false after a timeout. */
 	linearizableRead(): Effect.Effect<boolean> {
 		return this.cache.linearizableRead(this.storeClient).pipe(
-			Effect.timeoutOption(USER_ANSWER_TIMEOUT_MS),
+			Effect.timeoutOption(USER_REQUEST_TIMEOUT_MS),
 			Effect.map((isCurrent) => isCurrent._tag === 'Some' && isCurrent.value),
 		)
 	}
@@ -37,7 +37,7 @@
 		Effect.runFork(this.linearizableRead().pipe(Effect.map(done)))
 	}
 
-	/** Brings the cache up to date, then calls back; without an answer it calls back after a pause. */
+	/** Brings the cache up to date, then calls back; if the read fails, calls back after a pause. */
 	refreshCache(done: () => void): void {
 		const onRead = (ok: boolean) => {
 			if (ok) done()
@@ -55,7 +55,7 @@
 		this.retryTimers.add(timer)
 	}
 
-	/** Calls back with true once the cache is at the revision, with false after `USER_ANSWER_TIMEOUT_MS`. */
+	/** Calls back with true once the cache has reached the revision, or with false after `USER_REQUEST_TIMEOUT_MS`. */
 	waitForRevision(revision: number, done: (ok: boolean) => void): void {
 		if (this.cache.revision >= revision) {
 			done(true)
@@ -65,7 +65,7 @@
 			done(false)
 			return
 		}
-		const timer = setTimeout(() => this.settle(waiter, false), USER_ANSWER_TIMEOUT_MS)
+		const timer = setTimeout(() => this.settle(waiter, false), USER_REQUEST_TIMEOUT_MS)
 		const waiter = { revision, done, timer }
 		this.revisionWaiters.add(waiter)
 	}
@@ -76,7 +76,7 @@
 		waiter.done(ok)
 	}
 
-	/** Tells whoever waits for a revision that it will not be known here, gives up retries, and leaves no timer behind. */
+	/** Calls back all waiters with false, cancels retries and clears all timers. */
 	stop(): void {
 		this.isStopped = true
 		for (const timer of this.retryTimers) clearTimeout(timer)
@@ -84,7 +84,7 @@
 		for (const waiter of [...this.revisionWaiters]) this.settle(waiter, false)
 	}
 
-	/** The cache's revision has advanced: those who wait for it are called back. */
+	/** Called when the cache's revision has advanced: calls back the waiters that it satisfies. */
 	onRevisionAdvanced(): void {
 		for (const waiter of this.revisionWaiters)
 			if (waiter.revision <= this.cache.revision) this.settle(waiter, true)
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -18,7 +18,7 @@
 import type { HttpClient, MachineType } from '@heathroad/wire'
 import { Effect, Fiber } from 'effect'
 import { ArchivalController } from './archival-controller.js'
-import { type ControllerContext, type RecordObserver, USER_ANSWER_TIMEOUT_MS } from './controller-context.js'
+import { type ControllerContext, type RecordObserver, USER_REQUEST_TIMEOUT_MS } from './controller-context.js'
 import { Drain } from './drain.js'
 import { isHealthy } from './health.js'
 import { HeartbeatRouter } from './heartbeat-router.js'
@@ -28,33 +28,33 @@
 import { LocalStatus } from './local-status.js'
 import { MachineTypeCatalog } from './machine-type-catalog.js'
 import { deleteObsoleteRecords } from './obsolete-records.js'
-import { collectFigures, openJobsOfTeam } from './operator-figures.js'
+import { collectOperatorStats, openJobsOfTeam } from './operator-stats.js'
 import { createOutgoingClients } from './outgoing-clients.js'
 import { startPeriodicTasks } from './periodic-tasks.js'
 import { RecordDispatcher } from './record-dispatcher.js'
 import { RecordReads } from './record-reads.js'
-import { createShardPorts } from './shard-ports.js'
+import { createShardDependencies } from './shard-dependencies.js'
 import { ShardRouter } from './shard-router.js'
 import { isUserPath, UserApi } from './user-api.js'
 import { WorkerProbe } from './worker-probe.js'
 
-/** Cancellations kept for owners that are cut off from the state service; they fit in one message. */
+/** Number of cancellations kept for owners that cannot reach the state service; they fit in one message. */
 const MAX_LOGGED_CANCELLATIONS = 2000
 /**
- * Minimum time between linearizable reads is this over the reads per second: a third of this controller's reads each for
- * what follows the changes and for questions; writes and leases have the rest.
+ * Divided by the reads per second, this is the minimum interval between linearizable reads. A third of this controller's
+ * reads is for the watch and another third for users' requests; writes and leases have the rest.
  */
 const READ_GAP_DIVIDEND_MS = 3000
-/** The watch of the records pauses this long after a failure, in controller leases. */
+/** Pause of the watch after a failure, in controller leases. */
 const WATCH_RETRY_LEASES = 0.06
-/** The state service counts as reachable for this long after it answered, in controller leases. */
+/** Time in controller leases for which the state service counts as reachable after a response. */
 const STORE_REACHABLE_LEASES = 0.6
-/** Idle connections of machines outlive this many agent leases, so that a heartbeat finds its connection open. */
+/** Idle timeout of connections in agent leases, long enough for machines to reuse theirs for the next heartbeat. */
 const IDLE_AGENT_LEASES = 2
-/** Time in ms in which a request must have arrived. */
+/** Time in ms within which a request must be received completely. */
 const REQUEST_TIMEOUT_MS = 5000
 
-/** One controller: composes the shards it owns with the state service, the cloud, its peers and its HTTP interfaces. */
+/** One controller: connects the shards it owns to the state service, the cloud, its peers and the HTTP interfaces. */
 export class Service implements ControllerContext {
 	private readonly shards = new Map<number, Shard>()
 	private readonly httpClient: HttpClient
@@ -66,21 +66,21 @@
 	private readonly cloud: CloudClient
 	readonly offerAvailability = new OfferAvailability()
 	readonly jobs: JobRegistry
-	/** which jobs admission checks have released */
+	/** the jobs that admission checks have released */
 	private readonly releases = new ReleaseRegistry()
-	/** operators' admission checks; plugins set them before the start */
+	/** the operators' admission checks; set by plugins before the start */
 	checks: AdmissionChecks = NO_CHECKS
-	/** handles operators' calls from other processes, at the internal address; without one they are answered 404 */
+	/** handles operators' requests at the internal address; null: the response is 404 */
 	adminHandler: AdminHandler | null = null
 	readonly archive: ArchivalController
 	readonly jobLocator: JobLocator
-	/** called if the records have a format that this program does not know; nothing may be done with them */
+	/** called if the records have a format that this version does not support; they must not be used */
 	onUnsupportedFormat: (why: string) => void = () => {}
 	readonly cancellations: CancellationLog
-	/** which group each registered machine belongs to */
+	/** the registered machines by group */
 	readonly machineGroups = new MachineGroups()
 	readonly shardRouter: ShardRouter
-	/** follows the records for others; nobody does unless settings ask for it */
+	/** notified of changes of the records; null unless an interface that needs it is configured */
 	recordObserver: RecordObserver | null = null
 	private readonly catalog: MachineTypeCatalog
 	private readonly reads: RecordReads
@@ -95,8 +95,8 @@
 	private readonly servers: http.Server[] = []
 
 	/**
-	 * @param now steady clock, in ms
-	 * @param httpClient replaces all outgoing calls, as simulations do
+	 * @param now monotonic clock, in ms
+	 * @param httpClient replaces the client of all outgoing calls, as in simulations
 	 */
 	constructor(
 		readonly config: Config,
@@ -121,7 +121,7 @@
 		this.membership = this.createMembership()
 		this.drain = new Drain(this.membership)
 		this.archive = this.createArchive()
-		this.jobLocator = new JobLocator(this, USER_ANSWER_TIMEOUT_MS)
+		this.jobLocator = new JobLocator(this, USER_REQUEST_TIMEOUT_MS)
 		this.recordDispatcher = this.createRecordDispatcher()
 		this.shardRouter = new ShardRouter(this)
 		this.workerProbe = new WorkerProbe(this, this.workerClient)
@@ -194,7 +194,7 @@
 		})
 	}
 
-	/** Listens on both addresses and begins. Rejects if an address cannot be listened on. */
+	/** Starts the listeners and then all tasks. Rejects if an address cannot be listened on. */
 	async start(): Promise<void> {
 		const { settings, limits } = this.config
 		const listenerLimits = {
@@ -218,7 +218,7 @@
 		this.begin()
 	}
 
-	/** Starts everything but the listeners. */
+	/** Starts all tasks, but no listeners. */
 	begin(): void {
 		const { limits, settings } = this.config
 		const watchRetryMs = limits.controllerLeaseMs * WATCH_RETRY_LEASES
@@ -242,7 +242,7 @@
 		this.log('info', 'controller started', { name: limits.self, upMs: Math.round(performance.now()), teams })
 	}
 
-	/** Ends all tasks and closes the listeners with their connections; leases and shards are left to expire. */
+	/** Stops all tasks and closes the listeners and their connections; leases and shard ownership are left to expire. */
 	async stop(): Promise<void> {
 		for (const timer of this.timers) clearInterval(timer)
 		for (const fiber of this.fibers) Effect.runFork(Fiber.interrupt(fiber))
@@ -268,12 +268,12 @@
 		for (const shard of this.shards.values()) shard.tick()
 	}
 
-	/** Begins a drain: users go elsewhere as soon as the balancer has noticed; those who still come are served. */
+	/** Begins a drain: the load balancer sends users elsewhere, and requests that still arrive are served. */
 	beginDrain(): void {
 		this.drain.begin()
 	}
 
-	/** Hands shards off to other controllers; `atOnce`: also those whose machines are not all accounted for. */
+	/** Hands shards off to other controllers; `atOnce`: including those whose machines are not all accounted for. */
 	handOffShards(atOnce: boolean): void {
 		this.drain.handOffShards(atOnce)
 	}
@@ -282,35 +282,35 @@
 		return this.drain.phase !== 'handing'
 	}
 
-	/** What is still to be handed off or answered before this controller can end without anybody noticing. */
+	/** The shards to hand off and submissions to answer before this controller can exit without disruption. */
 	get pendingWork(): { parts: number; submissions: number } {
 		return { parts: this.shards.size, submissions: this.userApi.pendingSubmissions }
 	}
 
-	/** Returns figures for operators; metrics and admin calls read them by their names. */
-	figures() {
+	/** Returns statistics for operators; metrics and admin requests read them by their names. */
+	operatorStats() {
 		const state = { isHealthy: this.isHealthy(), drainPhase: this.drain.phase }
-		return collectFigures(this, [...this.shards.values()], state)
+		return collectOperatorStats(this, [...this.shards.values()], state)
 	}
 
-	/** Removes all admission checks: jobs pending release start as if there never were any. */
+	/** Removes all admission checks: jobs pending release can start without them. */
 	disableChecks(): void {
 		this.checks = NO_CHECKS
 	}
 
-	/** Returns the ids of a team's jobs that are not terminal, the oldest first. */
+	/** Returns the ids of a team's open jobs, oldest first. */
 	openJobsOfTeam(team: string): string[] {
 		return openJobsOfTeam(this, team)
 	}
 
-	/** Revokes the controller lease, once nothing here acts any more: the shards still owned are free at once. */
+	/** Revokes the controller lease, which frees the shards still owned at once; call it after all tasks have stopped. */
 	async revokeLease(): Promise<void> {
 		const { leaseId } = this.membership
 		if (leaseId === null) return
 		await Effect.runPromise(Effect.ignore(this.storeClient.revokeLease(leaseId)))
 	}
 
-	/** Logs an unexpected error and acquires all shards anew: what they hold in memory may be half changed. */
+	/** Logs an unexpected error and reacquires all shards, since their state in memory may be inconsistent. */
 	recoverFromError(error: unknown): void {
 		this.log('error', 'unexpected error', { error: error instanceof Error ? error.stack : String(error) })
 		this.membership.reacquireAll()
@@ -321,7 +321,7 @@
 	}
 
 	private onShardAcquired(shardId: number, fencingToken: number): void {
-		const ports = createShardPorts({
+		const dependencies = createShardDependencies({
 			context: this,
 			localStatus: this.localStatus,
 			releases: this.releases,
@@ -329,7 +329,7 @@
 			workerClient: this.workerClient,
 			afterLinearizableRead: (done) => this.afterLinearizableRead(done),
 		})
-		this.shards.set(shardId, new Shard(shardId, fencingToken, this.config, ports))
+		this.shards.set(shardId, new Shard(shardId, fencingToken, this.config, dependencies))
 	}
 
 	private onShardLost(shardId: number, why: string): void {
@@ -346,17 +346,17 @@
 		return decodeShardOwner(this.cache.get(shardKey(shardId))?.data)?.owner
 	}
 
-	/** Returns the running tasks of the jobs in this controller's shards, by job. */
+	/** Returns the number of running tasks by job in this controller's shards. */
 	localRunningTasks(): Record<string, number> {
 		return this.localStatus.runningTasks()
 	}
 
 	quarantinedJobs(): Set<string> {
-		return this.localStatus.quarantinedJobsOfAll()
+		return this.localStatus.clusterQuarantinedJobs()
 	}
 
 	partitionedShards(): Set<number> {
-		return this.localStatus.partitionedShardsOfAll()
+		return this.localStatus.clusterPartitionedShards()
 	}
 
 	isPendingRelease(uid: string, record: JobRecord): boolean {
@@ -389,7 +389,7 @@
 		this.handlePublicRequest(request, respond)
 	}
 
-	/** Tells whether users' requests can be answered, as the load balancer sees it. */
+	/** Returns whether users' requests can be served, as reported to the load balancer. */
 	isHealthy(): boolean {
 		return isHealthy(this, this.drain)
 	}
--- a/packages/server/src/shard-ports.ts
+++ b/packages/server/src/shard-dependencies.ts
@@ -1,4 +1,4 @@
-/** The dependencies of shards, made of the controller's components. */
+/** Creates the dependencies of shards from the controller's components. */
 import type { CloudClient } from '@heathroad/cloud'
 import { type JobRegistry, type ReleaseRegistry, requiresRelease } from '@heathroad/cluster'
 import type { ShardPorts } from '@heathroad/controller'
@@ -7,13 +7,13 @@
 import type { ControllerContext } from './controller-context.js'
 import type { LocalStatus } from './local-status.js'
 
-/** After this many controller leases a shard's queued write is given up; what it wrote is decided anew then. */
+/** A shard's queued write expires after this many controller leases; the shard then decides again. */
 const WRITE_DEADLINE_LEASES = 2
-/** Time limit of commands sent to a machine, in heartbeat intervals. */
+/** Timeout of commands sent to a machine, in heartbeat intervals. */
 const COMMAND_TIMEOUT_HEARTBEATS = 2
 
-/** The controller's components that shards use through their ports. */
-export interface ShardDependencies {
+/** The controller's components that shards depend on. */
+export interface ControllerComponents {
 	context: ControllerContext
 	localStatus: LocalStatus
 	releases: ReleaseRegistry
@@ -28,13 +28,13 @@
 	Effect.runFork(effect.pipe(Effect.map((result) => done(result))))
 }
 
-/** A mark of a job's release stays on record as long as the job's own record still asks for the release. */
+/** Returns whether the record of a job's release is kept, that is while the job's own record still requires it. */
 const keepsReleaseMark = (jobs: JobRegistry, uid: string): boolean => {
 	const record = jobs.get(uid)?.record
 	return record !== undefined && requiresRelease(record)
 }
 
-type RecordPorts = Pick<
+type RecordDependencies = Pick<
 	ShardPorts,
 	| 'entry'
 	| 'withPrefix'
@@ -47,7 +47,10 @@
 >
 
 /** Reads and writes of the records. */
-const recordPorts = ({ context, afterLinearizableRead }: ShardDependencies): RecordPorts => ({
+const recordDependencies = ({
+	context,
+	afterLinearizableRead,
+}: ControllerComponents): RecordDependencies => ({
 	entry: (key) => context.cache.get(key),
 	withPrefix: (prefix) => context.cache.withPrefix(prefix),
 	applyOwnWrite: (key, data, modRevision) => context.cache.applyOwnWrite(key, data, modRevision),
@@ -63,7 +66,7 @@
 	revision: () => context.cache.revision,
 })
 
-type JobPorts = Pick<
+type JobDependencies = Pick<
 	ShardPorts,
 	| 'job'
 	| 'openJobs'
@@ -75,8 +78,8 @@
 	| 'migrationPlanner'
 >
 
-/** What the controller knows of jobs and of other shards. */
-const jobPorts = ({ context, localStatus, releases }: ShardDependencies): JobPorts => ({
+/** The controller's knowledge of jobs and of other shards. */
+const jobDependencies = ({ context, localStatus, releases }: ControllerComponents): JobDependencies => ({
 	job: (uid) => context.jobs.get(uid),
 	openJobs: () => context.jobs.openJobs,
 	wasQuarantined: (uid) =>
@@ -88,20 +91,24 @@
 	migrationPlanner: (shardId, leaving) => context.shardRouter.migrationPlanner(shardId, leaving),
 })
 
-type MachinePorts = Pick<
+type MachineDependencies = Pick<
 	ShardPorts,
 	'sendCommands' | 'rent' | 'releaseMachines' | 'availableCloudCalls' | 'machineTypes' | 'offerAvailability'
 >
 
 /** Calls to machines and to the cloud. */
-const machinePorts = ({ context, cloud, workerClient }: ShardDependencies): MachinePorts => ({
+const machineDependencies = ({
+	context,
+	cloud,
+	workerClient,
+}: ControllerComponents): MachineDependencies => ({
 	sendCommands: (address, fencingToken, agentEpoch, commands, done) => {
 		const timeoutMs = context.config.limits.heartbeatMs * COMMAND_TIMEOUT_HEARTBEATS
 		const body = encodeCommands(fencingToken, commands, agentEpoch)
 		const reply = workerClient
 			.request(address, 'POST', '/commands', body, timeoutMs)
 			.pipe(Effect.match({ onFailure: () => null, onSuccess: (answer) => answer }))
-		// Status 0: no answer.
+		// Status 0: no response.
 		runThen(reply, (answer) =>
 			answer === null ? done(0, null) : done(answer.status, parseHeartbeat(answer.body)),
 		)
@@ -113,16 +120,16 @@
 	offerAvailability: context.offerAvailability,
 })
 
-/** Returns the ports for one shard. */
-export const createShardPorts = (dependencies: ShardDependencies): ShardPorts => {
-	const { context } = dependencies
+/** Returns the dependencies of one shard. */
+export const createShardDependencies = (components: ControllerComponents): ShardPorts => {
+	const { context } = components
 	return {
 		now: context.now,
 		wallClockMs: () => Date.now(),
 		leadership: () => context.membership.leadership(),
 		log: context.log,
-		...recordPorts(dependencies),
-		...jobPorts(dependencies),
-		...machinePorts(dependencies),
+		...recordDependencies(components),
+		...jobDependencies(components),
+		...machineDependencies(components),
 	}
 }
--- a/packages/server/src/shard-router.ts
+++ b/packages/server/src/shard-router.ts
@@ -1,4 +1,4 @@
-/** Chooses the shard of a job: of a new one, and of one that its shard cannot serve. */
+/** Chooses shards for new jobs and for waiting jobs that another shard would serve better. */
 import { countRecordedDone, hashName, type JobRecord } from '@heathroad/cluster'
 import {
 	allOffers,
@@ -12,23 +12,23 @@
 import { type JobSpec, PRIORITIES } from '@heathroad/wire'
 import type { ControllerContext, JobRouting, MigratingJob } from './controller-context.js'
 
-/** CPUs that a task counts for at least, so that tasks which ask for almost none still count as work. */
+/** Minimum CPUs that a task counts for, so that tasks requesting almost none still count as work. */
 const MIN_TASK_CPUS = 0.1
-/** Seconds that a task counts for at least. */
+/** Minimum run time in seconds that a task counts for. */
 const MIN_TASK_SECONDS = 1
 
-/** Work of tasks of a job, in CPU seconds. */
+/** Returns the work of a number of a job's tasks, in CPU seconds. */
 const workOf = (spec: JobSpec, tasks: number): number =>
 	tasks * Math.max(MIN_TASK_CPUS, spec.cpus) * Math.max(MIN_TASK_SECONDS, spec.expectedS)
 
 /** A shard's unfinished work in CPU seconds, by rank of priority. */
 interface WorkByRank {
 	all: number[]
-	/** half of the work of the tasks that run: on average half of it is done */
+	/** half of the work of running tasks: on average the other half is done */
 	running: number[]
 }
 
-/** CPUs and unfinished work of every shard, counted once for several choices. */
+/** CPUs and unfinished work of every shard, computed once for several choices. */
 interface ClusterLoad {
 	/** by shard */
 	cpus: number[]
@@ -37,7 +37,7 @@
 	partitionedShards: Set<number>
 }
 
-/** Routes jobs to shards by the load of all shards, as the records and the peers' statuses show it. */
+/** Routes jobs to shards by the load of all shards according to the records and the peers' statuses. */
 export class ShardRouter implements JobRouting {
 	constructor(private readonly context: ControllerContext) {}
 
@@ -45,14 +45,14 @@
 	chooseShard(spec: JobSpec): number {
 		const fixedShard = this.fixedShard(spec)
 		if (fixedShard !== null) return fixedShard
-		// Ties are broken by the job's name, so that first jobs at several controllers spread.
+		// Ties are broken by a hash of the job id, so that the first jobs of several controllers spread.
 		const preferred = hashName(spec.uid) % this.shardCount()
 		return this.leastLoaded(spec, this.shardLoads(spec, this.clusterLoad(), null), preferred)
 	}
 
 	/**
-	 * Returns a function to be called with a shard's waiting jobs, one after the other. It names the shard that would serve
-	 * the job far better, given where those before it go; null: the job stays.
+	 * Returns a function to call with each of a shard's waiting jobs in turn. It returns the shard that would serve the job
+	 * far better, given the targets of the jobs before it; null: the job stays.
 	 */
 	migrationPlanner(shardId: number, leaving: readonly MigratingJob[]): (spec: JobSpec) => number | null {
 		const load = this.clusterLoad()
@@ -72,7 +72,7 @@
 		}
 	}
 
-	/** Returns the number of an open job's running tasks, as its owner knows it or reported it last. */
+	/** Returns the number of an open job's running tasks, as its owner knows or last reported it. */
 	runningTaskCount(uid: string, record: JobRecord): number {
 		const job = this.context.shard(record.shardId)?.jobs.get(uid)
 		if (job !== undefined) return job.isTerminal ? 0 : job.runningCount()
@@ -90,7 +90,7 @@
 		return Math.max(1, ...this.context.machineTypes().map((type) => type.cpus))
 	}
 
-	/** Returns the one shard of a team with a limit, which that shard then enforces; null for other teams. */
+	/** Returns the one shard that runs all jobs of a team with a limit and enforces it; null for other teams. */
 	private fixedShard(spec: JobSpec): number | null {
 		const team = this.context.config.settings.deployment.teams.find(({ name }) => name === spec.team)
 		const hasLimit = team !== undefined && (team.cpus_max > 0 || team.gpus_max > 0)
@@ -110,7 +110,7 @@
 		return { cpus, work, partitionedShards: this.context.partitionedShards() }
 	}
 
-	/** CPUs of the machines that each shard has rented or asked for. */
+	/** Returns the CPUs of the machines that each shard has rented or requested. */
 	private cpusByShard(): number[] {
 		const shardCount = this.shardCount()
 		const types = this.context.machineTypes()
@@ -144,10 +144,10 @@
 	}
 
 	/**
-	 * Returns what each shard has for a job: its CPUs, and the unfinished work that goes before the job, with the job
-	 * itself, which `homeShard` has already. Work of lower priority counts only where it runs: a guest's vast idle array
-	 * waits behind the job, and counted in full it would send all new work to the one shard that has none of it, however
-	 * few machines that has (incident 12).
+	 * Returns each shard's load for a job: its CPUs, and the unfinished work ahead of the job plus the job itself, which
+	 * `homeShard` already includes. Work of lower priority counts only where it runs: a guest's huge `idle` array waits
+	 * behind the job, and counting it in full would send all new work to the one shard without it, however few machines
+	 * that shard has (incident 12).
 	 */
 	private shardLoads(spec: JobSpec, load: ClusterLoad, homeShard: number | null): ShardLoad[] {
 		const ownRank = priorityRank(spec.priority)
--- a/packages/server/src/submission-queue.ts
+++ b/packages/server/src/submission-queue.ts
@@ -1,4 +1,4 @@
-/** Queue that makes accepted jobs durable in batches, and the batch records that it writes them to. */
+/** Queue that makes accepted jobs durable in batches, and manages the batch records that it writes. */
 import { type AcceptedJobRecord, acceptJobs, encodeJobRecord } from '@heathroad/cluster'
 import { maxValueChars } from '@heathroad/config'
 import { priorityRank } from '@heathroad/policy'
@@ -8,17 +8,17 @@
 import type { JobLocation } from './job-locator.js'
 import { prefixOf, RecordKind } from './record-kinds.js'
 
-/** What became of a submission. */
+/** The outcome of a submission. */
 export type SubmissionOutcome =
 	| 'accepted'
-	/** it may be known already, or may yet become so: its status has to be read */
+	/** the job may be known already or may still become durable: its status has to be read */
 	| 'unclear'
 	/** certainly not accepted */
 	| 'refused'
 
-/** How many of our batch records are examined for an obsolete one, for each that is written. */
+/** Number of this controller's batch records that are examined per write to find an obsolete one to reuse. */
 const RECORDS_EXAMINED_PER_WRITE = 4
-/** Jobs in one batch at most, as a multiple of the mutations that one transaction holds; each adds a condition. */
+/** Maximum jobs in one batch, as a multiple of the operations in one transaction; each job adds a condition. */
 const JOBS_PER_TRANSACTION_OPERATION = 2
 /** `PendingSubmission.provenAbsentAt` before there is any proof. */
 const UNPROVEN = -1
@@ -26,7 +26,7 @@
 interface PendingSubmission {
 	record: AcceptedJobRecord
 	bytes: number
-	/** steady time after which it is given up */
+	/** monotonic time after which it is given up */
 	deadline: number
 	/** revision as of which it was proven that the job was never accepted, or `UNPROVEN` */
 	provenAbsentAt: number
@@ -34,13 +34,13 @@
 	done: (outcome: SubmissionOutcome) => void
 }
 
-/** Where a batch is written; `modRevision` 0: under a new key. */
+/** The key that a batch is written to; `modRevision` 0: a new key. */
 interface BatchLocation {
 	key: string
 	modRevision: number
 }
 
-/** Orders submissions fairly: teams in turn, within each the urgent first, within a priority the oldest first. */
+/** Orders submissions fairly: teams in turn; within a team by priority, highest first; within a priority oldest first. */
 const inFairOrder = (submissions: readonly PendingSubmission[]): PendingSubmission[] => {
 	const turnsTaken = new Map<string, number>()
 	return submissions
@@ -57,22 +57,22 @@
 }
 
 /**
- * Makes accepted jobs durable, as many in one change as a value holds: a burst of submissions would otherwise wait
- * for seconds at the change rate that all controllers share. One write is in flight at a time; what arrives meanwhile
- * goes with the next.
+ * Makes accepted jobs durable, as many in one write as a value holds: a burst of submissions would otherwise wait for
+ * seconds because of the write rate that all controllers share. One write is in flight at a time; submissions that
+ * arrive meanwhile are in the next one.
  */
 export class SubmissionQueue {
 	private pending: PendingSubmission[] = []
 	private writeInFlight: QueuedWrite | null = null
 	private batchCounter = 0
-	/** our batch records, the oldest first, and the revisions of their last changes */
+	/** this controller's batch records, oldest first, and the revisions of their last changes */
 	private readonly ownBatches: { key: string; revision: number }[] = []
 
 	constructor(private readonly context: ControllerContext) {}
 
 	/**
-	 * Tells whether one more submission of this team may wait. The bound is the service's, but a team that has less than its
-	 * equal share of it waiting is not refused because of others: one team's flood must not shut the other teams out.
+	 * Returns whether one more submission of this team may wait. All teams share the bound, but a team with less than an
+	 * equal share of it waiting is never rejected: one team's flood must not shut out the other teams.
 	 */
 	hasCapacity(team: string): boolean {
 		const { limits, settings } = this.context.config
@@ -81,7 +81,7 @@
 		return pendingOfTeam < limits.maxPendingSubmissions / settings.deployment.teams.length
 	}
 
-	/** Adds a submission, which is given up after `timeoutMs`; `done` is called once with its outcome. */
+	/** Adds a submission that is given up after `timeoutMs`; `done` is called once with its outcome. */
 	enqueue(record: AcceptedJobRecord, timeoutMs: number, done: (outcome: SubmissionOutcome) => void): void {
 		const submission: PendingSubmission = {
 			record,
@@ -97,9 +97,9 @@
 	}
 
 	/**
-	 * Tells whether it is proven that the job was never accepted, as of the present archival epoch. A write that accepts jobs
-	 * holds only for the epoch in which it is made. A job that is accepted elsewhere after the proof, and ends, stays on a
-	 * page in memory until the next epoch.
+	 * Returns whether the job is proven never to have been accepted, as of the current archival epoch. A write that accepts
+	 * jobs is valid only in the epoch in which it is made. A job that is accepted elsewhere after the proof and becomes
+	 * terminal stays on a page in memory until the next epoch.
 	 */
 	private isProvenAbsent(submission: PendingSubmission): boolean {
 		const { archive, jobLocator } = this.context
@@ -125,7 +125,7 @@
 		if (!this.pending.includes(submission)) return
 		if (location.kind === 'absent') {
 			submission.provenAbsentAt = location.asOf
-			// An archival epoch that began during the search asks for a proof of its own.
+			// An archival epoch that began during the search requires a new proof.
 			if (this.isProvenAbsent(submission)) this.flush()
 			else this.proveAbsent(submission)
 			return
@@ -137,9 +137,9 @@
 		return this.context.jobs.get(submission.record.spec.uid) !== undefined
 	}
 
-	/** Returns the submissions that may be written, in fair order, and starts proofs for the others. */
+	/** Returns the submissions that may be written, in fair order, and starts proofs of absence for the others. */
 	private writable(): PendingSubmission[] {
-		// Accepted by another controller since it arrived: its status has to be read.
+		// Jobs that another controller has accepted since they arrived: their statuses have to be read.
 		this.settle(new Set(this.pending.filter((submission) => this.isKnown(submission))), 'unclear')
 		const proven: PendingSubmission[] = []
 		for (const submission of this.pending)
@@ -148,7 +148,7 @@
 		return inFairOrder(proven)
 	}
 
-	/** Returns the first of the writable ones, as many as one value and the conditions of one transaction hold. */
+	/** Returns as many of the first writable submissions as one value and the conditions of one transaction can hold. */
 	private nextBatch(): PendingSubmission[] {
 		const { settings } = this.context.config
 		const maxJobs = settings.deployment.state.txn_ops * JOBS_PER_TRANSACTION_OPERATION
@@ -163,8 +163,9 @@
 	}
 
 	/**
-	 * Returns where the next batch goes: over an obsolete one of ours, else under a new key. A new key costs a second change
-	 * when it is removed; at four jobs a second, which come one by one, that used up the rate (incident 25).
+	 * Returns the key for the next batch: that of an obsolete batch of this controller, which is overwritten, or else a new
+	 * key. A new key costs a second write when it is deleted; at four jobs per second, submitted one by one, that used up
+	 * the write rate (incident 25).
 	 */
 	private nextLocation(): BatchLocation {
 		const { cache, jobs, membership } = this.context
@@ -173,11 +174,11 @@
 			const batch = this.ownBatches.shift()
 			if (batch === undefined) break
 			const entry = cache.get(batch.key)
-			// What is known of it may be older than what was written last.
+			// The cached record may be older than the last write.
 			const isCurrent = cache.revision >= batch.revision
 			if (isCurrent && entry !== undefined && jobs.isObsoleteBatch(entry.data))
 				return { key: batch.key, modRevision: entry.modRevision }
-			// Removed as obsolete by its shard's owner, it is not used again.
+			// A key that its shard's owner has deleted as obsolete is not reused.
 			if (!isCurrent || entry !== undefined) this.ownBatches.push(batch)
 		}
 		return {
@@ -194,7 +195,7 @@
 		this.writeInFlight = {
 			priority: WritePriority.user,
 			deadline: Math.min(...this.pending.map(({ deadline }) => deadline)),
-			// May be called again for the same location: what waits then is chosen anew.
+			// May be called again for the same location; the batch is then chosen anew from the pending submissions.
 			build: (): TransactionContent | null => {
 				batch = this.nextBatch()
 				location ??= this.nextLocation()
@@ -213,7 +214,7 @@
 		location: BatchLocation | null,
 	): void {
 		if (result.kind === 'conflict') {
-			// One of them is known already: it leaves the queue, the others are written again.
+			// At least one job is known already: it leaves the queue, and the others are written again.
 			this.context.refreshCache(() => {
 				const known = batch.filter((submission) => this.isKnown(submission))
 				this.settle(new Set(known), 'unclear')
@@ -225,15 +226,15 @@
 			this.ownBatches.push({ key: location.key, revision: result.revision })
 			this.onBatchDurable(batch, result.revision)
 		}
-		// The record may yet be applied, so it is not used again; the shard's owner removes it once it sees it.
+		// The write may still be applied, so the key is not reused; the shard's owner deletes it once obsolete.
 		if (result.kind === 'unknown') this.settle(new Set(batch), 'unclear')
 		this.onWriteFinished()
 	}
 
 	/**
-	 * Reports the outcomes once every change before the batch is known. A user's retry may have reached another controller
-	 * meanwhile, and the job be terminal by now: batch records and terminal states share no key that would conflict. A job
-	 * accepted by an earlier record was known already.
+	 * Reports the outcomes once every change before the batch is known. Another controller may have accepted a user's
+	 * retry, and the job may be terminal by now: batch records and terminal states share no key that would conflict. A job
+	 * that an earlier record accepted was known already.
 	 */
 	private onBatchDurable(batch: readonly PendingSubmission[], revision: number): void {
 		this.pending = this.pending.filter((submission) => !batch.includes(submission))
--- a/packages/server/src/terminal-state-retention.ts
+++ b/packages/server/src/terminal-state-retention.ts
@@ -1,4 +1,4 @@
-/** Decides which terminal states a full read of the state service keeps in memory. */
+/** Decides which terminal states a full read of the state service retains in memory. */
 import {
 	decodeAcceptedBatch,
 	decodeHistoryRecord,
@@ -15,22 +15,22 @@
 const JOB_PREFIX = prefixOf(RecordKind.job)
 const BATCH_PREFIX = prefixOf(RecordKind.acceptedBatch)
 
-/** Returns the record of the records' format and archival epoch; null: nothing was ever archived. */
+/** Returns the record that holds the record format and the archival epoch; null: nothing was ever archived. */
 export const historyRecord = (context: ControllerContext): HistoryRecord | null =>
 	decodeHistoryRecord(context.cache.get(HISTORY_KEY)?.data)
 
-/** Tells whether terminal states may stand under own keys that a full read leaves out of memory. */
+/** Returns whether terminal states may exist under own keys, which a full read leaves out of memory. */
 const usesOwnKeys = (context: ControllerContext, record: HistoryRecord | null): boolean =>
 	record === null ? context.config.history !== null : record.legacy
 
 /**
- * Terminal states under keys of their own, which the first record format kept for ever, are left out of full reads:
- * 200,000 of them take more memory than a controller has.
+ * Leaves terminal states under own keys, which the first record format kept forever, out of full reads: 200,000 of them
+ * take more memory than a controller has.
  */
 export class TerminalStateRetention {
-	/** whether any full read so far has left out terminal states of the first format */
+	/** whether any full read has left out terminal states of the first format */
 	private hasOmittedStates = false
-	/** revision at which the first request of the latest full read was answered; -1: there was none */
+	/** revision of the response to the first request of the latest full read; -1: there was none */
 	private latestFullReadRevision = -1
 
 	/** `onOmitted`: called for every terminal state that a full read leaves out. */
@@ -39,7 +39,7 @@
 		private readonly onOmitted: (uid: string, record: JobRecord, revision: number) => void,
 	) {}
 
-	/** Returns where terminal states may be that are not in memory. */
+	/** Returns the places that may hold terminal states that are not in memory. */
 	searchScope(): SearchScope {
 		const record = historyRecord(this.context)
 		return {
@@ -49,12 +49,12 @@
 		}
 	}
 
-	/** See `latestFullReadRevision`. */
+	/** Revision of the response to the first request of the latest full read; -1: there was none. */
 	get fullReadRevision(): number {
 		return this.latestFullReadRevision
 	}
 
-	/** A full read begins. */
+	/** Called when a full read begins; returns the filter that decides which records it retains. */
 	beginFullRead(): FullReadFilter {
 		const filter = new TerminalStateFilter(this.context, (uid, record, revision) => {
 			this.hasOmittedStates = true
@@ -70,12 +70,12 @@
 	}
 }
 
-/** What one full read leaves out. Several reads may be in flight, each with a filter of its own. */
+/** Decides which records one full read leaves out. Several reads may be in flight, each with its own filter. */
 class TerminalStateFilter implements FullReadFilter {
 	/** whether terminal states of the first format are left out */
 	private omitsLegacyStates: boolean
 	private hasOmittedCancellations = false
-	/** jobs that the read has met in accepted batches */
+	/** jobs in the accepted batches read so far */
 	private readonly jobsInBatches = new Set<string>()
 
 	constructor(
@@ -86,11 +86,11 @@
 	}
 
 	/**
-	 * Terminal states that an accepted batch still names are kept, and those of jobs that are open in memory: without them
-	 * the job would be open again. That batch, and the record of the format, come before job keys in the order of keys.
+	 * Retains terminal states of jobs that an accepted batch still names or that are open in memory: without them the job
+	 * would be open again. The batches and the record of the format precede job keys in key order.
 	 */
 	retains(key: string, data: unknown, modRevision: number): boolean {
-		// Where none of the first format are left, a job's own key shows a cancellation that is yet to be deleted.
+		// Once no states of the first format are left, a terminal state under an own key is a cancellation to be deleted.
 		if (key === HISTORY_KEY) this.omitsLegacyStates = decodeHistoryRecord(data)?.legacy ?? true
 		if (key.startsWith(BATCH_PREFIX)) this.rememberBatch(data)
 		if (!this.omitsLegacyStates || !key.startsWith(JOB_PREFIX)) return true
--- a/packages/server/src/user-api.ts
+++ b/packages/server/src/user-api.ts
@@ -1,4 +1,4 @@
-/** The users' HTTP interface: routes calls to submissions, statuses and cancellations. */
+/** The users' HTTP interface: routes requests to submissions, statuses and cancellations. */
 import type { HttpReply } from '@heathroad/wire'
 import { Effect } from 'effect'
 import type { ControllerContext } from './controller-context.js'
@@ -11,10 +11,10 @@
 const JOBS_PATH = '/v2/runs'
 const CANCEL_VERB = 'withdraw'
 
-/** Tells whether a path belongs to the users' interface. */
+/** Returns whether a path belongs to the users' interface. */
 export const isUserPath = (path: string): boolean => path === JOBS_PATH || path.startsWith(`${JOBS_PATH}/`)
 
-/** The users' interface: every answer is durable, and no older than a read begun after the question. */
+/** Handles users' requests: every response is durable and at least as recent as a read that starts after the request. */
 export class UserApi {
 	private readonly statusReader: JobStatusReader
 	private readonly canceller: JobCanceller
@@ -28,7 +28,7 @@
 		)
 	}
 
-	/** Handles a user's request, unknown paths included. */
+	/** Handles a user's request, including requests for unknown paths. */
 	handle({ method, path, body }: HttpRequest, respond: Respond): void {
 		if (path === JOBS_PATH) {
 			if (method !== 'POST') {
@@ -54,7 +54,7 @@
 		this.runCall(verb === CANCEL_VERB ? this.canceller.cancel(uid) : this.statusReader.read(uid), respond)
 	}
 
-	/** Number of submissions that wait for their answer. */
+	/** Number of submissions without a response so far. */
 	get pendingSubmissions(): number {
 		return this.submissions.pendingCount
 	}
--- a/packages/server/src/worker-probe.ts
+++ b/packages/server/src/worker-probe.ts
@@ -1,30 +1,30 @@
-/** Finds out whether machines can be reached again, after this controller was cut off from them. */
+/** Detects the end of a network partition between this controller and the machines. */
 import type { HttpClient } from '@heathroad/wire'
 import { Effect } from 'effect'
 import type { ControllerContext } from './controller-context.js'
 
-/** Probes in a row that must be answered before machines count as reachable. */
-const ANSWERS_NEEDED = 3
-/** Time limit of a probe in controller leases: as long as the interval between two probes. */
+/** Number of consecutive probes that must be answered before machines count as reachable. */
+const REQUIRED_ANSWERS = 3
+/** Timeout of a probe in controller leases: as long as the interval between two probes. */
 const PROBE_TIMEOUT_LEASES = 0.2
 
-/** Probes one machine at a time while the membership is cut off from machines. */
+/** Probes one machine at a time while this controller is partitioned from the machines. */
 export class WorkerProbe {
-	private answersInARow = 0
+	private consecutiveAnswers = 0
 
 	constructor(
 		private readonly context: ControllerContext,
 		private readonly workerClient: HttpClient,
 	) {}
 
-	/** Probes a random machine; does nothing unless this controller is cut off. */
+	/** Probes a random machine; does nothing unless this controller is partitioned from the machines. */
 	tick(): void {
 		const { membership, machineGroups, config } = this.context
 		if (!membership.cutFromWorkers) return
 		const addresses = [...machineGroups.records.values()]
 			.flatMap((group) => Object.values(group.addresses))
 			.filter((address) => address !== null)
-		// Without machines nobody can be out of reach.
+		// Without machines, none can be unreachable.
 		if (addresses.length === 0) {
 			this.onResult(true)
 			return
@@ -40,9 +40,9 @@
 	}
 
 	private onResult(answered: boolean): void {
-		this.answersInARow = answered ? this.answersInARow + 1 : 0
-		if (this.answersInARow < ANSWERS_NEEDED) return
-		this.answersInARow = 0
+		this.consecutiveAnswers = answered ? this.consecutiveAnswers + 1 : 0
+		if (this.consecutiveAnswers < REQUIRED_ANSWERS) return
+		this.consecutiveAnswers = 0
 		this.context.membership.cutFromWorkers = false
 		this.context.log('info', 'workers reachable again')
 	}
--- a/tests/golden-faces.test.ts
+++ b/tests/golden-faces.test.ts
@@ -34,7 +34,7 @@
 }
 
 /** Each figure is another number, so that none can stand in another's place. */
-const figures: ReturnType<Service['figures']> = {
+const figures: ReturnType<Service['operatorStats']> = {
 	parts: 2,
 	openJobs: 3,
 	ownJobs: 4,
--- a/tests/job-locator.test.ts
+++ b/tests/job-locator.test.ts
@@ -5,7 +5,7 @@
 import type { ArchiveLookup, LegacyRead } from '@heathroad/history'
 import {
 	JobLocator,
-	type JobLocatorPorts,
+	type JobLocatorDependencies,
 	type MemoryView,
 	nextSearchStep,
 	type SearchScope,
@@ -110,7 +110,7 @@
 	readOwnKey: () => Effect.Effect<LegacyRead>
 	lookUp: () => Effect.Effect<ArchiveLookup>
 	isCurrent: boolean
-	linearizableRead: JobLocatorPorts['linearizableRead']
+	linearizableRead: JobLocatorDependencies['linearizableRead']
 	/** what was asked of the store, in order */
 	asked: string[]
 }
@@ -130,7 +130,7 @@
 		asked: [],
 		...changes,
 	}
-	const ports: JobLocatorPorts = {
+	const ports: JobLocatorDependencies = {
 		jobs: { get: (uid) => world.records.get(uid) },
 		cache: {
 			get revision() {
--- a/tests/submission-queue.test.ts
+++ b/tests/submission-queue.test.ts
@@ -6,7 +6,7 @@
 import {
 	type ControllerContext,
 	JobLocator,
-	type JobLocatorPorts,
+	type JobLocatorDependencies,
 	type SubmissionOutcome,
 	SubmissionQueue,
 } from '@heathroad/server'
@@ -57,7 +57,7 @@
 			void revisionWaiters.push({ revision, done }),
 		refreshCache: (done: () => void) => done(),
 	}
-	const jobLocator = new JobLocator(parts as unknown as JobLocatorPorts, SEARCH_TIMEOUT_MS)
+	const jobLocator = new JobLocator(parts as unknown as JobLocatorDependencies, SEARCH_TIMEOUT_MS)
 	const context = { ...parts, jobLocator } as unknown as ControllerContext
 	const outcomes: Record<string, SubmissionOutcome> = {}
 	const queue = new SubmissionQueue(context)
