--- a/packages/controller/src/attempt-registry.ts
+++ b/packages/controller/src/attempt-registry.ts
@@ -77,7 +77,7 @@
 		if (job === null || job.isTerminal || job.doneTasks.has(taskIndex)) return
 		if (job.placements.has(taskIndex) || job.orphanCounts.has(taskIndex)) return
 		if (attempt.state !== 'exited' && !attempt.orphaned)
-			job.budget.restart(attempt.uid, attempt.budgetShare, this.cost(attempt))
+			job.budget.refundTask(attempt.uid, attempt.budgetShare, this.cost(attempt))
 		if (!job.isReconciled) return
 		if (job.readyTasks.add(taskIndex) && job.readyTasks.size === 1) this.dependencies.queue.isDirty = true
 	}
--- a/packages/controller/src/attempt-tracker.ts
+++ b/packages/controller/src/attempt-tracker.ts
@@ -47,7 +47,7 @@
 		}
 		if (job === null || job.isTerminal) return
 		this.onUnsuccessfulEnd(job, attempt, now)
-		if (!attempt.orphaned) job.budget.restart(attempt.uid, attempt.budgetShare, spent)
+		if (!attempt.orphaned) job.budget.refundTask(attempt.uid, attempt.budgetShare, spent)
 		this.state.requeueTask(attempt)
 	}
 
@@ -60,7 +60,7 @@
 		if (!job.doneTasks.add(attempt.taskIndex)) return
 		job.readyTasks.delete(attempt.taskIndex)
 		if (isFirstSuccess) this.crashLoops.onJobSucceeded(job)
-		job.budget.finish(attempt.budgetShare, spent)
+		job.budget.finishTask(attempt.budgetShare, spent)
 		if (attempt.startedAt !== null)
 			this.state.observeRunTime(
 				job.spec,
--- a/packages/controller/src/consolidation.ts
+++ b/packages/controller/src/consolidation.ts
@@ -1,10 +1,10 @@
 /** Consolidation: empties sparsely used machines so that they become idle and are returned. */
 import {
-	choosePacking,
+	chooseMachinesToDrain,
 	hourlyPrice,
 	isAllowedOn,
-	type PackedMachine,
-	type PackedTask,
+	type PackingMachine,
+	type PackingTask,
 } from '@heathroad/policy'
 import { type Attempt, gracePeriodS, type JobRun, type Machine } from './model.js'
 import type { ShardState } from './state.js'
@@ -18,14 +18,14 @@
 /** Heartbeat periods that a move takes beside saving and fetching: stop, report of the end, start. */
 const HEARTBEATS_PER_MOVE = 3
 
-interface ConsolidationMachine extends PackedMachine {
+interface ConsolidationMachine extends PackingMachine {
 	machine: Machine
 }
 
 /** The machines as packing policy sees them, and the jobs of those tasks that may be moved. */
 interface ConsolidationInput {
 	machines: readonly ConsolidationMachine[]
-	jobsByTask: ReadonlyMap<PackedTask, JobRun>
+	jobsByTask: ReadonlyMap<PackingTask, JobRun>
 }
 
 /**
@@ -42,7 +42,7 @@
 	consolidate(now: number): void {
 		if (!this.isDue(now)) return
 		const { machines, jobsByTask } = this.collectInput(now)
-		const mayMove = (from: ConsolidationMachine, task: PackedTask, to: ConsolidationMachine): boolean => {
+		const mayMove = (from: ConsolidationMachine, task: PackingTask, to: ConsolidationMachine): boolean => {
 			const spec = jobsByTask.get(task)?.spec
 			// Tasks of unknown jobs have no cost of a move: policy never moves them.
 			if (spec === undefined) return false
@@ -50,7 +50,7 @@
 			return isAllowedOn(spec, to.machine) && (!isZoneBound || from.machine.zone === to.machine.zone)
 		}
 		const maxDrained = Math.ceil(machines.length / MACHINES_PER_DRAIN)
-		for (const { machine } of choosePacking(machines, maxDrained, mayMove)) this.drain(machine)
+		for (const { machine } of chooseMachinesToDrain(machines, maxDrained, mayMove)) this.drain(machine)
 	}
 
 	/**
@@ -67,10 +67,10 @@
 
 	private collectInput(now: number): ConsolidationInput {
 		const machines: ConsolidationMachine[] = []
-		const jobsByTask = new Map<PackedTask, JobRun>()
+		const jobsByTask = new Map<PackingTask, JobRun>()
 		for (const machine of this.state.machines.values()) {
 			if (!this.state.isSchedulable(machine, now)) continue
-			const tasks: PackedTask[] = []
+			const tasks: PackingTask[] = []
 			for (const attempt of machine.attempts.values()) {
 				if (attempt.state === 'exited') continue
 				const task = this.toPackedTask(attempt, now)
@@ -89,7 +89,7 @@
 		return { machines, jobsByTask }
 	}
 
-	private toPackedTask(attempt: Attempt, now: number): PackedTask {
+	private toPackedTask(attempt: Attempt, now: number): PackingTask {
 		const { job, resources } = attempt
 		// Nothing is known of a task whose job is not of this shard: it stays.
 		if (job === null) return { need: resources, leftS: 0, moveS: null }
--- a/packages/controller/src/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeat-reconciler.ts
@@ -109,7 +109,7 @@
 		}
 		if (isUseful) {
 			job.readyTasks.delete(task.taskIndex)
-			attempt.budgetShare = job.budget.start(task.uid)
+			attempt.budgetShare = job.budget.startTask(task.uid)
 		}
 		this.state.addAttempt(machine, attempt)
 		return attempt
--- a/packages/controller/src/job-queue.ts
+++ b/packages/controller/src/job-queue.ts
@@ -1,6 +1,6 @@
 /** The order in which a shard's jobs are served. */
 import type { Config } from '@heathroad/config'
-import { orderRank, startBounds } from '@heathroad/policy'
+import { queueRank, startDeadlines } from '@heathroad/policy'
 import type { JobRun } from './model.js'
 import type { RunTimeEstimator } from './run-time-estimator.js'
 import type { TeamUsage } from './team-usage.js'
@@ -53,10 +53,10 @@
 
 	private updateRank(job: JobRun): void {
 		const objectives = this.inputs.config.settings.deployment.objectives ?? []
-		job.startBounds = startBounds(job.spec, this.inputs.runTimes.estimateS(job.spec), objectives)
+		job.startBounds = startDeadlines(job.spec, this.inputs.runTimes.estimateS(job.spec), objectives)
 		job.rank = job.isQuarantined
 			? QUARANTINED_RANK
-			: orderRank(job.spec.priority, this.ageS(job), job.startBounds)
+			: queueRank(job.spec.priority, this.ageS(job), job.startBounds)
 	}
 
 	/** Jobs with tasks that may start now, in order. */
--- a/packages/controller/src/machine-reservation.ts
+++ b/packages/controller/src/machine-reservation.ts
@@ -1,5 +1,5 @@
 /** Machine reservation: keeps jobs of lower rank off some machines until a waiting urgent job fits there. */
-import { fits, isAllowedOn, isZoneAllowed, URGENCY_CUTOFF_RANK } from '@heathroad/policy'
+import { fits, isAllowedOn, isZoneAllowed, RAISED_RANK } from '@heathroad/policy'
 import type { JobSpec } from '@heathroad/wire'
 import type { JobRun, Machine } from './model.js'
 import { startPatienceS } from './start-patience.js'
@@ -47,7 +47,7 @@
 	const machines = clearReservations(state, now)
 	let remaining = Math.ceil(machines.length / MACHINES_PER_RESERVATION)
 	for (const job of state.waitingHealthyJobs(now)) {
-		if (remaining <= 0 || job.rank < URGENCY_CUTOFF_RANK) return
+		if (remaining <= 0 || job.rank < RAISED_RANK) return
 		if (job.spec.kind === 'gang' || state.jobAgeS(job) < startPatienceS(state, job)) continue
 		const count = Math.min(remaining, job.readyTasks.size)
 		for (const machine of rankReservableMachines(job, machines).slice(0, count)) {
--- a/packages/controller/src/takeover-reconciler.ts
+++ b/packages/controller/src/takeover-reconciler.ts
@@ -1,5 +1,5 @@
 /** Rebuilds, after a takeover, the knowledge of what runs where: no old task is started again before that is complete. */
-import { RangeSet, reconcilePatienceMs } from '@heathroad/policy'
+import { RangeSet, reconciliationWaitMs } from '@heathroad/policy'
 import type { Heartbeat } from '@heathroad/wire'
 import type { JobRun, Machine } from './model.js'
 import type { Scheduler } from './scheduler.js'
@@ -131,7 +131,7 @@
 		for (const machine of missing) this.probe(machine)
 		const { heartbeatMs, controllerLeaseMs } = this.state.config.limits
 		const maxPatienceMs = Math.min(heartbeatMs * MAX_PATIENCE_HEARTBEATS, controllerLeaseMs)
-		const patienceMs = reconcilePatienceMs(missing.length, this.state.machines.size, maxPatienceMs)
+		const patienceMs = reconciliationWaitMs(missing.length, this.state.machines.size, maxPatienceMs)
 		if (patienceMs === null || now - this.takenOverAt <= patienceMs) return
 		if (this.state.ports.leadership() !== 'lease' || this.state.ports.availableCloudCalls() < 1) return
 		const blocking = missing.filter((machine) => !machine.releasing)
--- a/packages/controller/src/task-placement.ts
+++ b/packages/controller/src/task-placement.ts
@@ -3,10 +3,10 @@
 	type Candidate,
 	fits,
 	isAllowedOn,
+	isWithinLimit,
 	isZoneAllowed,
 	offerCost,
 	rankCandidates,
-	withinLimit,
 } from '@heathroad/policy'
 import type { JobSpec } from '@heathroad/wire'
 import type { JobRun, Machine } from './model.js'
@@ -135,7 +135,7 @@
 		if (team === undefined) return false
 		// Machines that have not reported yet may hold an unknown number of the team's tasks.
 		if (!this.state.reconciled && (team.cpus_max > 0 || team.gpus_max > 0)) return false
-		return withinLimit(team, this.state.teamUsage(spec.team), spec)
+		return isWithinLimit(team, this.state.teamUsage(spec.team), spec)
 	}
 
 	private placeTask(job: JobRun, taskIndex: number, machine: Machine): void {
@@ -157,7 +157,7 @@
 			orphaned: false,
 			stopGracePeriodS: null,
 			startedAt: null,
-			budgetShare: job.budget.start(spec.uid),
+			budgetShare: job.budget.startTask(spec.uid),
 			resources: { cpus: spec.cpus, gpus: spec.gpus, ramGb: spec.ramGb, team: spec.team },
 		})
 		this.state.recordCachedImage(machine, spec)
--- a/packages/policy/src/budget.ts
+++ b/packages/policy/src/budget.ts
@@ -1,13 +1,13 @@
-/** Budgets of pipelines: the default, its split over jobs, and the account of what is left for unstarted tasks. */
+/** Pipeline budgets: the default budget, its split over jobs, and what remains for unstarted tasks. */
 import { executionOrder, type PipelineJob, type PricedOption } from './pipeline.js'
 import { required } from './required.js'
 
-/** An upgrade may exceed what is left by this much, the rounding error of the sums. */
+/** An upgrade may exceed the remaining budget by this much: the rounding error of the sums. */
 const UPGRADE_TOLERANCE = 1e-12
 
 const lowestCost = (job: PipelineJob): number => Math.min(...job.options.map((option) => option.cost))
 
-/** The fastest option; of several the one with the highest cost. */
+/** The fastest option; ties go to the one with the highest cost. */
 const fastestOption = (job: PipelineJob): PricedOption =>
 	job.options.reduce((best, option) => {
 		const isFaster = option.seconds < best.seconds
@@ -15,7 +15,7 @@
 		return isFaster || isDearer ? option : best
 	})
 
-/** The default budget lies between the cheapest sequential cost (`mix` 0) and the parallel cost (`mix` 1). */
+/** Default budget, interpolated between the cheapest sequential cost (`mix` 0) and the parallel cost (`mix` 1). */
 export const defaultBudget = (jobs: readonly PipelineJob[], mix: number): number => {
 	let sequential = 0
 	let parallel = 0
@@ -27,7 +27,7 @@
 	return sequential + mix * Math.max(0, parallel - sequential)
 }
 
-/** The fastest option to which all tasks of a job can be upgraded from `share` with what is left of the budget. */
+/** The fastest option to which the remaining budget can upgrade all tasks of a job from `share`. */
 const bestUpgrade = (job: PipelineJob, share: number, left: number): PricedOption | undefined => {
 	const covered = job.options.filter(
 		(option) => option.cost >= share && (option.cost - share) * job.tasks <= left + UPGRADE_TOLERANCE,
@@ -37,9 +37,9 @@
 }
 
 /**
- * Slowest-first split (Algorithm 1 and SFTD): every job gets the cost of its cheapest option; then what is left upgrades
- * jobs, in their order, to the fastest option that it still covers. What remains is spread over all tasks. Returns the
- * share of one task of each job.
+ * Slowest-first split (Algorithm 1 and SFTD). Each job first gets the cost of its cheapest option. The remainder then
+ * upgrades jobs, in execution order, to the fastest option that it covers; the rest is spread evenly over all tasks.
+ * Returns the share of a single task of each job, by job uid.
  */
 export const splitBudget = (jobs: readonly PipelineJob[], budget: number): Map<string, number> => {
 	const ordered = executionOrder(jobs.filter((job) => job.tasks > 0 && job.options.length > 0))
@@ -62,7 +62,7 @@
 	return shares
 }
 
-/** Budget of one pipeline: shares of its unstarted tasks, split anew whenever a task finishes (Algorithm 3). */
+/** Budget of one pipeline: the shares of its unstarted tasks, split again whenever a task finishes (Algorithm 3). */
 export class BudgetLedger {
 	private shares: Map<string, number>
 	private readonly unstarted = new Map<string, number>()
@@ -77,33 +77,33 @@
 		this.shares = splitBudget(jobs, budget)
 	}
 
-	/** The share of one unstarted task of a job. */
+	/** Budget share of a single unstarted task of a job. */
 	share(uid: string): number {
 		return this.shares.get(uid) ?? 0
 	}
 
-	/** A task starts: its share, which is returned, leaves the pool. */
-	start(uid: string): number {
+	/** Removes the share of a task that starts from the pool and returns that share. */
+	startTask(uid: string): number {
 		const share = this.share(uid)
 		this.unstarted.set(uid, Math.max(0, (this.unstarted.get(uid) ?? 0) - 1))
 		this.pool -= share
 		return share
 	}
 
-	/** A started task becomes unstarted again; its share returns to the pool, less what the task cost so far. */
-	restart(uid: string, share: number, spent: number): void {
+	/** Returns the share of a requeued task to the pool, less what the task has cost so far (`spent`). */
+	refundTask(uid: string, share: number, spent: number): void {
 		this.unstarted.set(uid, (this.unstarted.get(uid) ?? 0) + 1)
 		this.pool += share - spent
-		this.resplit()
+		this.updateShares()
 	}
 
-	/** A task finished: the difference between its share and its cost is spread over the unstarted tasks. */
-	finish(share: number, cost: number): void {
+	/** Spreads the difference between a finished task's share and its cost over the unstarted tasks. */
+	finishTask(share: number, cost: number): void {
 		this.pool += share - cost
-		this.resplit()
+		this.updateShares()
 	}
 
-	private resplit(): void {
+	private updateShares(): void {
 		const unstartedJobs = this.jobs.map((job) => ({ ...job, tasks: this.unstarted.get(job.uid) ?? 0 }))
 		this.shares = splitBudget(unstartedJobs, Math.max(0, this.pool))
 	}
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -1,4 +1,4 @@
-/** Scheduling policy: pure functions that decide where jobs and tasks go, what is preempted and what is rented. */
+/** Scheduling policy: pure functions for placement, preemption, consolidation and scale out. */
 export * from './budget.js'
 export * from './instance-offers.js'
 export * from './packing.js'
@@ -7,7 +7,7 @@
 export * from './preemption.js'
 export * from './priorities.js'
 export * from './range-set.js'
-export * from './reconcile-patience.js'
+export * from './reconciliation-wait.js'
 export { fits, machineFraction, type Resources, tasksThatFit } from './resources.js'
 export * from './shard-choice.js'
 export * from './team-limits.js'
--- a/packages/policy/src/pipeline.ts
+++ b/packages/policy/src/pipeline.ts
@@ -1,5 +1,6 @@
 /**
- * Pipelines: jobs that depend on others. The protocol has no parents today, so a submission is a pipeline of one job.
+ * Pipelines: jobs that depend on other jobs. The protocol has no job dependencies yet, so each submission is a pipeline
+ * of one job.
  * Equation and algorithm numbers in this package refer to the paper named in docs/design.md.
  */
 import { required } from './required.js'
@@ -14,7 +15,7 @@
 /** A job of a pipeline. */
 export interface PipelineJob {
 	uid: string
-	/** uids of the jobs that have to finish before; those outside the pipeline are ignored */
+	/** uids of the jobs that have to finish first; those outside the pipeline are ignored */
 	parents: readonly string[]
 	tasks: number
 	options: readonly PricedOption[]
@@ -23,7 +24,7 @@
 const jobsById = (jobs: readonly PipelineJob[]): Map<string, PipelineJob> =>
 	new Map(jobs.map((job) => [job.uid, job]))
 
-/** Level of each job: 0 without parents, else one above the deepest parent (Eq. 7). Throws for a cycle. */
+/** Level of each job: 0 without parents, else one above its deepest parent (Eq. 7). Throws if there is a cycle. */
 export const levels = (jobs: readonly PipelineJob[]): Map<string, number> => {
 	const byId = jobsById(jobs)
 	const levelOf = new Map<string, number>()
@@ -44,7 +45,7 @@
 
 const fastestSeconds = (job: PipelineJob): number => Math.min(...job.options.map((option) => option.seconds))
 
-/** Earliest finish of each job, in seconds: the latest parent's finish plus its own fastest run time (Eq. 8). */
+/** Earliest finish of each job, in seconds: its latest parent's finish plus its own fastest run time (Eq. 8). */
 export const earliestFinish = (jobs: readonly PipelineJob[]): Map<string, number> => {
 	const byId = jobsById(jobs)
 	const levelOf = levels(jobs)
@@ -58,7 +59,7 @@
 	return finishOf
 }
 
-/** Jobs by level, then by earliest finish, then by uid: the order in which the budget is assigned. */
+/** Jobs sorted by level, earliest finish and uid: the order in which the budget is assigned. */
 export const executionOrder = (jobs: readonly PipelineJob[]): PipelineJob[] => {
 	const levelOf = levels(jobs)
 	const finishOf = earliestFinish(jobs)
--- a/packages/policy/src/placement.ts
+++ b/packages/policy/src/placement.ts
@@ -1,4 +1,4 @@
-/** On which machines a task may be placed, and in which order the machines are preferred. */
+/** Which machines a task may be placed on, and in what order of preference. */
 import type { JobSpec, MachineType } from '@heathroad/wire'
 import { fits } from './resources.js'
 import { AMOUNT_TOLERANCE, SHARE_TOLERANCE } from './tolerances.js'
@@ -6,7 +6,7 @@
 const isTypeAllowed = (spec: JobSpec, typeName: string): boolean =>
 	spec.types === null || spec.types.includes(typeName)
 
-/** May a task of this job be on such a machine, without regard to the job's other tasks? */
+/** Do the job's constraints on type, zone and spot allow the machine, regardless of where its other tasks run? */
 export const isAllowedOn = (
 	spec: JobSpec,
 	machine: { type: { name: string }; zone: string; spot: boolean },
@@ -16,8 +16,8 @@
 	(spec.spot || !machine.spot)
 
 /**
- * May one more task go to `zone`, given how many of the job's tasks are (or may be) in each zone?
- * `apart` counts against the job's size: at most half of its tasks, rounded up, in one zone.
+ * May one more task go to `zone`, given how many of the job's tasks are (or may be) in each zone? `samePlace` allows
+ * only one zone; `apart` allows at most half of the job's tasks, rounded up, in one zone.
  */
 export const isZoneAllowed = (
 	spec: JobSpec,
@@ -31,7 +31,7 @@
 	return countWithThis <= Math.ceil(spec.tasks / 2)
 }
 
-/** Could any type of the catalog run one task of the job? A job for which none could is answered with 422. */
+/** Could any machine type of the catalog run a task of the job? If none could, the submission is rejected with 422. */
 export const canEverRun = (spec: JobSpec, types: readonly MachineType[]): boolean =>
 	types.some(
 		(type) =>
@@ -40,26 +40,26 @@
 			(spec.zone === null || type.zones.includes(spec.zone)),
 	)
 
-/** A machine on which a task could be placed now. */
+/** A machine that could take the task now. */
 export interface Candidate {
 	id: string
 	/** it holds the output of one of the job's parents */
 	hasParentOutput: boolean
 	/** it holds the job's image */
 	hasImage: boolean
-	/** time until the task would end */
+	/** time until the task would end, in seconds */
 	seconds: number
 	/** cost of the task on it */
 	cost: number
-	/** its free resources */
+	/** free resources of the machine */
 	slack: number
 }
 
-/** Ties go to the cheaper machine, so that expensive ones become empty and are returned, then to the fuller one. */
+/** Ties go to the cheaper machine, so that expensive ones become idle and are returned, then to the fuller one. */
 const compareSpeed = (a: Candidate, b: Candidate): number =>
 	a.seconds - b.seconds || a.cost - b.cost || a.slack - b.slack || (a.id < b.id ? -1 : 1)
 
-/** Rank by the data that a machine holds; the lowest is preferred. */
+/** Data locality: the lowest rank is preferred. */
 const localityRank = (candidate: Candidate): number => {
 	if (candidate.hasParentOutput) return 0
 	return candidate.hasImage ? 1 : 2
@@ -69,19 +69,19 @@
 	Math.abs(a.cost - b.cost) > AMOUNT_TOLERANCE ? a.cost - b.cost : a.slack - b.slack
 
 /**
- * Algorithm 2 for tasks that are all alike: the machines in the order in which tasks are placed on them. First those
- * within the share: the fastest among those that hold a parent's output, then among those that hold the image, then the
- * others. The machines beyond the share follow, the cheapest first, unless `affordable` says that a machine that the
- * share covers could be rented.
+ * Algorithm 2 for identical tasks: the machines in the order in which tasks are placed on them. Machines within the
+ * share come first: those that hold a parent's output, then those that hold the image, then the others; the fastest of
+ * each group first. Machines beyond the share follow, the cheapest first, unless a machine within the share could be
+ * rented instead (`canRentWithinShare`).
  */
 export const rankCandidates = <C extends Candidate>(
 	candidates: readonly C[],
 	share: number,
-	affordable: () => boolean,
+	canRentWithinShare: () => boolean,
 ): C[] => {
 	const withinShare = candidates.filter((candidate) => candidate.cost <= share * SHARE_TOLERANCE)
 	withinShare.sort((a, b) => localityRank(a) - localityRank(b) || compareSpeed(a, b))
-	if (withinShare.length === candidates.length || affordable()) return withinShare
+	if (withinShare.length === candidates.length || canRentWithinShare()) return withinShare
 	const beyondShare = candidates.filter((candidate) => candidate.cost > share * SHARE_TOLERANCE)
 	beyondShare.sort(compareCost)
 	return [...withinShare, ...beyondShare]
--- a/packages/policy/src/preemption.ts
+++ b/packages/policy/src/preemption.ts
@@ -1,4 +1,4 @@
-/** Preemption: which running tasks are stopped for work that goes first. */
+/** Preemption: which running tasks to stop for work that takes precedence. */
 import type { Priority } from '@heathroad/wire'
 import { priorityRank } from './priorities.js'
 import { addResources, fits, type Resources } from './resources.js'
@@ -11,26 +11,26 @@
 	cpus: number
 	gpus: number
 	ramGb: number
-	/** work that is lost if it is stopped, in seconds */
+	/** work lost if it is stopped, in seconds */
 	lostWorkS: number
 }
 
 /**
- * Which running tasks of one machine to stop so that `need` fits; null: not even all that may be stopped make room. Only
- * work of lower priority, or, for a team within its guarantee (`entitled`), another team's work beyond that team's own
- * guarantee (`beyond`). The lowest priority goes first, then the least lost work.
+ * Which running tasks of one machine to stop so that `need` fits; null if stopping all preemptible ones is not enough.
+ * Preemptible is work of lower priority and, if the requesting team is within its guarantee, work of other teams beyond
+ * theirs. Tasks of the lowest priority go first, then those that lose the least work.
  */
 export const chooseVictims = <V extends Victim>(
 	need: Resources & { priority: Priority; team: string },
 	free: Resources,
 	running: readonly V[],
-	entitled: boolean,
-	beyond: (team: string) => boolean,
+	isWithinGuarantee: boolean,
+	isBeyondGuarantee: (team: string) => boolean,
 ): V[] | null => {
 	const preemptible = running.filter(
 		(victim) =>
 			priorityRank(victim.priority) < priorityRank(need.priority) ||
-			(entitled && victim.team !== need.team && beyond(victim.team)),
+			(isWithinGuarantee && victim.team !== need.team && isBeyondGuarantee(victim.team)),
 	)
 	preemptible.sort((a, b) => priorityRank(a.priority) - priorityRank(b.priority) || a.lostWorkS - b.lostWorkS)
 	const freed: Resources = { cpus: free.cpus, gpus: free.gpus, ramGb: free.ramGb }
--- a/packages/policy/src/range-set.ts
+++ b/packages/policy/src/range-set.ts
@@ -1,8 +1,8 @@
-/** A set of task indexes that takes little memory while they are contiguous. */
+/** A set of task indexes that is compact while they are contiguous. */
 
-/** Indexes kept as sorted half-open ranges: an untouched array of 100,000 tasks is one range. */
+/** Stores indexes as sorted half-open ranges: a job array of 100,000 tasks, none of them started, is one range. */
 export class RangeSet {
-	/** bounds [from, to) of all ranges in one array; sorted, with a gap between any two ranges */
+	/** bounds [from, to) of all ranges in one flat array; sorted, with a gap between any two ranges */
 	private bounds: number[]
 	/** number of indexes in the set */
 	size: number
@@ -13,12 +13,12 @@
 		for (let i = 0; i + 1 < bounds.length; i += 2) this.addRange(bounds[i], bounds[i + 1])
 	}
 
-	/** The set of 0 to `count` - 1. */
+	/** The set of all indexes from 0 to `count` - 1. */
 	static full(count: number): RangeSet {
 		return new RangeSet([0, count])
 	}
 
-	/** Number of the first range that ends after `index`, by binary search; the number of ranges if there is none. */
+	/** Position of the first range that ends after `index`, by binary search; the number of ranges if there is none. */
 	private firstRangeEndingAfter(index: number): number {
 		let low = 0
 		let high = this.bounds.length / 2
@@ -36,7 +36,7 @@
 		return range * 2 < this.bounds.length && this.bounds[range * 2] <= index
 	}
 
-	/** Adds an index; false: it was in the set. */
+	/** Adds an index; returns false if it was in the set already. */
 	add(index: number): boolean {
 		if (this.has(index)) return false
 		this.addRange(index, index + 1)
@@ -60,7 +60,7 @@
 		this.size += end - start
 	}
 
-	/** Removes an index, splitting its range; false: it was not in the set. */
+	/** Removes an index, splitting its range; returns false if it was not in the set. */
 	delete(index: number): boolean {
 		const position = this.firstRangeEndingAfter(index) * 2
 		if (position >= this.bounds.length || this.bounds[position] > index) return false
@@ -74,17 +74,17 @@
 		return true
 	}
 
-	/** The smallest index; undefined: the set is empty. */
+	/** The smallest index; undefined if the set is empty. */
 	first(): number | undefined {
 		return this.bounds[0]
 	}
 
-	/** The bounds [from, to) of all ranges in one array, sorted. */
-	pairs(): readonly number[] {
+	/** The bounds [from, to) of all ranges in one flat array, sorted. */
+	flatBounds(): readonly number[] {
 		return this.bounds
 	}
 
-	/** The indexes in [from, to), as bounds counted from `from`. */
+	/** The ranges within [from, to), as flat bounds relative to `from`. */
 	slice(from: number, to: number): number[] {
 		const bounds: number[] = []
 		let position = this.firstRangeEndingAfter(from) * 2
--- a/packages/policy/src/resources.ts
+++ b/packages/policy/src/resources.ts
@@ -1,7 +1,7 @@
-/** Resources of tasks and machines. */
+/** Arithmetic on the resources of tasks and machines. */
 import { AMOUNT_TOLERANCE } from './tolerances.js'
 
-/** What a task needs, or what a machine has or has free. */
+/** Resources that a task needs, or that a machine has in total or free. */
 export interface Resources {
 	cpus: number
 	gpus: number
@@ -17,7 +17,7 @@
 const countThatFits = (need: number, free: number): number =>
 	need > 0 ? Math.floor((free + AMOUNT_TOLERANCE) / need) : Number.POSITIVE_INFINITY
 
-/** How many tasks fit side by side; 1 for a task that needs nothing. */
+/** How many tasks fit at the same time; 1 for a task that needs no resources. */
 export const tasksThatFit = (spec: Resources, free: Resources): number => {
 	const count = Math.min(
 		countThatFits(spec.cpus, free.cpus),
@@ -29,7 +29,7 @@
 
 const fractionOf = (need: number, total: number): number => (total > 0 ? need / total : 0)
 
-/** The fraction of a machine that a task uses, by its scarcest resource; 1 at most. */
+/** The fraction of a machine that a task uses, by its dominant resource; at most 1. */
 export const machineFraction = (spec: Resources, type: Resources): number =>
 	Math.min(
 		1,
@@ -40,14 +40,14 @@
 		),
 	)
 
-/** Adds to free resources in place. */
+/** Adds `amount` to free resources in place. */
 export const addResources = (free: Resources, amount: Resources): void => {
 	free.cpus += amount.cpus
 	free.gpus += amount.gpus
 	free.ramGb += amount.ramGb
 }
 
-/** Subtracts from free resources in place. */
+/** Subtracts `amount` from free resources in place. */
 export const subtractResources = (free: Resources, amount: Resources): void => {
 	free.cpus -= amount.cpus
 	free.gpus -= amount.gpus
--- a/packages/policy/src/team-limits.ts
+++ b/packages/policy/src/team-limits.ts
@@ -1,14 +1,14 @@
-/** Limits of teams. */
+/** Guarantees and limits of teams. */
 import type { Resources } from './resources.js'
 import { AMOUNT_TOLERANCE } from './tolerances.js'
 
-/** A team's guarantee and limit, with the names of the settings; a limit of 0 is none. */
+/** A team's guarantee and limit; field names as in the settings. A limit of 0 means unlimited. */
 export interface TeamLimit {
 	name: string
-	/** guarantee */
+	/** guarantee: CPUs and GPUs */
 	cpus: number
 	gpus: number
-	/** limit */
+	/** limit: CPUs and GPUs */
 	cpus_max: number
 	gpus_max: number
 }
@@ -16,8 +16,8 @@
 const isWithin = (limit: number, used: number, need: number, tasks: number): boolean =>
 	limit <= 0 || used + need * tasks <= limit + AMOUNT_TOLERANCE
 
-/** Does the team stay within its limit with so many more tasks? */
-export const withinLimit = (
+/** Does the team stay within its limit with this many (`tasks`) additional tasks? */
+export const isWithinLimit = (
 	team: TeamLimit,
 	used: { cpus: number; gpus: number },
 	spec: Resources,
--- a/packages/server/src/job-submission.ts
+++ b/packages/server/src/job-submission.ts
@@ -1,6 +1,6 @@
 /** Accepts users' submissions: validates them, has them admitted and queues them to become durable. */
 import type { AcceptedJobRecord } from '@heathroad/cluster'
-import { canEverRun, withinLimit } from '@heathroad/policy'
+import { canEverRun, isWithinLimit } from '@heathroad/policy'
 import { type HttpReply, InvalidSubmission, type JobSpec, parseSubmission } from '@heathroad/wire'
 import { Effect } from 'effect'
 import type { ControllerContext } from './controller-context.js'
@@ -157,7 +157,7 @@
 		if (!canEverRun(spec, this.context.machineTypes())) return 'no allowed machine type has room for one task'
 		// A job array runs with as few as one task at a time; other jobs need all of theirs at once.
 		const concurrentTasks = spec.kind === 'sweep' ? 1 : spec.tasks
-		if (!withinLimit(team, { cpus: 0, gpus: 0 }, spec, concurrentTasks))
+		if (!isWithinLimit(team, { cpus: 0, gpus: 0 }, spec, concurrentTasks))
 			return `more than the limit of team ${spec.team}`
 		return null
 	}
--- a/packages/server/src/shard-router.ts
+++ b/packages/server/src/shard-router.ts
@@ -3,11 +3,11 @@
 import {
 	allOffers,
 	isAllowedOn,
+	isWorthMigrating,
 	leastLoadedShard,
 	offerKey,
 	priorityRank,
 	type ShardLoad,
-	worthMigrating,
 } from '@heathroad/policy'
 import { type JobSpec, PRIORITIES } from '@heathroad/wire'
 import type { ControllerContext, JobRouting, MigratingJob } from './controller-context.js'
@@ -66,7 +66,7 @@
 			const loads = this.shardLoads(spec, load, shardId)
 			const target = this.leastLoaded(spec, loads, shardId)
 			if (target === shardId) return null
-			if (!worthMigrating(loads[shardId], loads[target], this.largestMachineCpus())) return null
+			if (!isWorthMigrating(loads[shardId], loads[target], this.largestMachineCpus())) return null
 			moveWork(spec, target)
 			return target
 		}
--- a/tests/moves-model.test.ts
+++ b/tests/moves-model.test.ts
@@ -14,7 +14,7 @@
 	moveJobToShard,
 	shardKey,
 } from '@heathroad/cluster'
-import { worthMigrating } from '@heathroad/policy'
+import { isWorthMigrating } from '@heathroad/policy'
 import { KEY_PREFIX, type TransactionContent } from '@heathroad/store'
 import { arrayJob, explore } from '@heathroad/testkit'
 import {
@@ -249,8 +249,8 @@
 	const load = (cpus: number, work: number, partitioned = false) => ({ cpus, workCpuS: work, partitioned })
 	const cases: [
 		name: string,
-		from: Parameters<typeof worthMigrating>[0],
-		to: Parameters<typeof worthMigrating>[1],
+		from: Parameters<typeof isWorthMigrating>[0],
+		to: Parameters<typeof isWorthMigrating>[1],
 		moves: boolean,
 	][] = [
 		['from unreachable machines to any that are not', load(800, 100, true), load(800, 9000), true],
@@ -259,5 +259,5 @@
 		['where it waits a small part of the time', load(80, 9000), load(800, 9000), true],
 		['not to a shard that has as much to do and nothing to do it with', load(0, 9000), load(0, 9000), false],
 	]
-	for (const [name, from, to, moves] of cases) assert.equal(worthMigrating(from, to, 8), moves, name)
+	for (const [name, from, to, moves] of cases) assert.equal(isWorthMigrating(from, to, 8), moves, name)
 })
--- a/tests/placement.test.ts
+++ b/tests/placement.test.ts
@@ -4,20 +4,20 @@
 import {
 	type Candidate,
 	canEverRun,
+	chooseMachinesToDrain,
 	chooseOffer,
-	choosePacking,
 	chooseVictims,
 	type InstanceOffer,
+	isWithinLimit,
 	isZoneAllowed,
-	orderRank,
-	type PackedMachine,
+	type PackingMachine,
 	priorityRank,
+	queueRank,
 	rankCandidates,
 	scaleOutWeight,
-	startBounds,
+	startDeadlines,
 	tasksThatFit,
 	type Victim,
-	withinLimit,
 } from '@heathroad/policy'
 import { arrayJob } from '@heathroad/testkit'
 import type { MachineType } from '@heathroad/wire'
@@ -131,7 +131,7 @@
 })
 
 test('order of ready tasks (incident 1)', () => {
-	const bounds = startBounds({ jobClass: 'low', dueS: null }, 20, [
+	const bounds = startDeadlines({ jobClass: 'low', dueS: null }, 20, [
 		{ kind: 'wait', class: 'low', within_s: 100 },
 		{ kind: 'finished', class: 'low', within_s: 320 },
 		{ kind: 'wait', class: 'other', within_s: 1 },
@@ -146,14 +146,14 @@
 		{ name: 'past all of them', age: 300, lifted: false },
 	]
 	for (const testCase of cases) {
-		const rank = orderRank('idle', testCase.age, bounds)
+		const rank = queueRank('idle', testCase.age, bounds)
 		assert.equal(
 			rank > priorityRank('normal') && rank < priorityRank('urgent'),
 			testCase.lifted,
 			testCase.name,
 		)
 	}
-	assert.equal(orderRank('urgent', 50, bounds), priorityRank('urgent'), 'urgent jobs are never lowered')
+	assert.equal(queueRank('urgent', 50, bounds), priorityRank('urgent'), 'urgent jobs are never lowered')
 })
 
 test('zones, team limits and resources', () => {
@@ -187,11 +187,11 @@
 		assert.equal(isZoneAllowed(testCase.spec, testCase.zone, zones), testCase.want, testCase.name)
 	const team = { name: 't', cpus: 0, gpus: 0, cpus_max: 8, gpus_max: 0 }
 	assert.equal(
-		withinLimit(team, { cpus: 6, gpus: 0 }, { cpus: 2, gpus: 1, ramGb: 0 }),
+		isWithinLimit(team, { cpus: 6, gpus: 0 }, { cpus: 2, gpus: 1, ramGb: 0 }),
 		true,
 		'0 means no limit',
 	)
-	assert.equal(withinLimit(team, { cpus: 7, gpus: 0 }, { cpus: 2, gpus: 0, ramGb: 0 }), false)
+	assert.equal(isWithinLimit(team, { cpus: 7, gpus: 0 }, { cpus: 2, gpus: 0, ramGb: 0 }), false)
 	assert.equal(
 		tasksThatFit({ cpus: 2, gpus: 0, ramGb: 10 }, { cpus: 8, gpus: 0, ramGb: 32 }),
 		3,
@@ -272,7 +272,7 @@
 		free: { cpus: 8 - tasks.reduce((sum, [cpus]) => sum + cpus, 0), gpus: 0, ramGb: 32 },
 		tasks: tasks.map(([cpus, leftS, moveS]) => ({ need: { cpus, gpus: 0, ramGb: 1 }, leftS, moveS })),
 	})
-	const cases: { name: string; machines: PackedMachine[]; most?: number; want: string }[] = [
+	const cases: { name: string; machines: PackingMachine[]; most?: number; want: string }[] = [
 		{
 			name: 'a task alone goes to a machine that stays longer',
 			machines: [machine('a', 1, [[2, 90, 10]]), machine('b', 1, [[2, 200, null]])],
@@ -326,7 +326,7 @@
 		},
 	]
 	for (const testCase of cases) {
-		const chosen = choosePacking(testCase.machines, testCase.most ?? 4, () => true).map((m) => m.id)
+		const chosen = chooseMachinesToDrain(testCase.machines, testCase.most ?? 4, () => true).map((m) => m.id)
 		assert.equal(chosen.join(''), testCase.want, testCase.name)
 	}
 })
--- a/tests/policy.test.ts
+++ b/tests/policy.test.ts
@@ -8,7 +8,7 @@
 	levels,
 	type PipelineJob,
 	RangeSet,
-	reconcilePatienceMs,
+	reconciliationWaitMs,
 	type ShardLoad,
 	splitBudget,
 } from '@heathroad/policy'
@@ -87,9 +87,9 @@
 	]
 	for (const { name, cost, shareAfter } of cases) {
 		const ledger = new BudgetLedger([job('a', [], 3, [option(5, 1)])], 6)
-		const share = ledger.start('a')
+		const share = ledger.startTask('a')
 		assert.equal(share, 2)
-		ledger.finish(share, cost)
+		ledger.finishTask(share, cost)
 		assert.equal(ledger.share('a'), shareAfter, name)
 	}
 })
@@ -130,7 +130,7 @@
 			else if ('delete' in operation) set.delete(operation.delete)
 			else set.addRange(...operation.addRange)
 		}
-		assert.deepEqual([set.pairs(), set.size], [pairs, size])
+		assert.deepEqual([set.flatBounds(), set.size], [pairs, size])
 	}
 	assert.deepEqual(new RangeSet([0, 5, 8, 20]).slice(4, 10), [0, 1, 4, 6])
 })
@@ -145,7 +145,7 @@
 		['the only one', 1, 1, null],
 	]
 	for (const [name, missing, machines, patienceMs] of cases)
-		assert.equal(reconcilePatienceMs(missing, machines, 5000), patienceMs, name)
+		assert.equal(reconciliationWaitMs(missing, machines, 5000), patienceMs, name)
 })
 
 test('which shard a new job goes to', () => {
