--- a/packages/controller/src/admission-gate.ts
+++ b/packages/controller/src/admission-gate.ts
@@ -1,12 +1,12 @@
-/** Admission gate: holds the jobs of one shard that are pending release by admission checks. */
+/** Admission gate: holds the jobs of one shard that are pending release until their admission checks have passed. */
 import type { JobRecord } from '@heathroad/cluster'
 import type { JobSpec } from '@heathroad/wire'
 import TinyQueue from 'tinyqueue'
-import { CheckQuestions, NO_SUCH_CHECK, type PendingJob } from './check-questions.js'
+import { CheckQueries, NO_SUCH_CHECK, type PendingJob } from './check-questions.js'
 import { ReleaseWriter } from './release-writer.js'
 import type { ShardState } from './state.js'
 
-/** When a check's time for a job is over. */
+/** The time at which a check that has not released a job counts as passed. */
 interface CheckTimeout {
 	job: PendingJob
 	checkName: string
@@ -15,31 +15,31 @@
 }
 
 /**
- * Holds jobs that may not start yet. They are no jobs of the shard as far as scheduling goes: nothing is placed, rented,
- * reserved or preempted for them, and no scheduling round looks at them. A check can be asked again, by a successor too;
- * only the release is made durable, before anything of the job starts, and conditional on the ownership. So no answer to
- * an owner counts once it has lost the shard, and a job that has started is never held again.
+ * Holds jobs that may not start yet. The scheduler does not see them: nothing is placed, rented, reserved or preempted
+ * for them. Checks can be queried again, also by the next owner; only the release is made durable, before any task of
+ * the job starts and conditional on the ownership. So verdicts for an owner that has lost the shard have no effect, and
+ * a job that has started is never held again.
  */
 export class AdmissionGate {
 	private readonly jobsByUid = new Map<string, PendingJob>()
 	private readonly timeouts = new TinyQueue<CheckTimeout>([], (a, b) => a.at - b.at)
-	private readonly questions: CheckQuestions
+	private readonly queries: CheckQueries
 	private readonly releaseWriter: ReleaseWriter
 
 	constructor(
 		private readonly state: ShardState,
-		/** called when a job may start: its release is durable, or a task of it has been seen */
+		/** called when a job may start: its release is durable, or one of its tasks was seen on a machine */
 		private readonly onReleased: (uid: string) => void,
 	) {
 		this.releaseWriter = new ReleaseWriter(state)
-		this.questions = new CheckQuestions(state, {
+		this.queries = new CheckQueries(state, {
 			isHeld: (job) => this.isHeld(job),
 			onCheckPassed: (job, checkName, reason) => this.onCheckPassed(job, checkName, reason),
-			onAnswered: (now) => this.tick(now),
+			onVerdictApplied: (now) => this.tick(now),
 		})
 	}
 
-	/** Jobs that are pending release. */
+	/** Number of jobs that are pending release. */
 	get size(): number {
 		return this.jobsByUid.size
 	}
@@ -61,41 +61,41 @@
 		const now = this.state.ports.now()
 		const waitedMs = this.state.ports.wallClockMs() - job.acceptedAtMs
 		for (const checkName of [...job.pendingChecks]) {
-			const terms = this.state.ports.checks().terms(checkName)
-			if (terms === null) {
+			const settings = this.state.ports.checks().checkSettings(checkName)
+			if (settings === null) {
 				this.onCheckPassed(job, checkName, NO_SUCH_CHECK)
 				continue
 			}
-			this.timeouts.push({ job, checkName, at: now + terms.atMostMs - waitedMs })
-			this.questions.add(job, checkName, terms, now)
+			this.timeouts.push({ job, checkName, at: now + settings.maxHoldMs - waitedMs })
+			this.queries.add(job, checkName, settings, now)
 		}
 		this.tick(now)
 	}
 
-	/** Removes a job that is terminal, belongs to another shard or may start: no check is asked about it any more. */
+	/** Removes a job that is terminal, belongs to another shard or may start, and stops querying checks about it. */
 	drop(uid: string): void {
 		const job = this.jobsByUid.get(uid)
 		if (job === undefined) return
 		this.jobsByUid.delete(uid)
 		this.releaseWriter.remove(job)
-		this.questions.remove(job)
+		this.queries.remove(job)
 	}
 
-	/** A task of the job is on a machine: if it was held here, it was released by a write that is not known here yet. */
+	/** A task of the job is on a machine: if the job is held, its release was written but is not known here yet. */
 	onTaskSeen(uid: string): void {
 		this.release(uid)
 	}
 
-	/** Releases became durable, this shard's own among them. */
+	/** Called when releases have become durable, also those that this shard wrote. */
 	onJobsReleased(uids: readonly string[]): void {
 		for (const uid of uids) this.release(uid)
 	}
 
-	/** Passes checks whose time is over, asks the questions that are due and writes releases. `now`: steady time in ms. */
+	/** Passes timed-out checks, sends the queries that are due and writes releases. `now`: steady time in ms. */
 	tick(now: number): void {
 		if (this.state.stopped || this.jobsByUid.size === 0) return
 		this.passTimedOutChecks(now)
-		this.questions.askDue(now)
+		this.queries.sendDue(now)
 		this.releaseWriter.flush()
 	}
 
@@ -120,7 +120,7 @@
 	}
 
 	private onCheckPassed(job: PendingJob, checkName: string, reason: string): void {
-		this.questions.removeFrom(checkName, job)
+		this.queries.removeFrom(checkName, job)
 		job.pendingChecks.delete(checkName)
 		this.state.ports.log('info', 'admission check passed', { uid: job.uid, check: checkName, why: reason })
 		if (job.pendingChecks.size === 0) this.releaseWriter.add(job)
--- a/packages/controller/src/attempt-registry.ts
+++ b/packages/controller/src/attempt-registry.ts
@@ -1,4 +1,4 @@
-/** Which attempts are, or may be, on which machines, and the resources that they hold. */
+/** Registry of the attempts that are, or may be, on machines, and of the resources that they hold. */
 import { hourlyPrice, machineFraction } from '@heathroad/policy'
 import type { JobQueue } from './job-queue.js'
 import { recomputeFreeResources } from './machine-resources.js'
@@ -7,7 +7,7 @@
 
 const SECONDS_PER_HOUR = 3600
 
-/** What the bookkeeping of attempts changes besides the attempts and their machines. */
+/** State of the shard that the registry keeps up to date besides attempts and machines. */
 export interface AttemptRegistryDependencies {
 	jobs: Map<string, JobRun>
 	teams: TeamUsage
@@ -17,13 +17,13 @@
 }
 
 /**
- * Keeps machines, jobs and team usage consistent with each other. A task has one placement at most; all other attempts
- * of it are orphaned, and it is ready only while it has neither.
+ * Keeps machines, jobs and team usage consistent with each other. A task has at most one placement; all its other
+ * attempts are orphaned. It is ready only while it has neither a placement nor orphaned attempts.
  */
 export class AttemptRegistry {
 	constructor(private readonly dependencies: AttemptRegistryDependencies) {}
 
-	/** An attempt is planned for a machine, or was found on it. */
+	/** Adds an attempt that is planned for a machine or was found on it. */
 	add(machine: Machine, attempt: Attempt): void {
 		machine.attempts.set(attempt.key, attempt)
 		const { job, taskIndex, resources } = attempt
@@ -31,7 +31,7 @@
 			job.placements.set(taskIndex, attempt)
 			job.taskCountByZone.set(machine.zone, (job.taskCountByZone.get(machine.zone) ?? 0) + 1)
 		} else if (job !== null) {
-			// This owner did not start it, but it is there until the opposite is proven (incident 26).
+			// This owner did not start it, but it counts as present until proven absent (incident 26).
 			job.orphanCounts.set(taskIndex, (job.orphanCounts.get(taskIndex) ?? 0) + 1)
 			job.readyTasks.delete(taskIndex)
 		}
@@ -42,7 +42,7 @@
 		machine.idleSince = null
 	}
 
-	/** The attempt holds no resources any more: it has ended, or is not there. Has an effect once per attempt. */
+	/** Frees the resources of an attempt that has ended or is absent from its machine; idempotent. */
 	free(machine: Machine, attempt: Attempt): void {
 		if (attempt.accountedFor) return
 		attempt.accountedFor = true
@@ -62,7 +62,7 @@
 		else job.orphanCounts.delete(taskIndex)
 	}
 
-	/** The attempt is not on its machine; its task is requeued unless its end was accounted for before. */
+	/** Removes an attempt that is absent from its machine; requeues its task unless its end was accounted for before. */
 	remove(machine: Machine, attempt: Attempt): void {
 		const wasAccountedFor = attempt.accountedFor
 		machine.attempts.delete(attempt.key)
@@ -71,7 +71,7 @@
 		if (!wasAccountedFor) this.requeueTask(attempt)
 	}
 
-	/** The task may be started elsewhere if it is not done and proven absent from all machines. */
+	/** Makes the attempt's task ready again if it is not done and is proven absent from all machines. */
 	requeueTask(attempt: Attempt): void {
 		const { job, taskIndex } = attempt
 		if (job === null || job.isTerminal || job.doneTasks.has(taskIndex)) return
@@ -82,7 +82,7 @@
 		if (job.readyTasks.add(taskIndex) && job.readyTasks.size === 1) this.dependencies.queue.isDirty = true
 	}
 
-	/** What the attempt has cost so far: its share of the machine's price; 0 before its start. */
+	/** Cost of the attempt so far: its share of the machine's price; 0 before it starts. */
 	cost(attempt: Attempt): number {
 		const { machine, startedAt, resources } = attempt
 		if (startedAt === null) return 0
--- a/packages/controller/src/attempt-tracker.ts
+++ b/packages/controller/src/attempt-tracker.ts
@@ -1,14 +1,14 @@
-/** Follows the reported states of attempts and accounts for each attempt's end exactly once. */
+/** Tracks the reported states of attempts and accounts for the end of each attempt exactly once. */
 import type { ReportedTask } from '@heathroad/wire'
 import type { CrashLoopDetector } from './crash-loop-detector.js'
 import type { Attempt, JobRun } from './model.js'
 import type { ProgressWriter } from './progress-writer.js'
 import type { ShardState } from './state.js'
 
-/** Heartbeat intervals for which a machine or a job that rejected a start gets no new one. */
+/** Heartbeat intervals for which nothing is started on a machine, or for a job, after a rejected start. */
 const REJECTED_START_PAUSE_HEARTBEATS = 2
 
-/** Applies what heartbeats report of single attempts to the attempts, their jobs and their machines. */
+/** Applies reported task states to attempts, their jobs and their machines. */
 export class AttemptTracker {
 	constructor(
 		private readonly state: ShardState,
@@ -16,7 +16,7 @@
 		private readonly progress: ProgressWriter,
 	) {}
 
-	/** Takes over the reported state of an attempt that is on its machine. */
+	/** Applies the reported state of an attempt that is on its machine. */
 	update(attempt: Attempt, reported: ReportedTask, now: number): void {
 		const { job, machine } = attempt
 		const isRunning = reported.state === 'running'
@@ -25,13 +25,13 @@
 		if (isRunning && attempt.state !== 'running' && job !== null)
 			this.state.recordCachedImage(machine, job.spec)
 		attempt.state = reported.state
-		if (isRunning && job?.spec.kind === 'daemon' && this.hasOutlivedLease(attempt, now))
-			job.outlivedLease = true
+		if (isRunning && job?.spec.kind === 'daemon' && this.hasOutlivedAgentLease(attempt, now))
+			job.outlivedAgentLease = true
 		if (reported.state !== 'exited' || attempt.accountedFor) return
 		this.onEnded(attempt, reported, now)
 	}
 
-	private hasOutlivedLease({ startedAt }: Attempt, now: number): boolean {
+	private hasOutlivedAgentLease({ startedAt }: Attempt, now: number): boolean {
 		return startedAt !== null && now - startedAt > this.state.config.limits.agentLeaseMs
 	}
 
@@ -71,7 +71,7 @@
 		if (job.doneTasks.size >= job.spec.tasks) this.progress.write(job)
 	}
 
-	/** The task is done: another attempt of it can only be planned, or is of no use any more. */
+	/** The task is done: another placement of it is withdrawn if it is only planned, else the attempt is orphaned. */
 	private withdrawOtherPlacement(job: JobRun, taskIndex: number): void {
 		const other = job.placements.get(taskIndex)
 		if (other === undefined) return
@@ -100,7 +100,7 @@
 				this.logRejectedStart(attempt)
 				return
 			case 'unknown-job':
-				job.retryNotBefore = pauseUntil
+				job.pausedUntil = pauseUntil
 				this.logRejectedStart(attempt)
 				return
 		}
--- a/packages/controller/src/check-questions.ts
+++ b/packages/controller/src/check-questions.ts
@@ -1,29 +1,29 @@
-/** Questions to admission checks: when each check is asked about which pending jobs, and what its answers mean. */
+/** Queries to admission checks: when each check is queried about which pending jobs, and how its verdicts apply. */
 import type { LogEvent } from '@heathroad/logging'
 import type { JobSpec } from '@heathroad/wire'
 import TinyQueue from 'tinyqueue'
-import type { CheckContext, CheckTerms, Verdict } from './admission-checks.js'
+import type { CheckContext, CheckSettings, Verdict } from './admission-checks.js'
 import type { ShardState } from './state.js'
 
-/** Questions of one shard that are in flight at a time: bounds the load on the checks. */
-const MAX_QUESTIONS_IN_FLIGHT = 8
+/** Queries of one shard that may be in flight at the same time: limits the load on the checks. */
+const MAX_QUERIES_IN_FLIGHT = 8
 
-/** The backoff after unsure answers starts at this many ms and doubles with each in a row. */
+/** Initial backoff after an unsure verdict, in ms; doubles with each further one in a row. */
 const MIN_BACKOFF_MS = 500
 
-/** The backoff grows up to this many ms, so that a check that recovers is noticed soon. */
+/** Maximum backoff in ms, short enough that the recovery of a check is noticed soon. */
 const MAX_BACKOFF_MS = 30_000
 
-/** Doublings of the backoff are counted up to this, far beyond the longest backoff, so that it stays finite. */
+/** Limits the exponent of the backoff, far beyond its maximum, so that the result stays finite. */
 const MAX_BACKOFF_DOUBLINGS = 10
 
-/** Jobs that join a question have it asked earlier, but no oftener than once in this many ms. */
-const MIN_EARLY_INTERVAL_MS = 1000
+/** A job that joins a query brings its next sending forward, but no closer than this to the previous one, in ms. */
+const MIN_RESEND_INTERVAL_MS = 1000
 
-/** Why a check counts as passed that is not configured on this controller. */
+/** Logged reason why a check that is not configured on this controller counts as passed. */
 export const NO_SUCH_CHECK = 'there is no such check here'
 
-/** A job that may not start yet. */
+/** A job that is pending release. */
 export interface PendingJob {
 	uid: string
 	spec: JobSpec
@@ -33,31 +33,31 @@
 	pendingChecks: Set<string>
 }
 
-/** What one check is asked about: a job, or all jobs of a class and team that wait for it. */
-interface Question {
+/** A recurring query to one check: about one job, or about all waiting jobs of a class and team. */
+interface CheckQuery {
 	checkName: string
 	jobs: Set<PendingJob>
 	/** steady time in ms */
-	askAt: number
-	askedCount: number
+	dueAt: number
+	sentCount: number
 	/** steady time in ms */
-	lastAskedAt: number
-	/** asked, and not answered yet */
+	lastSentAt: number
+	/** sent, but not answered yet */
 	isInFlight: boolean
-	/** unsure answers in a row */
+	/** consecutive unsure verdicts */
 	unsureCount: number
-	/** no job is left, or another question has taken its place */
+	/** it has no jobs left, or another query has replaced it */
 	isWithdrawn: boolean
 }
 
-/** What the questions report to the gate that holds the jobs. */
-export interface CheckQuestionsListener {
+/** Callbacks to the admission gate that holds the jobs. */
+export interface CheckQueryListener {
 	/** Is the job still held by the gate? */
 	isHeld(job: PendingJob): boolean
-	/** A check has released a job, for the reason given. */
+	/** Called when a check has released a job, with the reason. */
 	onCheckPassed(job: PendingJob, checkName: string, reason: string): void
-	/** An answer was taken into account; called after the `onCheckPassed` that it led to. */
-	onAnswered(now: number): void
+	/** Called when a verdict has been applied, after the `onCheckPassed` calls that it caused. */
+	onVerdictApplied(now: number): void
 }
 
 const groupKey = (checkName: string, { spec }: PendingJob): string =>
@@ -65,167 +65,167 @@
 
 const jobKey = (checkName: string, { uid }: PendingJob): string => `${checkName} ${uid}`
 
-const questionKey = (checkName: string, job: PendingJob, terms: CheckTerms): string =>
-	terms.grouped ? groupKey(checkName, job) : jobKey(checkName, job)
+const queryKey = (checkName: string, job: PendingJob, settings: CheckSettings): string =>
+	settings.grouped ? groupKey(checkName, job) : jobKey(checkName, job)
 
 /**
- * The open questions of one shard, asked in the order in which they are due. Questions are not durable: a successor asks
- * again.
+ * The open queries of one shard, sent in the order in which they are due. Queries are not durable: the next owner sends
+ * its own.
  */
-export class CheckQuestions {
-	private readonly questionsByKey = new Map<string, Question>()
-	/** withdrawn questions stay in the queue until they are due */
-	private readonly dueQueue = new TinyQueue<Question>([], (a, b) => a.askAt - b.askAt)
+export class CheckQueries {
+	private readonly queriesByKey = new Map<string, CheckQuery>()
+	/** withdrawn queries stay in the queue until they are due */
+	private readonly dueQueue = new TinyQueue<CheckQuery>([], (a, b) => a.dueAt - b.dueAt)
 	private inFlightCount = 0
 
 	constructor(
 		private readonly state: ShardState,
-		private readonly listener: CheckQuestionsListener,
+		private readonly listener: CheckQueryListener,
 	) {}
 
-	/** Adds a job to the question for a check, a new one if there is none. */
-	add(job: PendingJob, checkName: string, terms: CheckTerms, now: number): void {
-		const key = questionKey(checkName, job, terms)
-		const previous = this.questionsByKey.get(key)
+	/** Adds a job to the query to a check; creates the query if there is none. */
+	add(job: PendingJob, checkName: string, settings: CheckSettings, now: number): void {
+		const key = queryKey(checkName, job, settings)
+		const previous = this.queriesByKey.get(key)
 		previous?.jobs.add(job)
-		// In flight: when the answer comes it is asked again for the jobs that came meanwhile.
+		// A query in flight is sent again after its verdict for the jobs that joined meanwhile.
 		if (previous?.isInFlight === true) return
-		const lastAskedAt = previous?.lastAskedAt ?? Number.NEGATIVE_INFINITY
-		// The last answer was about the other jobs, not about this one; jobs of a burst are asked about together.
-		const earliestAt = Math.max(now, lastAskedAt + MIN_EARLY_INTERVAL_MS)
-		// A question in the queue cannot be moved ahead: a new one takes its place.
+		const lastSentAt = previous?.lastSentAt ?? Number.NEGATIVE_INFINITY
+		// The last verdict did not cover this job, so it is queried soon; the interval batches the jobs of a burst.
+		const earliestAt = Math.max(now, lastSentAt + MIN_RESEND_INTERVAL_MS)
+		// A query cannot be moved within the queue: a new one replaces it.
 		if (previous !== undefined) previous.isWithdrawn = true
-		const question: Question = {
+		const query: CheckQuery = {
 			checkName,
 			jobs: previous?.jobs ?? new Set([job]),
-			askAt: Math.min(previous?.askAt ?? now, earliestAt),
-			askedCount: previous?.askedCount ?? 0,
-			lastAskedAt,
+			dueAt: Math.min(previous?.dueAt ?? now, earliestAt),
+			sentCount: previous?.sentCount ?? 0,
+			lastSentAt,
 			isInFlight: false,
 			unsureCount: previous?.unsureCount ?? 0,
 			isWithdrawn: false,
 		}
-		this.questionsByKey.set(key, question)
-		this.dueQueue.push(question)
+		this.queriesByKey.set(key, query)
+		this.dueQueue.push(query)
 	}
 
-	/** Asks nothing about the job any more. */
+	/** Removes the job from all queries. */
 	remove(job: PendingJob): void {
-		for (const [key, question] of this.questionsAbout(job)) this.withdraw(job, key, question)
+		for (const [key, query] of this.queriesAbout(job)) this.withdraw(job, key, query)
 	}
 
-	/** Does not ask this check about the job any more. */
+	/** Removes the job from the queries to one check. */
 	removeFrom(checkName: string, job: PendingJob): void {
-		for (const [key, question] of this.questionsAbout(job))
-			if (question.checkName === checkName) this.withdraw(job, key, question)
+		for (const [key, query] of this.queriesAbout(job))
+			if (query.checkName === checkName) this.withdraw(job, key, query)
 	}
 
-	/** Asks the questions that are due, as many as may be in flight. */
-	askDue(now: number): void {
+	/** Sends the queries that are due, within the limit of queries in flight. */
+	sendDue(now: number): void {
 		for (let next = this.dueQueue.peek(); next !== undefined; next = this.dueQueue.peek()) {
-			if (next.askAt > now) return
-			if (this.inFlightCount >= MAX_QUESTIONS_IN_FLIGHT && !next.isWithdrawn) return
+			if (next.dueAt > now) return
+			if (this.inFlightCount >= MAX_QUERIES_IN_FLIGHT && !next.isWithdrawn) return
 			this.dueQueue.pop()
-			if (!next.isWithdrawn) this.ask(next)
+			if (!next.isWithdrawn) this.send(next)
 		}
 	}
 
-	private *questionsAbout(job: PendingJob): Iterable<[string, Question]> {
+	private *queriesAbout(job: PendingJob): Iterable<[string, CheckQuery]> {
 		for (const checkName of job.pendingChecks)
 			for (const key of [jobKey(checkName, job), groupKey(checkName, job)]) {
-				const question = this.questionsByKey.get(key)
-				if (question?.jobs.has(job)) yield [key, question]
+				const query = this.queriesByKey.get(key)
+				if (query?.jobs.has(job)) yield [key, query]
 			}
 	}
 
-	private withdraw(job: PendingJob, key: string, question: Question): void {
-		question.jobs.delete(job)
-		if (question.jobs.size > 0) return
-		question.isWithdrawn = true
-		this.questionsByKey.delete(key)
+	private withdraw(job: PendingJob, key: string, query: CheckQuery): void {
+		query.jobs.delete(job)
+		if (query.jobs.size > 0) return
+		query.isWithdrawn = true
+		this.queriesByKey.delete(key)
 	}
 
-	private ask(question: Question): void {
+	private send(query: CheckQuery): void {
 		const { ports } = this.state
-		const terms = ports.checks().terms(question.checkName)
-		const jobs = [...question.jobs]
-		if (terms === null) {
-			for (const job of jobs) this.listener.onCheckPassed(job, question.checkName, NO_SUCH_CHECK)
+		const settings = ports.checks().checkSettings(query.checkName)
+		const jobs = [...query.jobs]
+		if (settings === null) {
+			for (const job of jobs) this.listener.onCheckPassed(job, query.checkName, NO_SUCH_CHECK)
 			return
 		}
 		const [firstJob] = jobs
-		const context = this.contextOf(question, firstJob, terms)
-		question.askedCount++
-		question.lastAskedAt = ports.now()
-		question.isInFlight = true
+		const context = this.contextOf(query, firstJob, settings)
+		query.sentCount++
+		query.lastSentAt = ports.now()
+		query.isInFlight = true
 		this.inFlightCount++
 		let isAnswered = false
-		ports.checks().ask(question.checkName, firstJob.spec, context, (verdict) => {
+		ports.checks().requestVerdict(query.checkName, firstJob.spec, context, (verdict) => {
 			if (isAnswered) return
 			isAnswered = true
-			question.isInFlight = false
+			query.isInFlight = false
 			this.inFlightCount--
 			if (this.state.stopped) return
-			this.onVerdict(question, jobs, verdict, terms)
+			this.onVerdict(query, jobs, verdict, settings)
 		})
 	}
 
-	private contextOf(question: Question, firstJob: PendingJob, terms: CheckTerms): CheckContext {
+	private contextOf(query: CheckQuery, firstJob: PendingJob, settings: CheckSettings): CheckContext {
 		const waitedMs = this.state.ports.wallClockMs() - firstJob.acceptedAtMs
 		return {
 			waitedS: waitedMs / 1000,
-			leftS: Math.max(0, terms.atMostMs - waitedMs) / 1000,
-			asked: question.askedCount,
-			waiting: question.jobs.size,
+			leftS: Math.max(0, settings.maxHoldMs - waitedMs) / 1000,
+			asked: query.sentCount,
+			waiting: query.jobs.size,
 		}
 	}
 
-	/** `askedJobs`: the jobs that were part of the question when it was asked. */
+	/** `queriedJobs`: the jobs that were part of the query when it was sent. */
 	private onVerdict(
-		question: Question,
-		askedJobs: readonly PendingJob[],
+		query: CheckQuery,
+		queriedJobs: readonly PendingJob[],
 		verdict: Verdict,
-		terms: CheckTerms,
+		settings: CheckSettings,
 	): void {
 		const now = this.state.ports.now()
-		if (verdict.kind === 'release') this.release(question, askedJobs, 'released')
-		else if (verdict.kind === 'hold') this.hold(question, verdict, now)
-		else if (terms.whenUnsure === 'release') this.release(question, askedJobs, `unsure: ${verdict.why}`)
-		else this.backOff(question, verdict, now)
-		if (!question.isWithdrawn) {
-			const joinedMeanwhile = askedJobs.length < question.jobs.size
-			const askedAreGone = !askedJobs.some((job) => question.jobs.has(job))
-			if (joinedMeanwhile || askedAreGone) question.askAt = now
-			this.dueQueue.push(question)
+		if (verdict.kind === 'release') this.release(query, queriedJobs, 'released')
+		else if (verdict.kind === 'hold') this.hold(query, verdict, now)
+		else if (settings.whenUnsure === 'release') this.release(query, queriedJobs, `unsure: ${verdict.why}`)
+		else this.backOff(query, verdict, now)
+		if (!query.isWithdrawn) {
+			const joinedMeanwhile = queriedJobs.length < query.jobs.size
+			const areQueriedJobsGone = !queriedJobs.some((job) => query.jobs.has(job))
+			if (joinedMeanwhile || areQueriedJobsGone) query.dueAt = now
+			this.dueQueue.push(query)
 		}
-		this.listener.onAnswered(now)
+		this.listener.onVerdictApplied(now)
 	}
 
-	private release(question: Question, jobs: readonly PendingJob[], reason: string): void {
+	private release(query: CheckQuery, jobs: readonly PendingJob[], reason: string): void {
 		for (const job of jobs)
-			if (this.listener.isHeld(job)) this.listener.onCheckPassed(job, question.checkName, reason)
+			if (this.listener.isHeld(job)) this.listener.onCheckPassed(job, query.checkName, reason)
 	}
 
-	private hold(question: Question, verdict: Extract<Verdict, { kind: 'hold' }>, now: number): void {
-		question.unsureCount = 0
-		question.askAt = now + verdict.againMs
-		this.log(question, 'job held', verdict.why)
+	private hold(query: CheckQuery, verdict: Extract<Verdict, { kind: 'hold' }>, now: number): void {
+		query.unsureCount = 0
+		query.dueAt = now + verdict.againMs
+		this.log(query, 'job held', verdict.why)
 	}
 
-	private backOff(question: Question, verdict: Extract<Verdict, { kind: 'unsure' }>, now: number): void {
-		const doublings = Math.min(MAX_BACKOFF_DOUBLINGS, question.unsureCount++)
+	private backOff(query: CheckQuery, verdict: Extract<Verdict, { kind: 'unsure' }>, now: number): void {
+		const doublings = Math.min(MAX_BACKOFF_DOUBLINGS, query.unsureCount++)
 		const backoffMs = Math.max(verdict.againMs, MIN_BACKOFF_MS * 2 ** doublings)
-		question.askAt = now + Math.min(MAX_BACKOFF_MS, backoffMs)
-		this.log(question, 'job held without an answer', verdict.why)
+		query.dueAt = now + Math.min(MAX_BACKOFF_MS, backoffMs)
+		this.log(query, 'job held without an answer', verdict.why)
 	}
 
-	private log(question: Question, event: LogEvent, why: string): void {
-		const [firstJob] = question.jobs
+	private log(query: CheckQuery, event: LogEvent, why: string): void {
+		const [firstJob] = query.jobs
 		if (firstJob === undefined) return
 		this.state.ports.log('info', event, {
 			uid: firstJob.uid,
-			check: question.checkName,
-			jobs: question.jobs.size,
+			check: query.checkName,
+			jobs: query.jobs.size,
 			why,
 		})
 	}
--- a/packages/controller/src/consolidation.ts
+++ b/packages/controller/src/consolidation.ts
@@ -1,4 +1,4 @@
-/** Consolidation: empties sparsely used machines so that they become idle and are returned. */
+/** Consolidation: drains sparsely used machines so that they become idle and are returned to the cloud. */
 import {
 	chooseMachinesToDrain,
 	hourlyPrice,
@@ -9,28 +9,28 @@
 import { type Attempt, gracePeriodS, type JobRun, type Machine } from './model.js'
 import type { ShardState } from './state.js'
 
-/** At most one in so many machines is emptied a round: moved tasks must find room at once. */
-const MACHINES_PER_DRAIN = 16
+/** At most one in this many machines is drained per round, so that moved tasks find free resources at once. */
+const MACHINES_PER_DRAINED_MACHINE = 16
 
-/** Least fetch rate assumed for the time that an image takes, so that unknown rates do not divide by zero. */
+/** Lower bound of the image fetch rate, in GB/s, so that unknown rates cause no division by zero. */
 const MIN_FETCH_GB_PER_S = 0.01
 
-/** Heartbeat periods that a move takes beside saving and fetching: stop, report of the end, start. */
+/** Heartbeat intervals that a move takes besides saving and fetching: stop command, exit report, start command. */
 const HEARTBEATS_PER_MOVE = 3
 
 interface ConsolidationMachine extends PackingMachine {
 	machine: Machine
 }
 
-/** The machines as packing policy sees them, and the jobs of those tasks that may be moved. */
+/** Input of the packing policy, and the jobs of the tasks that may be moved. */
 interface ConsolidationInput {
 	machines: readonly ConsolidationMachine[]
 	jobsByTask: ReadonlyMap<PackingTask, JobRun>
 }
 
 /**
- * Empties machines while no job waits. Without it low-priority work that runs for minutes in small pieces keeps most of
- * a fleet half empty, and none of it ever idle.
+ * Drains sparsely used machines while no job waits. Without it, low-priority work in small tasks of some minutes keeps
+ * most of a fleet half used and no machine ever idle.
  */
 export class Consolidator {
 	/** steady time in ms */
@@ -38,31 +38,31 @@
 
 	constructor(private readonly state: ShardState) {}
 
-	/** Starts to drain machines whose few tasks can save their progress and fit on other machines. */
+	/** If a round is due, drains machines whose few tasks can save their progress and fit on other machines. */
 	consolidate(now: number): void {
 		if (!this.isDue(now)) return
 		const { machines, jobsByTask } = this.collectInput(now)
 		const mayMove = (from: ConsolidationMachine, task: PackingTask, to: ConsolidationMachine): boolean => {
 			const spec = jobsByTask.get(task)?.spec
-			// Tasks of unknown jobs have no cost of a move: policy never moves them.
+			// Tasks of unknown jobs have no move cost (null): the policy never moves them.
 			if (spec === undefined) return false
 			const isZoneBound = spec.samePlace || spec.apart
 			return isAllowedOn(spec, to.machine) && (!isZoneBound || from.machine.zone === to.machine.zone)
 		}
-		const maxDrained = Math.ceil(machines.length / MACHINES_PER_DRAIN)
+		const maxDrained = Math.ceil(machines.length / MACHINES_PER_DRAINED_MACHINE)
 		for (const { machine } of chooseMachinesToDrain(machines, maxDrained, mayMove)) this.drain(machine)
 	}
 
 	/**
-	 * A round is due once the queue has been empty for half an agent lease, and then once in that time: machines that are
-	 * emptied in the gap between two jobs would be rented anew a moment later.
+	 * A round is due once the queue has been empty for half an agent lease, and again after each such period: machines
+	 * drained in the gap between two jobs would be rented again a moment later.
 	 */
 	private isDue(now: number): boolean {
 		if (this.state.ports.leadership() !== 'lease' || !this.state.reconciled) return false
 		const isWaiting = this.state.hasWaitingJobs(now)
-		const isTimeOver = now >= this.nextRoundAt
-		if (isWaiting || isTimeOver) this.nextRoundAt = now + this.state.config.limits.agentLeaseMs / 2
-		return !isWaiting && isTimeOver
+		const hasIntervalElapsed = now >= this.nextRoundAt
+		if (isWaiting || hasIntervalElapsed) this.nextRoundAt = now + this.state.config.limits.agentLeaseMs / 2
+		return !isWaiting && hasIntervalElapsed
 	}
 
 	private collectInput(now: number): ConsolidationInput {
@@ -91,7 +91,7 @@
 
 	private toPackedTask(attempt: Attempt, now: number): PackingTask {
 		const { job, resources } = attempt
-		// Nothing is known of a task whose job is not of this shard: it stays.
+		// Nothing is known about a task whose job belongs to another shard: it stays.
 		if (job === null) return { need: resources, leftS: 0, moveS: null }
 		const isMovable =
 			attempt.state === 'running' && attempt.stopGracePeriodS === null && job.spec.checkpointS > 0
@@ -102,7 +102,7 @@
 		}
 	}
 
-	/** Seconds that moving a task costs: saving its progress, fetching the image anew and the commands' way. */
+	/** Seconds that moving a task costs: saving its progress, fetching the image again and delivering the commands. */
 	private moveCostS({ spec }: JobRun, machine: Machine): number {
 		const fetchS = spec.imageGb / Math.max(MIN_FETCH_GB_PER_S, machine.type.fetchGbPerS)
 		return spec.saveS + fetchS + (this.state.config.limits.heartbeatMs * HEARTBEATS_PER_MOVE) / 1000
--- a/packages/controller/src/crash-loop-detector.ts
+++ b/packages/controller/src/crash-loop-detector.ts
@@ -1,31 +1,31 @@
-/** Tells faulty machines from faulty jobs, and backs off from both. */
+/** Distinguishes faulty machines from faulty jobs, and backs off from both. */
 import type { Attempt, JobRun, Machine } from './model.js'
 import type { ShardState } from './state.js'
 
-/** The longest wait before a job is retried on machines that it failed on, in agent leases. */
+/** Maximum backoff before a job is retried on machines that it failed on, in agent leases. */
 const MAX_RETRY_AGENT_LEASES = 4
 
-/** The exponential backoff starts at one heartbeat interval and stops doubling there. */
+/** Doublings of the exponential backoff, which starts at one heartbeat interval. */
 const MAX_BACKOFF_DOUBLINGS = 10
 
-/** Share of that wait after which a quarantined job is retried on machines that it has not failed on. */
-const QUARANTINE_RETRY_SHARE = 1 / 2
+/** Fraction of the backoff after which a quarantined job is retried on machines that it has not failed on. */
+const QUARANTINE_RETRY_FRACTION = 1 / 2
 
-/** Failures of jobs that succeed elsewhere from which on a machine is faulty. */
-const CERTAIN_FAILURES = 2
+/** A machine is faulty from this number of failures of jobs that have succeeded. */
+const MIN_CERTAIN_FAILURES = 2
 
-/** Jobs without any success, and not quarantined, that failed on a machine, from which on it is faulty. */
-const UNDECIDED_JOBS = 3
+/** A machine is faulty from this number of failed jobs that have neither succeeded nor been quarantined. */
+const MIN_UNDECIDED_JOBS = 3
 
 /**
- * An error is the machine's or the job's fault. Only a success elsewhere tells them apart, so a job that has not
- * succeeded yet is no evidence against a machine: a wide array submitted with a mistake starts on dozens of machines
- * before its first error is known, and healthy machines were drained for it (incident 8).
+ * Attributes task failures to the machine or to the job. Only a success elsewhere shows which is at fault, so failures
+ * of a job that has not succeeded yet are no evidence against a machine: a wide job array submitted with a mistake
+ * starts on dozens of machines before its first error is known, and healthy machines were drained for it (incident 8).
  */
 export class CrashLoopDetector {
 	constructor(private readonly state: ShardState) {}
 
-	/** An attempt ended with an error. Times are steady time in ms. */
+	/** Called when an attempt has ended with an error. `now`: steady time in ms. */
 	onTaskFailed(machine: Machine, job: JobRun, attempt: Attempt, now: number): void {
 		const { heartbeatMs } = this.state.config.limits
 		const wasQuarantined = job.isQuarantined
@@ -41,8 +41,8 @@
 		const waitMs = this.retryWaitMs(job)
 		job.retryFailedMachinesAt = now + waitMs
 		if (job.isQuarantined) {
-			// The machines that it has not failed on yet come first.
-			job.retryNotBefore = now + waitMs * QUARANTINE_RETRY_SHARE
+			// Machines that it has not failed on yet are tried first.
+			job.pausedUntil = now + waitMs * QUARANTINE_RETRY_FRACTION
 			if (!wasQuarantined) this.onQuarantined(job)
 		}
 		this.drainIfFaulty(machine)
@@ -63,16 +63,16 @@
 		})
 	}
 
-	/** A task succeeded on this machine: what failed there before was the jobs' fault. */
+	/** Called when a task has succeeded on this machine: earlier failures there were the jobs' fault. */
 	onTaskSucceeded(machine: Machine): void {
 		machine.failuresByJob.clear()
 		if (machine.drainReason === 'faulty') machine.drainReason = null
 	}
 
-	/** A job's first success: its failures now count against the machines they were on, and it is not held back. */
+	/** Called on a job's first success: ends its backoff, and its failures now count against the machines they were on. */
 	onJobSucceeded(job: JobRun): void {
 		if (job.failedMachineIds.size === 0) return
-		job.retryNotBefore = 0
+		job.pausedUntil = 0
 		this.state.queueDirty = true
 		for (const id of job.failedMachineIds) {
 			const machine = this.state.machines.get(id)
@@ -80,7 +80,7 @@
 		}
 	}
 
-	/** Faulty: what runs elsewhere failed here twice, or three jobs of which nothing is known yet failed only here. */
+	/** Drains the machine if jobs that succeed elsewhere failed here twice, or if three undecided jobs failed here. */
 	private drainIfFaulty(machine: Machine): void {
 		if (machine.drainReason !== null) return
 		let certain = 0
@@ -88,7 +88,7 @@
 		for (const [job, failures] of machine.failuresByJob)
 			if (job.hasSucceeded) certain += failures
 			else if (!job.isQuarantined) open++
-		if (certain < CERTAIN_FAILURES && open < UNDECIDED_JOBS) return
+		if (certain < MIN_CERTAIN_FAILURES && open < MIN_UNDECIDED_JOBS) return
 		machine.drainReason = 'faulty'
 		this.state.ports.log('info', 'faulty machine draining', { machine: machine.id, certain, open })
 	}
--- a/packages/controller/src/failure-detector.ts
+++ b/packages/controller/src/failure-detector.ts
@@ -1,42 +1,42 @@
-/** Failure detection: what missed heartbeats say about machines, and what they say about this controller's network. */
+/** Failure detection: tells failed machines from network partitions by their missed heartbeats. */
 import type { LeadershipStatus } from '@heathroad/cluster'
 import type { Machine } from './model.js'
 import { MAX_MISSED_HEARTBEATS, type ShardState } from './state.js'
 
-/** Agent leases of silence after which a machine is returned in any case, also when many are silent. */
-const MAX_SILENT_LEASES = 3
+/** Agent leases of silence after which a machine is returned even if many are silent. */
+const MAX_SILENCE_AGENT_LEASES = 3
 
-/** Agent leases of silence after which a machine is returned when few are silent. */
-const MIN_SILENT_LEASES = 0.5
+/** Agent leases of silence after which a machine is returned if few are silent. */
+const MIN_SILENCE_AGENT_LEASES = 0.5
 
-/** More than one machine in 2.5 silent at once are many: rather a network partition, which ends, than so many failures. */
-const MACHINES_PER_SILENT_ONE = 2.5
+/** Many machines are silent if more than one in 2.5 is: more likely a temporary partition than that many failures. */
+const MANY_SILENT_DIVISOR = 2.5
 
-/** Heartbeat intervals without a heartbeat from which on a machine has missed one. */
+/** Heartbeat intervals of silence after which a machine has missed a heartbeat. */
 const MISSED_HEARTBEAT_INTERVALS = 1.5
 
-/** Heartbeat intervals without a heartbeat from which on a machine counts as unreachable. */
+/** Heartbeat intervals of silence after which a machine counts as unreachable. */
 const UNREACHABLE_INTERVALS = 2.5
 
-/** Fewer unreachable machines than these are no partition. */
+/** Fewer unreachable machines than this do not count as a partition. */
 const MIN_PARTITIONED_MACHINES = 2
 
-/** A tick later than this share of a controller lease means that the process was paused and received nothing. */
+/** A gap between ticks above this fraction of a controller lease means that the process was paused. */
 const PAUSE_CONTROLLER_LEASES = 0.2
 
 /**
- * What an agent takes to find a new owner at the longest, in ms (protocol): it gives up the former one after 4 s, tries the
- * next controller 1 s later, and follows that one's redirect within 0.5 s.
+ * Maximum time in ms that an agent needs to find a new owner (protocol): it gives up the former one after 4 s, tries
+ * the next controller 1 s later, and follows that one's redirect within 0.5 s.
  */
 const MAX_OWNER_SEARCH_MS = 4000 + 1000 + 500
 
-/** Share of a controller lease after a takeover in which unconfirmed machines do not count as unreachable. */
+/** Fraction of a controller lease after a takeover during which unconfirmed machines do not count as unreachable. */
 const TAKEOVER_GRACE_CONTROLLER_LEASES = 0.4
 
-/** Decides from missed heartbeats which machines are to be returned, and whether the shard is partitioned. */
+/** Decides from missed heartbeats which machines to return, and whether the shard is partitioned. */
 export class FailureDetector {
 	private readonly takenOverAt: number
-	/** the latest time at which many machines were silent together */
+	/** the latest time at which many machines were silent at once */
 	private manySilentAt = Number.NEGATIVE_INFINITY
 	private lastTickAt: number
 
@@ -46,39 +46,43 @@
 		this.lastTickAt = this.takenOverAt
 	}
 
-	/** To be called at every tick of the shard, with or without leadership. */
+	/** Must be called at every tick of the shard, with or without leadership. */
 	tick(now: number, leadership: LeadershipStatus): void {
 		const maxIntervalMs = this.state.config.limits.controllerLeaseMs * PAUSE_CONTROLLER_LEASES
-		// A paused process received no heartbeats: the machines are not silent for that.
+		// A paused process receives no heartbeats, so the machines do not count as silent.
 		if (leadership === 'none' || now - this.lastTickAt > maxIntervalMs) this.state.listeningSince = now
 		this.lastTickAt = now
-		const areManySilent = this.missedHeartbeats(now) * MACHINES_PER_SILENT_ONE > this.state.machines.size
+		const areManySilent = this.missedHeartbeats(now) * MANY_SILENT_DIVISOR > this.state.machines.size
 		if (areManySilent) this.manySilentAt = now
 	}
 
 	/**
-	 * Is a machine to be returned? If few are silent, after half an agent lease, since the confirmed release proves its
-	 * tasks absent sooner than the lease does. If many are, much later: what is returned has to be rented, booted and
-	 * filled with images again (incident 15). The half lease counts from the end of such a time: as the first machines
-	 * return, the rest are suddenly few, and each would be returned to the cloud just before its heartbeat (incident 19).
+	 * Should a silent machine be returned to the cloud? If few are silent, after half an agent lease: a confirmed release
+	 * proves its tasks absent sooner than the lease does. If many are, much later, since replacements have to be rented,
+	 * booted and filled with images again (incident 15). The half lease counts from the last time that many were silent:
+	 * when the first machines report again, the rest are few, and each would be returned to the cloud just before its
+	 * heartbeat (incident 19).
 	 */
 	shouldReturn(machine: Machine, now: number): boolean {
 		const { heartbeatMs, agentLeaseMs } = this.state.config.limits
-		const lastSignAt = Math.max(machine.lastHeartbeatAt, this.state.listeningSince)
-		if (now - lastSignAt >= agentLeaseMs * MAX_SILENT_LEASES) return true
-		const minSilenceMs = Math.max(heartbeatMs * MAX_MISSED_HEARTBEATS, agentLeaseMs * MIN_SILENT_LEASES)
-		return now - Math.max(lastSignAt, this.manySilentAt) >= minSilenceMs
+		const lastContactAt = Math.max(machine.lastHeartbeatAt, this.state.listeningSince)
+		if (now - lastContactAt >= agentLeaseMs * MAX_SILENCE_AGENT_LEASES) return true
+		const minSilenceMs = Math.max(
+			heartbeatMs * MAX_MISSED_HEARTBEATS,
+			agentLeaseMs * MIN_SILENCE_AGENT_LEASES,
+		)
+		return now - Math.max(lastContactAt, this.manySilentAt) >= minSilenceMs
 	}
 
-	/** Are there machines that answered a probe since the takeover, and whose agents may still look for this owner? */
-	mayAgentsSearchOwner(now: number): boolean {
+	/** Are there machines that answered a probe since the takeover, but whose agents may not have found this owner yet? */
+	mayAgentsBeSearching(now: number): boolean {
 		if (now - this.takenOverAt >= MAX_OWNER_SEARCH_MS) return false
 		for (const { addressRecorded, reconciled, heartbeatReceived } of this.state.machines.values())
 			if (addressRecorded && reconciled && !heartbeatReceived) return true
 		return false
 	}
 
-	/** Count of machines that missed a heartbeat. */
+	/** Number of machines that missed a heartbeat. */
 	missedHeartbeats(now: number): number {
 		const dueSince = now - this.state.config.limits.heartbeatMs * MISSED_HEARTBEAT_INTERVALS
 		let count = 0
@@ -88,8 +92,8 @@
 	}
 
 	/**
-	 * Count of machines that missed two heartbeats while this controller received, if these are two thirds of the shard
-	 * at least; else 0. Also 0 while the shard is being rebuilt.
+	 * Number of machines that missed two heartbeats while this controller was receiving, if they are at least two thirds
+	 * of the shard; else 0. Also 0 until the shard is reconciled.
 	 */
 	unreachableMachines(): number {
 		if (!this.state.reconciled) return 0
@@ -98,8 +102,8 @@
 	}
 
 	/**
-	 * Are most of the machines unreachable: silent, or not accounted for since the takeover? False for a while after the
-	 * takeover, when all of them are still to be probed.
+	 * Are most of the machines unreachable, that is silent or not confirmed since the takeover? False shortly after the
+	 * takeover, while the machines are still being probed.
 	 */
 	isPartitioned(unconfirmed: ReadonlySet<string>): boolean {
 		const graceMs = this.state.config.limits.controllerLeaseMs * TAKEOVER_GRACE_CONTROLLER_LEASES
@@ -113,15 +117,15 @@
 		return Math.max(machine.lastHeartbeatAt, this.state.listeningSince) < dueSince
 	}
 
-	/** Count of the machines that satisfy the condition, if two thirds of those in use do, and two at least; else 0. */
+	/** Number of machines that satisfy the condition if at least two, and two thirds of those in use, do; else 0. */
 	private countIfMost(condition: (machine: Machine) => boolean): number {
-		let used = 0
+		let inUse = 0
 		let matching = 0
 		for (const machine of this.state.machines.values()) {
 			if (!machine.addressRecorded) continue
-			used++
+			inUse++
 			if (condition(machine)) matching++
 		}
-		return matching >= MIN_PARTITIONED_MACHINES && matching * 3 >= used * 2 ? matching : 0
+		return matching >= MIN_PARTITIONED_MACHINES && matching * 3 >= inUse * 2 ? matching : 0
 	}
 }
--- a/packages/controller/src/heartbeat-handler.ts
+++ b/packages/controller/src/heartbeat-handler.ts
@@ -1,4 +1,4 @@
-/** Answers the heartbeats of a shard's machines; first heartbeats wait until the machine's address is durable. */
+/** Answers the heartbeats of a shard's machines; a first heartbeat waits until the machine's address is durable. */
 import type { Command, Heartbeat } from '@heathroad/wire'
 import { isNewerHeartbeat } from './heartbeat-order.js'
 import type { HeartbeatReconciler } from './heartbeat-reconciler.js'
@@ -8,22 +8,22 @@
 import type { Scheduler } from './scheduler.js'
 import type { ShardState } from './state.js'
 
-/** The longest wait of a first heartbeat for its response, in ms: well within the 4 s that an agent waits (protocol). */
+/** Maximum delay of the response to a first heartbeat, in ms: well within the 4 s that an agent waits (protocol). */
 const MAX_RESPONSE_DELAY_MS = 2000
 
-/** The same as a share of the heartbeat interval. */
+/** Maximum delay of the response to a first heartbeat, as a fraction of the heartbeat interval. */
 const MAX_RESPONSE_DELAY_HEARTBEATS = 0.5
 
-/** Response to a heartbeat: the fencing token that the machine is to accept, and commands. */
+/** Response to a heartbeat: the fencing token that the machine must accept, and commands for it. */
 export interface HeartbeatResponse {
 	fencingToken: number
 	commands: Command[]
 }
 
-/** Receives the response to a heartbeat; null if this controller is not the one to answer it. */
+/** Receives the response to a heartbeat; null if this controller must not answer it. */
 export type RespondToHeartbeat = (response: HeartbeatResponse | null) => void
 
-/** The other components of a shard that handling a heartbeat involves. */
+/** The other components of the shard that take part in handling a heartbeat. */
 export interface HeartbeatHandlerDependencies {
 	reconciler: HeartbeatReconciler
 	commands: MachineCommands
@@ -33,7 +33,7 @@
 
 /** Handles heartbeats from their arrival to their response. */
 export class HeartbeatHandler {
-	/** first heartbeats that wait for their response, by machine */
+	/** pending responses to first heartbeats, by machine id */
 	private readonly delayedResponses = new Map<string, RespondToHeartbeat>()
 
 	constructor(
@@ -49,14 +49,14 @@
 			return
 		}
 		const now = this.state.ports.now()
-		// An old heartbeat is late because packets were delayed: its task list is outdated, and its response is dropped.
+		// Packets were delayed: the task list of an older heartbeat is outdated, and its response will be dropped.
 		if (!isNewerHeartbeat(heartbeat, machine)) {
 			machine.lastHeartbeatAt = now
 			respond({ fencingToken: machine.fencingToken, commands: [] })
 			return
 		}
 		this.dependencies.reconciler.reconcile(machine, heartbeat, { followsResponse: true })
-		// Counts from its arrival, whenever it is answered: a machine that waits for its first response is not silent.
+		// Set at arrival, not at the response: a machine that waits for its first response is not silent.
 		machine.lastHeartbeatAt = now
 		machine.heartbeatReceived = true
 		machine.address = heartbeat.address
@@ -92,9 +92,9 @@
 	}
 
 	/**
-	 * A machine's first heartbeat is answered when the machine may get start commands, that is when its address is
-	 * durable: under load that takes a second, and answered at once the machine would be back only a whole heartbeat
-	 * interval later.
+	 * Delays the response to a machine's first heartbeat until the machine may get start commands, that is until its
+	 * address is durable. Under load that takes a second; answered at once, the machine would get its first start commands
+	 * a whole heartbeat interval later.
 	 */
 	private delayResponse(machine: Machine, respond: RespondToHeartbeat): void {
 		this.delayedResponses.get(machine.id)?.(null)
@@ -108,7 +108,7 @@
 		}, delayMs)
 	}
 
-	/** Answers the machine's first heartbeat now if it waits. */
+	/** Sends the delayed response to the machine's first heartbeat now, if there is one. */
 	sendDelayedResponse(machine: Machine): void {
 		const respond = this.delayedResponses.get(machine.id)
 		if (respond === undefined) return
@@ -118,13 +118,13 @@
 		else this.respond(machine, respond)
 	}
 
-	/** The machine is removed: its waiting heartbeat, if any, is left to others. */
+	/** Called when the machine is removed: drops its delayed response, if any, so that another controller answers. */
 	onMachineRemoved(machine: Machine): void {
 		this.delayedResponses.get(machine.id)?.(null)
 		this.delayedResponses.delete(machine.id)
 	}
 
-	/** The shard stops: no waiting heartbeat is answered here. */
+	/** Drops all delayed responses when the shard stops. */
 	stop(): void {
 		for (const respond of this.delayedResponses.values()) respond(null)
 		this.delayedResponses.clear()
--- a/packages/controller/src/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeat-reconciler.ts
@@ -1,4 +1,4 @@
-/** Reconciles a machine's heartbeat with the attempts that the shard has on record for that machine. */
+/** Reconciles a machine's heartbeat with the attempts that the shard knows on that machine. */
 import type { Heartbeat, ReportedTask } from '@heathroad/wire'
 import type { AdmissionGate } from './admission-gate.js'
 import type { AttemptTracker } from './attempt-tracker.js'
@@ -10,13 +10,13 @@
 /** How a heartbeat reached the controller. */
 export interface HeartbeatOrigin {
 	/**
-	 * The machine sent the heartbeat after it had the response to its previous one, so start commands in that response
-	 * are reflected. False for the heartbeat in the answer to a directly sent command.
+	 * The machine sent the heartbeat after receiving the response to its previous one, so the heartbeat reflects the start
+	 * commands in that response. False for the heartbeat in the answer to a directly sent command.
 	 */
 	followsResponse: boolean
 }
 
-/** Brings the shard's state in line with heartbeats. Heartbeats that are not newer than the latest are ignored. */
+/** Applies heartbeats to the shard's state. Ignores heartbeats that are not newer than the latest one. */
 export class HeartbeatReconciler {
 	constructor(
 		private readonly state: ShardState,
@@ -25,7 +25,7 @@
 		private readonly takeover: TakeoverReconciler,
 	) {}
 
-	/** Takes over what a heartbeat reports of its machine and the tasks there. */
+	/** Applies a heartbeat to its machine and the attempts on it. */
 	reconcile(machine: Machine, heartbeat: Heartbeat, origin: HeartbeatOrigin): void {
 		if (!isNewerHeartbeat(heartbeat, machine)) return
 		machine.agentEpoch = heartbeat.agentEpoch
@@ -33,7 +33,7 @@
 		const now = this.state.ports.now()
 		this.updatePreemptionDeadline(machine, heartbeat.preemptionNoticeS, now)
 		const reportedByKey = new Map(heartbeat.tasks.map((task) => [`${task.taskName}#${task.attempt}`, task]))
-		// Before the listed ones: an attempt that followed a missing one here would seem to be one too many (incident 26).
+		// Missing attempts go first: an attempt here that follows a missing one would seem to be a duplicate (incident 26).
 		this.removeMissingAttempts(machine, reportedByKey, origin)
 		for (const [key, task] of reportedByKey) {
 			const attempt = machine.attempts.get(key) ?? this.addUnknownAttempt(machine, task, key)
@@ -68,7 +68,7 @@
 	): void {
 		for (const attempt of [...machine.attempts.values()]) {
 			if (reportedByKey.has(attempt.key) || attempt.state === 'planned') continue
-			// A direct command's answer may have overtaken the response that carries the start.
+			// The answer to a direct command may overtake the response that carries the start command.
 			if (attempt.state === 'sent' && !followsResponse) continue
 			if (attempt.state !== 'sent' && !attempt.accountedFor)
 				this.state.ports.log('debug', 'task disappeared', {
@@ -80,12 +80,12 @@
 		}
 	}
 
-	/** Records an attempt that this owner did not start: a former owner's, or one that must not be there. */
+	/** Records an attempt that this owner did not start: either a former owner's, or one that must not run. */
 	private addUnknownAttempt(machine: Machine, task: ReportedTask, key: string): Attempt {
 		this.gate.onTaskSeen(task.uid)
 		const job = this.state.jobs.get(task.uid) ?? null
 		const record = job === null ? this.state.ports.job(task.uid)?.record : undefined
-		// The task is planned elsewhere although it is here: the plan is withdrawn.
+		// The task is here although planned elsewhere: the plan is withdrawn.
 		const other = job?.placements.get(task.taskIndex)
 		if (other?.state === 'planned' && task.state !== 'exited') this.state.removeAttempt(other.machine, other)
 		const isUseful = job !== null && this.needsAttempt(job, task.taskIndex)
@@ -115,7 +115,7 @@
 		return attempt
 	}
 
-	/** May an attempt that was found on a machine become the one attempt of its task? */
+	/** May an attempt that was found on a machine become the placement of its task? */
 	private needsAttempt(job: JobRun, taskIndex: number): boolean {
 		return (
 			!job.isTerminal &&
--- a/packages/controller/src/index.ts
+++ b/packages/controller/src/index.ts
@@ -1,4 +1,4 @@
-/** The owner of a shard: reconciles its machines' heartbeats, places its jobs, and rents and returns machines. */
+/** Shard owner: reconciles the heartbeats of its machines, schedules its jobs, and rents and returns machines. */
 
 export * from './admission-checks.js'
 export * from './boot-time-estimator.js'
--- a/packages/controller/src/inherited-boots.ts
+++ b/packages/controller/src/inherited-boots.ts
@@ -1,27 +1,27 @@
-/** Boots that began before this controller did, so that it does not know how old they are. */
+/** Boots that began before this controller read the records, so that their age is unknown. */
 import { fits, isAllowedOn } from '@heathroad/policy'
 import type { JobRun, Machine } from './model.js'
 import { isUsable } from './spare-capacity.js'
 import type { ShardState } from './state.js'
 
 /**
- * Machines that were booting when this controller first read the records, which do not tell since when. One that never
- * boots would be waited for anew by every owner that is not older than its rental. Only the age of a job outlives all
- * owners: it tells for how long the job may have waited for them.
+ * Machines that were booting when this controller first read the records, which do not hold the start of a boot. Each
+ * new owner would wait the full boot time again for a machine that never boots. Only the age of a job outlives all
+ * owners: it limits how long the job can have waited for these machines.
  */
 export class InheritedBoots {
 	private readonly machines = new Set<Machine>()
 
 	constructor(private readonly state: ShardState) {}
 
-	/** Adds a machine that has not booted, and was on record before this controller read the records. */
+	/** Adds a machine that has not booted and was in the records when this controller first read them. */
 	add(machine: Machine): void {
 		this.machines.add(machine)
 	}
 
 	/**
-	 * Does the job depend on inherited boots alone, and has it waited so long that each of them could have failed, one after
-	 * the other? Owners that follow each other rapidly then rent no more machines than one owner would.
+	 * Does the job depend on inherited boots alone, and has it waited long enough for each of them to have failed, one
+	 * after the other? With this bound, a rapid succession of owners rents no more machines than a single owner would.
 	 */
 	mayHaveFailed(job: JobRun, now: number): boolean {
 		let longestWaitMs = 0
--- a/packages/controller/src/job-budget.ts
+++ b/packages/controller/src/job-budget.ts
@@ -1,10 +1,10 @@
-/** Cost budget of a job, from the offers that its tasks could run on. */
+/** Cost budget of a job, computed from the offers that its tasks could run on. */
 import { BudgetLedger, defaultBudget, type InstanceOffer, offerCost, offerKey } from '@heathroad/policy'
 import type { JobSpec } from '@heathroad/wire'
 
 /**
- * Budget between the cheapest way to run the job and the parallel way, in which every task pays for the boot of a
- * machine of its own, as in the paper. `budgetMix` is the share of the difference that is granted (0: cheapest).
+ * Creates a budget between the cost of the cheapest run and that of a parallel run in which every task pays for booting
+ * its own machine, as in the paper. `budgetMix` is the fraction of the difference that is added (0: cheapest).
  */
 export const createBudgetLedger = (
 	spec: JobSpec,
@@ -14,10 +14,10 @@
 	const options = offers.map((offer) => ({
 		key: offerKey(offer),
 		...offerCost(spec, spec.expectedS, offer, true, false),
-		full: offerCost(spec, spec.expectedS, offer, false, false),
+		withBoot: offerCost(spec, spec.expectedS, offer, false, false),
 	}))
 	const node = { uid: spec.uid, parents: [], tasks: spec.tasks, options }
-	const parallelNode = { ...node, options: options.map((option) => ({ ...option, ...option.full })) }
+	const parallelNode = { ...node, options: options.map((option) => ({ ...option, ...option.withBoot })) }
 	const cheapest = defaultBudget([node], 0)
 	const parallel = defaultBudget([parallelNode], 1)
 	return new BudgetLedger([node], cheapest + budgetMix * Math.max(0, parallel - cheapest))
--- a/packages/controller/src/job-lifecycle.ts
+++ b/packages/controller/src/job-lifecycle.ts
@@ -1,4 +1,4 @@
-/** Life cycle of a shard's jobs: intake, terminal states, cancellation and moves to other shards. */
+/** Life cycle of a shard's jobs: intake, terminal states, cancellation and migration to other shards. */
 import { type JobRecord, progressChunkKey, TASKS_PER_CHUNK } from '@heathroad/cluster'
 import { RangeSet } from '@heathroad/policy'
 import { type Command, type Heartbeat, type JobSpec, MAX_COMMANDS_PER_RESPONSE } from '@heathroad/wire'
@@ -11,50 +11,50 @@
 
 type FinalState = NonNullable<JobRecord['finalState']>
 
-/** How a job comes to this owner. */
+/** Circumstances in which an owner takes in a job. */
 export interface JobIntake {
-	/** a former owner may have started tasks of it on machines that have not reported yet: none is ready before they have */
+	/** a former owner may have started tasks on machines that have not reported yet: no task is ready until they have */
 	mayBeOnMachines: boolean
 }
 
-/** The other components of a shard that a job's life cycle involves. */
+/** The other components of the shard that take part in a job's life cycle. */
 export interface JobLifecycleDependencies {
 	gate: AdmissionGate
 	scaleOut: ScaleOut
 	scheduler: Scheduler
-	/** takes over a heartbeat that came in the answer to a kill command */
+	/** applies the heartbeat in the answer to a kill command */
 	reconcile(machine: Machine, heartbeat: Heartbeat): void
 }
 
-/** Keeps `ShardState.jobs` in line with the jobs' records. */
+/** Keeps `ShardState.jobs` consistent with the jobs' records. */
 export class JobLifecycle {
 	constructor(
 		private readonly state: ShardState,
 		private readonly dependencies: JobLifecycleDependencies,
 	) {}
 
-	/** A job's record changed, or was read after a takeover. */
+	/** Called when a job's record has changed or was read after a takeover. */
 	onJobChanged(uid: string, record: JobRecord, intake: JobIntake): void {
 		const { gate } = this.dependencies
 		const job = this.state.jobs.get(uid)
 		if (record.shardId !== this.state.shardId) {
 			gate.drop(uid)
-			if (job !== undefined) this.onMovedAway(job)
+			if (job !== undefined) this.onMigratedAway(job)
 			return
 		}
 		if (record.finalState !== undefined) {
 			gate.drop(uid)
-			if (job !== undefined && !job.isTerminal) this.close(job, record.finalState)
+			if (job !== undefined && !job.isTerminal) this.markTerminal(job, record.finalState)
 			return
 		}
 		if (job !== undefined || record.spec === undefined) return
 		if (!this.state.ports.isPendingRelease(uid, record)) {
 			gate.drop(uid)
-			this.take(record.spec, record, intake)
+			this.addJob(record.spec, record, intake)
 		} else if (!gate.has(uid)) gate.hold(record.spec, record)
 	}
 
-	/** A job that waited for admission checks may start, or is shown to have started. */
+	/** Called when a job that was pending release may start, or one of its tasks was seen on a machine. */
 	onReleased(uid: string): void {
 		const record = this.state.ports.job(uid)?.record
 		if (
@@ -63,17 +63,18 @@
 			record.finalState !== undefined
 		)
 			return
-		if (!this.state.jobs.has(uid)) this.take(record.spec, record, { mayBeOnMachines: !this.state.reconciled })
+		if (!this.state.jobs.has(uid))
+			this.addJob(record.spec, record, { mayBeOnMachines: !this.state.reconciled })
 	}
 
 	/** See `Shard.applyCancellation`. */
 	onCancelled(uid: string): void {
 		this.dependencies.gate.drop(uid)
 		const job = this.state.jobs.get(uid)
-		if (job !== undefined && !job.isTerminal) this.close(job, 'aborted')
+		if (job !== undefined && !job.isTerminal) this.markTerminal(job, 'aborted')
 	}
 
-	private take(spec: JobSpec, record: JobRecord, { mayBeOnMachines }: JobIntake): void {
+	private addJob(spec: JobSpec, record: JobRecord, { mayBeOnMachines }: JobIntake): void {
 		const { uid } = spec
 		const { ports, config } = this.state
 		const offers = this.dependencies.scaleOut.suitableOffers(spec, false)
@@ -93,7 +94,7 @@
 		if (!mayBeOnMachines) this.dependencies.scheduler.placeTasks(this.state.machines.values())
 	}
 
-	/** Done tasks: those of the first chunk are in the job's record, the others in keys of their own. */
+	/** Reads the done tasks: those of the first chunk from the job's record, the others from separate keys. */
 	private readDoneTasks(spec: JobSpec, record: JobRecord): RangeSet {
 		const doneTasks = new RangeSet(record.doneRanges ?? [])
 		for (let chunk = 1; chunk * TASKS_PER_CHUNK < spec.tasks; chunk++) {
@@ -106,30 +107,30 @@
 		return doneTasks
 	}
 
-	private close(job: JobRun, finalState: FinalState): void {
+	private markTerminal(job: JobRun, finalState: FinalState): void {
 		job.isTerminal = true
 		job.readyTasks = new RangeSet()
-		this.withdrawPlans(job)
+		this.withdrawPlannedAttempts(job)
 		this.state.queueDirty = true
 		this.state.ports.log('info', 'job terminal', { uid: job.spec.uid, how: finalState })
 		if (finalState === 'aborted') this.killRunningTasks(job)
 		if (job.placements.size === 0) this.state.jobs.delete(job.spec.uid)
 	}
 
-	/** The job is another shard's from now on, and nothing of it was on any machine here when that was decided. */
-	private onMovedAway(job: JobRun): void {
-		this.withdrawPlans(job)
+	/** The job now belongs to another shard; none of its tasks was on a machine here when its migration was decided. */
+	private onMigratedAway(job: JobRun): void {
+		this.withdrawPlannedAttempts(job)
 		for (const attempt of job.placements.values()) attempt.orphaned = true
 		this.state.jobs.delete(job.spec.uid)
 		this.state.queueDirty = true
 	}
 
-	private withdrawPlans(job: JobRun): void {
+	private withdrawPlannedAttempts(job: JobRun): void {
 		for (const attempt of [...job.placements.values()])
 			if (attempt.state === 'planned') this.state.removeAttempt(attempt.machine, attempt)
 	}
 
-	/** Sends kill commands to the machines directly: their next heartbeats may be a while off. */
+	/** Sends kill commands to the machines directly instead of waiting for their next heartbeats. */
 	private killRunningTasks(job: JobRun): void {
 		const commandsByMachine = new Map<Machine, Command[]>()
 		for (const { machine, taskName, attempt } of job.placements.values()) {
--- a/packages/controller/src/job-migrator.ts
+++ b/packages/controller/src/job-migrator.ts
@@ -1,4 +1,4 @@
-/** Job migration: hands waiting jobs to other shards that can serve them better. */
+/** Job migration: moves waiting jobs to other shards that can serve them better. */
 import { moveJobToShard } from '@heathroad/cluster'
 import { type TransactionContent, WritePriority, type WriteResult } from '@heathroad/store'
 import type { JobSpec } from '@heathroad/wire'
@@ -6,27 +6,27 @@
 import type { JobRun } from './model.js'
 import type { ShardState } from './state.js'
 
-/** Migrations take at most this share of the controller's writes. */
+/** Migrations use at most this fraction of the controller's write rate. */
 const WRITE_SHARE = 0.5
 
-/** Agent leases for which a job stays in a shard before it may migrate (again). */
-const MIN_STAY_IN_AGENT_LEASES = 0.5
+/** Minimum time that a job stays in a shard before it may migrate (again), in agent leases. */
+const MIN_RESIDENCE_AGENT_LEASES = 0.5
 
 interface Migration {
 	job: JobRun
 	targetShardId: number
-	/** a write was not answered and may yet be applied: the same is tried until it is settled */
+	/** a write got no answer and may still be applied: it is retried until the outcome is known */
 	isUncertain: boolean
 }
 
 /**
- * Migrates jobs that wait in a shard which cannot serve them. Only jobs of which nothing can be on any machine: the tasks
- * that are not done are all proven absent, so that whoever owns the other shard may start them at once.
+ * Migrates jobs that wait in a shard that cannot serve them. Only jobs whose unfinished tasks are all proven absent
+ * from all machines migrate, so that the owner of the other shard may start them at once.
  *
- * A migration sets the job's own key to its record with the other shard's number, on condition of that key's mod revision
- * and of our ownership. Any other decision about the job (a cancellation, its progress, a takeover of this shard)
- * changes one of the two; so a migration that comes late is applied only if nothing was decided without it. Until it is
- * settled whether it was applied, nothing of the job starts here.
+ * A migration is a compare-and-swap: it writes the job's record with the other shard's number, conditional on the mod
+ * revision of the job's key and on the ownership of this shard. Any other decision about the job (a cancellation, its
+ * progress, a takeover of this shard) changes one of the two, so a late write is applied only if no such decision came
+ * first. No task of the job starts here until it is known whether the write was applied.
  */
 export class JobMigrator {
 	private readonly migrationsByUid = new Map<string, Migration>()
@@ -37,22 +37,22 @@
 	) {}
 
 	/**
-	 * Starts migrations, as many as half of this controller's share of the writes takes until the next tick. `now` is steady
-	 * time in ms, `everyMs` the time until the next tick.
+	 * Starts migrations within half of this controller's write rate until the next tick. `now` is steady time in ms,
+	 * `intervalMs` the time until the next tick.
 	 */
-	tick(now: number, everyMs: number): void {
+	tick(now: number, intervalMs: number): void {
 		const { ports, config } = this.state
 		if (!this.state.reconciled || ports.leadership() !== 'lease') return
-		// Machines that are up take the jobs as soon as their agents are here: other shards may have to rent for them.
-		if (this.failureDetector.mayAgentsSearchOwner(now)) return
-		const writes = (config.limits.writesPerS * everyMs * WRITE_SHARE) / 1000
+		// Machines that are up take the jobs once their agents have found this owner; other shards may have to rent machines.
+		if (this.failureDetector.mayAgentsBeSearching(now)) return
+		const writes = (config.limits.writesPerS * intervalMs * WRITE_SHARE) / 1000
 		let remaining = Math.max(1, Math.ceil(writes)) - this.migrationsByUid.size
 		let findTarget: ((spec: JobSpec) => number | null) | null = null
 		for (const job of this.state.waitingHealthyJobs(now)) {
 			if (remaining <= 0) return
 			if (!this.isMovable(job, now)) continue
-			// Planned only when there is a job to migrate: planning looks at all shards.
-			findTarget ??= ports.migrationPlanner(this.state.shardId, this.jobsUnderWay())
+			// Created only when there is a job to migrate: planning iterates over all shards.
+			findTarget ??= ports.migrationPlanner(this.state.shardId, this.migrationsInProgress())
 			const targetShardId = findTarget(job.spec)
 			if (targetShardId === null) continue
 			this.start(job, targetShardId)
@@ -60,7 +60,7 @@
 		}
 	}
 
-	private jobsUnderWay(): { spec: JobSpec; to: number }[] {
+	private migrationsInProgress(): { spec: JobSpec; to: number }[] {
 		return [...this.migrationsByUid.values()].map(({ job, targetShardId }) => ({
 			spec: job.spec,
 			to: targetShardId,
@@ -68,9 +68,9 @@
 	}
 
 	/**
-	 * May the job migrate? Nothing of it is on any machine, its records show all that is done, and it has been here for a
-	 * while. A job that has failed stays: what is known here of its failures would be lost, and it would be tried anew on
-	 * every other shard's machines (incident 8).
+	 * May the job migrate? It must have no task on any machine, all its done tasks on record, and a minimum time in this
+	 * shard. A job that has failed stays: its failure history, which only this owner has, would be lost, and it would be
+	 * retried on the machines of every other shard (incident 8).
 	 */
 	private isMovable(job: JobRun, now: number): boolean {
 		return (
@@ -79,7 +79,7 @@
 			job.failureCount === 0 &&
 			job.pendingWrite === null &&
 			job.durableDoneTasks.size === job.doneTasks.size &&
-			now - job.arrivedAt > this.state.config.limits.agentLeaseMs * MIN_STAY_IN_AGENT_LEASES
+			now - job.arrivedAt > this.state.config.limits.agentLeaseMs * MIN_RESIDENCE_AGENT_LEASES
 		)
 	}
 
@@ -96,7 +96,7 @@
 		this.write(migration)
 	}
 
-	/** The write that migrates the job; null if it is not needed, since the job is terminal or not in this shard any more. */
+	/** The write that migrates the job; null if it is no longer needed: the job is terminal or has left this shard. */
 	private buildContent({ job, targetShardId }: Migration): TransactionContent | null {
 		const { uid } = job.spec
 		const entry = this.state.ports.job(uid)
@@ -134,9 +134,9 @@
 	}
 
 	/**
-	 * Decides after a linearizable read whether the migration was applied, and tries again if it may have to. A conflict
-	 * means that a key on which the write depends has changed since: no attempt can be applied any more, and if one was,
-	 * the read shows it.
+	 * Determines by a linearizable read whether the migration was applied, and retries it if it is still needed. A
+	 * conflict means that a key on which the write depends has changed: no retry can be applied any more, and if an
+	 * earlier write was applied, the read shows it.
 	 */
 	private settle(migration: Migration, outcome: { isConflict: boolean }): void {
 		this.state.ports.linearizableRead((isCurrent) => {
--- a/packages/controller/src/job-queue.ts
+++ b/packages/controller/src/job-queue.ts
@@ -1,14 +1,14 @@
-/** The order in which a shard's jobs are served. */
+/** Queue order of a shard's jobs. */
 import type { Config } from '@heathroad/config'
 import { queueRank, startDeadlines } from '@heathroad/policy'
 import type { JobRun } from './model.js'
 import type { RunTimeEstimator } from './run-time-estimator.js'
 import type { TeamUsage } from './team-usage.js'
 
-/** Quarantined jobs come after all others: ranks of those are not negative. */
+/** Rank of quarantined jobs, below all others, whose ranks are not negative. */
 const QUARANTINED_RANK = -1
 
-/** What the order of jobs depends on. */
+/** State and settings that determine the order of jobs. */
 export interface JobQueueInputs {
 	jobs: ReadonlyMap<string, JobRun>
 	config: Config
@@ -18,20 +18,20 @@
 	wallClockMs(): number
 }
 
-/** Open jobs by team guarantee, rank and age. The order is computed anew only when it is needed and marked as dirty. */
+/** Open jobs by team guarantee, rank and age. The order is recomputed on access if it is marked as dirty. */
 export class JobQueue {
-	/** the order has to be computed anew */
+	/** the order must be recomputed before it is next used */
 	isDirty = true
 	private ordered: readonly JobRun[] = []
 
 	constructor(private readonly inputs: JobQueueInputs) {}
 
-	/** Seconds since the job was accepted, by any owner. */
+	/** Seconds since the job was accepted, possibly by a former owner. */
 	ageS(job: JobRun): number {
 		return (this.inputs.wallClockMs() - job.acceptedAtMs) / 1000
 	}
 
-	/** Open jobs in the order in which they are served: those within their team's guarantee first. */
+	/** Open jobs in queue order: those within their team's guarantee first. */
 	inOrder(): readonly JobRun[] {
 		if (!this.isDirty) return this.ordered
 		this.isDirty = false
@@ -53,24 +53,24 @@
 
 	private updateRank(job: JobRun): void {
 		const objectives = this.inputs.config.settings.deployment.objectives ?? []
-		job.startBounds = startDeadlines(job.spec, this.inputs.runTimes.estimateS(job.spec), objectives)
+		job.startDeadlines = startDeadlines(job.spec, this.inputs.runTimes.estimateS(job.spec), objectives)
 		job.rank = job.isQuarantined
 			? QUARANTINED_RANK
-			: queueRank(job.spec.priority, this.ageS(job), job.startBounds)
+			: queueRank(job.spec.priority, this.ageS(job), job.startDeadlines)
 	}
 
-	/** Jobs with tasks that may start now, in order. */
+	/** Jobs with tasks that may start now, in queue order. */
 	*waiting(now: number): Iterable<JobRun> {
 		for (const job of this.inOrder())
-			if (job.readyTasks.size > 0 && !job.isTerminal && !job.migrating && job.retryNotBefore <= now) yield job
+			if (job.readyTasks.size > 0 && !job.isTerminal && !job.migrating && job.pausedUntil <= now) yield job
 	}
 
-	/** Waiting jobs that are not quarantined: for these, room is made and machines are rented. */
+	/** Waiting jobs that are not quarantined: only for these are tasks preempted and machines reserved or rented. */
 	*waitingHealthy(now: number): Iterable<JobRun> {
 		for (const job of this.waiting(now)) if (!job.isQuarantined) yield job
 	}
 
-	/** Does any healthy job wait? */
+	/** Is any job waiting that is not quarantined? */
 	hasWaiting(now: number): boolean {
 		for (const _job of this.waitingHealthy(now)) return true
 		return false
--- a/packages/controller/src/scale-out-plan.ts
+++ b/packages/controller/src/scale-out-plan.ts
@@ -84,7 +84,7 @@
 const machinesPerTask = (state: ShardState, job: JobRun, runS: number, type: MachineType): number => {
 	const { spec } = job
 	const needsWholeSlot = spec.kind === 'gang' || priorityRank(spec.priority) >= priorityRank('urgent')
-	const weight = needsWholeSlot ? 1 : scaleOutWeight(runS, type.bootS, state.jobAgeS(job), job.startBounds)
+	const weight = needsWholeSlot ? 1 : scaleOutWeight(runS, type.bootS, state.jobAgeS(job), job.startDeadlines)
 	return weight / Math.max(1, tasksThatFit(spec, type))
 }
 
--- a/packages/controller/src/start-patience.ts
+++ b/packages/controller/src/start-patience.ts
@@ -10,6 +10,6 @@
 
 /** Age of a job, in seconds, from which machines are reserved or tasks are preempted for it. */
 export const startPatienceS = (state: ShardState, job: JobRun): number =>
-	job.startBounds.length > 0
-		? Math.min(...job.startBounds) * PATIENCE_SHARE_OF_START_BOUND
+	job.startDeadlines.length > 0
+		? Math.min(...job.startDeadlines) * PATIENCE_SHARE_OF_START_BOUND
 		: (state.config.limits.heartbeatMs * PATIENCE_HEARTBEATS) / 1000
--- a/packages/plugins/src/plugin-host.ts
+++ b/packages/plugins/src/plugin-host.ts
@@ -1,6 +1,6 @@
 /** The operators' plug-ins of one controller: the versions in their directory, and the checks of jobs by them. */
 import type { PluginSettings, PluginsSettings } from '@heathroad/config'
-import type { AdmissionChecks, CheckContext, CheckTerms, Verdict } from '@heathroad/controller'
+import type { AdmissionChecks, CheckContext, CheckSettings, Verdict } from '@heathroad/controller'
 import { type Admission, API, type Facts, type Job, type Release } from '@heathroad/plugin-api'
 import { PendingAdmission } from './pending-admission.js'
 import type { CallOptions } from './plugin-call.js'
@@ -192,11 +192,11 @@
 		return this.settings.plugins[name]
 	}
 
-	terms(name: string): CheckTerms | null {
+	checkSettings(name: string): CheckSettings | null {
 		const settings = this.settingsOf(name)
 		if (settings === undefined) return null
 		const grouped = this.slots.get(name)?.isGrouped ?? false
-		return { atMostMs: settings.maxHoldS * 1000, whenUnsure: settings.whenUnsure, grouped }
+		return { maxHoldMs: settings.maxHoldS * 1000, whenUnsure: settings.whenUnsure, grouped }
 	}
 
 	/**
@@ -252,7 +252,7 @@
 		return { ...facts, teamJobs: this.ports.teamJobs(job.team).slice(0, MAX_TEAM_JOBS) }
 	}
 
-	ask(name: string, job: Job, context: CheckContext, done: (verdict: Verdict) => void): void {
+	requestVerdict(name: string, job: Job, context: CheckContext, done: (verdict: Verdict) => void): void {
 		const slot = this.slots.get(name)
 		if (slot === undefined) {
 			done({ kind: 'unsure', why: 'no section', againMs: NO_SECTION_RETRY_MS })
--- a/tests/gate.test.ts
+++ b/tests/gate.test.ts
@@ -40,8 +40,8 @@
 	const checks: AdmissionChecks = {
 		required: () => [],
 		admit: (_spec, done) => done(null, []),
-		terms: () => ({ atMostMs: 600_000, whenUnsure: 'hold', grouped }),
-		ask: (_name, spec, context, done) => {
+		checkSettings: () => ({ maxHoldMs: 600_000, whenUnsure: 'hold', grouped }),
+		requestVerdict: (_name, spec, context, done) => {
 			askedUids.push(spec.uid)
 			done(answer(spec.uid, context.asked))
 		},
