--- a/packages/controller/src/admission-checks.ts
+++ b/packages/controller/src/admission-checks.ts
@@ -39,7 +39,7 @@
 	 * for a rejection or null, and with the checks that release the job already: recording these with the acceptance saves
 	 * a separate write.
 	 */
-	admit(spec: JobSpec, done: (refusal: string | null, released: readonly string[]) => void): void
+	admit(spec: JobSpec, done: (rejection: string | null, released: readonly string[]) => void): void
 	/** The settings of a check; null if it is not configured on this controller. */
 	checkSettings(name: string): CheckSettings | null
 	/** Requests a check's verdict on a job that is pending release. */
@@ -51,5 +51,5 @@
 	required: () => [],
 	admit: (_spec, done) => done(null, []),
 	checkSettings: () => null,
-	requestVerdict: (_name, _spec, _seen, done) => done({ kind: 'release' }),
+	requestVerdict: (_name, _spec, _context, done) => done({ kind: 'release' }),
 }
--- a/packages/controller/src/boot-time-estimator.ts
+++ b/packages/controller/src/boot-time-estimator.ts
@@ -4,7 +4,7 @@
 /** Boots kept per machine type: enough for a percentile, few enough to react to a period of slow boots. */
 const MAX_BOOTS = 20
 
-/** With fewer observed boots, the lower bound of the estimate is used. */
+/** Fewer observed boots are not enough for an estimate: its lower bound is used. */
 const MIN_BOOTS = 5
 
 /** Quantile of the observed boots that the estimate covers: all but rare outliers. */
@@ -13,7 +13,7 @@
 /** Safety factor on the observed boot times. */
 const SAFETY_FACTOR = 1.2
 
-/** Bounds of the estimate, as multiples of the nominal boot time: the longest usual boot, the slowest one covered. */
+/** Bounds of the estimate, as multiples of the nominal boot time: the longest usual and the slowest expected boot. */
 const MIN_RATIO = 1.8
 const MAX_RATIO = 6
 
@@ -49,7 +49,8 @@
 	/** Estimated boot time, as a multiple of the type's nominal boot time. */
 	private estimatedRatio(type: MachineType): number {
 		const ratios = [...(this.ratiosByType.get(type.name) ?? [])].sort((a, b) => a - b)
-		const covered = ratios.length < MIN_BOOTS ? 0 : ratios[Math.floor(ratios.length * COVERED_QUANTILE) - 1]
-		return Math.min(MAX_RATIO, Math.max(MIN_RATIO, covered * SAFETY_FACTOR))
+		const coveredRatio =
+			ratios.length < MIN_BOOTS ? 0 : ratios[Math.floor(ratios.length * COVERED_QUANTILE) - 1]
+		return Math.min(MAX_RATIO, Math.max(MIN_RATIO, coveredRatio * SAFETY_FACTOR))
 	}
 }
--- a/packages/controller/src/consolidation.ts
+++ b/packages/controller/src/consolidation.ts
@@ -73,7 +73,7 @@
 			const tasks: PackingTask[] = []
 			for (const attempt of machine.attempts.values()) {
 				if (attempt.state === 'exited') continue
-				const task = this.toPackedTask(attempt, now)
+				const task = this.toPackingTask(attempt, now)
 				tasks.push(task)
 				if (attempt.job !== null) jobsByTask.set(task, attempt.job)
 			}
@@ -89,7 +89,7 @@
 		return { machines, jobsByTask }
 	}
 
-	private toPackedTask(attempt: Attempt, now: number): PackingTask {
+	private toPackingTask(attempt: Attempt, now: number): PackingTask {
 		const { job, resources } = attempt
 		// Nothing is known about a task whose job belongs to another shard: it stays.
 		if (job === null) return { need: resources, leftS: 0, moveS: null }
--- a/packages/controller/src/failure-detector.ts
+++ b/packages/controller/src/failure-detector.ts
@@ -1,4 +1,4 @@
-/** Failure detection: tells failed machines from network partitions by their missed heartbeats. */
+/** Failure detection: distinguishes failed machines from network partitions by missed heartbeats. */
 import type { LeadershipStatus } from '@heathroad/cluster'
 import type { Machine } from './model.js'
 import { MAX_MISSED_HEARTBEATS, type ShardState } from './state.js'
--- a/packages/controller/src/inherited-boots.ts
+++ b/packages/controller/src/inherited-boots.ts
@@ -7,7 +7,7 @@
 /**
  * Machines that were booting when this controller first read the records, which do not hold the start of a boot. Each
  * new owner would wait the full boot time again for a machine that never boots. Only the age of a job outlives all
- * owners: it limits how long the job can have waited for these machines.
+ * owners: it bounds how long the job can have waited for these machines.
  */
 export class InheritedBoots {
 	private readonly machines = new Set<Machine>()
