--- a/packages/controller/src/takeover-reconciler.ts
+++ b/packages/controller/src/takeover-reconciler.ts
@@ -1,5 +1,5 @@
 /** Reconciliation after a takeover: finds out what runs where; no old task is restarted before it is complete. */
-import { RangeSet, reconcilePatienceMs } from '@heathroad/policy'
+import { RangeSet, reconciliationWaitMs } from '@heathroad/policy'
 import type { Heartbeat } from '@heathroad/wire'
 import type { JobRun, Machine } from './model.js'
 import type { Scheduler } from './scheduler.js'
@@ -131,7 +131,7 @@
 		for (const machine of missing) this.probe(machine)
 		const { heartbeatMs, controllerLeaseMs } = this.state.config.limits
 		const maxWaitMs = Math.min(heartbeatMs * MAX_MISSING_MACHINE_WAIT_HEARTBEATS, controllerLeaseMs)
-		const waitMs = reconcilePatienceMs(missing.length, this.state.machines.size, maxWaitMs)
+		const waitMs = reconciliationWaitMs(missing.length, this.state.machines.size, maxWaitMs)
 		if (waitMs === null || now - this.takenOverAt <= waitMs) return
 		if (this.state.dependencies.leadership() !== 'lease' || this.state.dependencies.availableCloudCalls() < 1)
 			return
