--- a/packages/cluster/src/cancellation-log.ts
+++ b/packages/cluster/src/cancellation-log.ts
@@ -1,25 +1,25 @@
-/** Which jobs the records call cancelled, by the revision at which that became durable. */
+/** The cancelled jobs, each with the revision at which its cancellation became durable. */
 
-/** A cancelled job, and the revision of the change that made that durable. */
+/** A cancelled job, and the revision at which the cancellation became durable. */
 export interface CancelledJob {
 	uid: string
 	revision: number
 }
 
-/** Entries above the maximum that are kept until the next trim, as a factor: trimming sorts, so it is done in batches. */
+/** The log is trimmed once it exceeds the maximum by this factor: trimming sorts, so it is done in batches. */
 const TRIM_THRESHOLD = 1.25
 
 /**
- * Cancellations for owners that are cut off from the state service, by revision, however long ago they were. An owner
- * that stood still, or whose peers have restarted, may have missed one of long before (incident 21).
+ * Cancellations for shard owners that are partitioned from the state service. Entries don't expire by age: an owner that
+ * was suspended, or whose peers have restarted, may have missed an old cancellation (incident 21).
  */
 export class CancellationLog {
 	private readonly cancellations = new Map<string, { revision: number; knownSince: number }>()
-	/** Of the changes up to this revision, some cancellations may not be kept. */
+	/** Cancellations up to this revision may be missing from the log. */
 	private incompleteUpTo = -1
 
 	/**
-	 * @param maxEntries how many cancellations are kept, and sent at one time
+	 * @param maxEntries maximum number of cancellations that are kept, and sent in one message
 	 * @param now steady clock, in ms
 	 */
 	constructor(
@@ -27,7 +27,7 @@
 		private readonly now: () => number,
 	) {}
 
-	/** The records, as of now, call a job cancelled. */
+	/** Adds a job that the records show as cancelled; known jobs are ignored. */
 	record(uid: string, revision: number): void {
 		if (this.cancellations.has(uid)) return
 		this.cancellations.set(uid, { revision, knownSince: this.now() })
@@ -42,12 +42,12 @@
 		}
 	}
 
-	/** A full read as of a revision does not show every cancellation of before. */
+	/** Must be called after a full read at the revision, which may not show all earlier cancellations. */
 	markIncompleteUpTo(revision: number): void {
 		this.incompleteUpTo = Math.max(this.incompleteUpTo, revision)
 	}
 
-	/** All cancellations that became durable after a revision; null: not all of them are kept. */
+	/** All cancellations that became durable after the revision; null if some of them are no longer kept. */
 	since(revision: number): CancelledJob[] | null {
 		if (revision < this.incompleteUpTo) return null
 		const newer: CancelledJob[] = []
@@ -56,7 +56,7 @@
 		return newer
 	}
 
-	/** For how many ms a cancellation has been known here; infinite if it is older than those that are kept. */
+	/** Time in ms since the cancellation was recorded here; infinite if it is not in the log. */
 	knownForMs(uid: string): number {
 		const cancellation = this.cancellations.get(uid)
 		return cancellation === undefined ? Number.POSITIVE_INFINITY : this.now() - cancellation.knownSince
--- a/packages/cluster/src/controller-lease.ts
+++ b/packages/cluster/src/controller-lease.ts
@@ -1,22 +1,22 @@
-/** The lease that this controller holds at the state service, to which the keys of its shards are attached. */
+/** This controller's lease at the state service, to which the keys of its shards are attached. */
 import { Effect } from 'effect'
 import type { MembershipContext } from './membership-context.js'
-import { LEASE_RELIED_ON, LEASE_RENEWAL_INTERVAL, LEASE_RETRY_INTERVAL } from './membership-ratios.js'
+import { LEASE_RENEWAL_INTERVAL, LEASE_RETRY_INTERVAL, USABLE_LEASE_FRACTION } from './membership-ratios.js'
 
-/** What the rest of the membership does about changes of the lease. */
+/** Callbacks by which the rest of the membership reacts to changes of the lease. */
 export interface LeaseEvents {
 	ownsShards(): boolean
 	onGranted(): void
 	onExpired(): void
-	/** A grant or renewal failed or was withheld. */
+	/** A grant or renewal failed, or was not attempted. */
 	onFailed(): void
 }
 
-/** Grants, renews and loses the lease. */
+/** Obtains and renews the lease, and tracks until when it is valid. */
 export class ControllerLease {
-	/** null: none is held */
+	/** null if no lease is held */
 	leaseId: number | null = null
-	/** Steady time until which this controller may rely on the lease. */
+	/** Steady time until which this controller may act under the lease. */
 	private validUntil = 0
 
 	constructor(
@@ -24,12 +24,12 @@
 		private readonly events: LeaseEvents,
 	) {}
 
-	/** May this controller rely on its lease at that time? */
+	/** Whether this controller may act under its lease at the given steady time. */
 	isValid(now: number): boolean {
 		return now < this.validUntil
 	}
 
-	/** Gets a lease and renews it until the fiber is interrupted. */
+	/** Obtains a lease and renews it until the fiber is interrupted. */
 	maintain(): Effect.Effect<never> {
 		const durationMs = this.context.limits.controllerLeaseMs
 		return Effect.suspend(() => this.grantOrRenew()).pipe(
@@ -46,10 +46,10 @@
 	private grantOrRenew(): Effect.Effect<void, unknown> {
 		const { limits, cache } = this.context
 		const sentAt = this.context.now()
-		// The service counts the lease from when it carries out the request, which is later than when it was sent.
-		const validUntil = sentAt + limits.controllerLeaseMs * LEASE_RELIED_ON - limits.clockMarginMs
+		// The state service starts the lease when it executes the request, which is later than when it was sent.
+		const validUntil = sentAt + limits.controllerLeaseMs * USABLE_LEASE_FRACTION - limits.clockMarginMs
 		if (this.leaseId === null) return this.grant(validUntil)
-		// A controller that renews its lease and does not receive changes would withhold its shards from those who do.
+		// Renewing a lease without receiving changes would keep the shards from controllers that do receive them.
 		const isStale = cache.ageMs(sentAt) >= limits.maxStalenessMs
 		if (this.events.ownsShards() && isStale) return Effect.fail('stale')
 		return this.renew(this.leaseId, validUntil)
--- a/packages/cluster/src/field-names.ts
+++ b/packages/cluster/src/field-names.ts
@@ -1,9 +1,9 @@
 /**
- * Codecs for records and messages whose fields have other names in stored and sent data than in the code. Only the names
- * differ: the order of the fields is kept, and so are fields that a newer version added and this one does not know.
+ * Codecs for records and messages whose field names differ between the code and the stored or sent data. They preserve
+ * the order of the fields, and fields added by a newer version that this one doesn't know.
  */
 
-/** Pairs of a field's name in the code and its name in stored or sent data. */
+/** Field name in the code -> field name in stored or sent data. */
 type FieldNames = Readonly<Record<string, string>>
 
 type Fields = Record<string, unknown>
@@ -14,18 +14,18 @@
 	return result
 }
 
-/** Translates between the code's form of a record, `T`, and its stored or sent form. */
+/** Converts between `T`, a record as the code uses it, and its stored or sent form. */
 export interface FieldNameCodec<T extends object> {
 	encode(record: T): Record<string, unknown>
-	/** The caller has validated the stored form. The same stored object always gives the same decoded object. */
+	/** The caller must have validated the stored form. Decoding the same object again returns the same result. */
 	decode(stored: Record<string, unknown>): T
 }
 
-/** Makes a codec from the fields whose names differ; all other fields keep their names. */
+/** Creates a codec that renames the given fields and leaves all others as they are. */
 export const fieldNameCodec = <T extends object>(names: FieldNames): FieldNameCodec<T> => {
 	const toStored = new Map(Object.entries(names))
 	const toCode = new Map(Object.entries(names).map(([code, stored]) => [stored, code]))
-	// Records are read far more often than they change: each stored object is decoded once.
+	// Records are read far more often than they change, so each stored object is decoded only once.
 	const decoded = new WeakMap<object, T>()
 	return {
 		encode: (record) => renameFields(record as Fields, toStored),
--- a/packages/cluster/src/gossip.ts
+++ b/packages/cluster/src/gossip.ts
@@ -1,4 +1,4 @@
-/** Regular exchange of status messages between controllers, and what follows from it: who is alive and who may own shards. */
+/** Periodic exchange of status messages between controllers, used for failure detection and to find new shard owners. */
 import { Effect } from 'effect'
 import type { MembershipContext } from './membership-context.js'
 import { LIVENESS_TIMEOUT } from './membership-ratios.js'
@@ -9,22 +9,22 @@
 export interface Peer {
 	name: string
 	address: string
-	/** Steady time of its latest message. */
+	/** Steady time at which its latest message arrived. */
 	lastSeen: number
-	/** Its latest status; null: none was received. */
+	/** Its latest status; null if none was received. */
 	status: PeerStatus | null
 }
 
-/** Status of a peer that could own one more shard right now. */
+/** Status of a peer that can take another shard: it holds a lease. */
 export type EligibleStatus = PeerStatus & { leaseId: number }
 
 const holdsLease = (status: PeerStatus): status is EligibleStatus => status.leaseId !== null
 
-/** Exchanges statuses with all peers and keeps their latest. */
+/** Exchanges statuses with all peers and keeps the latest of each. */
 export class Gossip {
 	readonly peers: Peer[]
 
-	/** `localStatus`: this controller's own status at the moment. */
+	/** @param localStatus returns this controller's current status */
 	constructor(
 		private readonly context: MembershipContext,
 		private readonly localStatus: () => PeerStatus,
@@ -36,7 +36,7 @@
 		}))
 	}
 
-	/** Sends this controller's status to every peer; each answers with its own. */
+	/** Sends this controller's status to every peer; each responds with its own. */
 	sendStatus(): void {
 		const message = encodePeerStatus(this.localStatus())
 		for (const peer of this.peers)
@@ -47,7 +47,7 @@
 			)
 	}
 
-	/** Answers a peer's status message with this controller's own status. */
+	/** Handles a peer's status message; returns this controller's own status as the response. */
 	answerStatus(message: unknown): unknown {
 		this.onStatusMessage(message)
 		return encodePeerStatus(this.localStatus())
@@ -66,26 +66,26 @@
 		return this.peers.find((peer) => peer.name === name)
 	}
 
-	/** Failure detection: was the peer heard from lately? */
+	/** Failure detection: whether a message of the peer arrived within `LIVENESS_TIMEOUT`. */
 	isAlive(name: string): boolean {
 		const peer = this.find(name)
 		const timeoutMs = this.context.limits.controllerLeaseMs * LIVENESS_TIMEOUT
 		return peer !== undefined && this.context.now() - peer.lastSeen < timeoutMs
 	}
 
-	/** Is a shard among those whose machines the named controller does not hear? */
+	/** Whether the named controller reports that it receives no heartbeats from most of the shard's machines. */
 	reportsUnreachable(name: string, shardId: number): boolean {
 		return this.find(name)?.status?.unreachableShards.includes(shardId) ?? false
 	}
 
-	/** A peer's status if it could own one more shard right now. */
+	/** The peer's status if it is alive, ready and holds a lease, and so can take another shard; else null. */
 	eligibleStatus(name: string): EligibleStatus | null {
 		const status = this.find(name)?.status
 		if (!status?.ready || !holdsLease(status) || !this.isAlive(status.name)) return null
 		return status
 	}
 
-	/** Statuses of all peers that could own one more shard right now. */
+	/** Statuses of all peers that can take another shard. */
 	eligibleStatuses(): EligibleStatus[] {
 		return this.peers
 			.map((peer) => this.eligibleStatus(peer.name))
--- a/packages/cluster/src/handoff.ts
+++ b/packages/cluster/src/handoff.ts
@@ -1,4 +1,4 @@
-/** Handing owned shards to other controllers: failback to the home controller, handoff of unreachable shards, draining. */
+/** Handoff of owned shards to other controllers: failback to the home controller, unreachable machines, draining. */
 import { KEY_PREFIX } from '@heathroad/store'
 import { Effect } from 'effect'
 import type { EligibleStatus, Gossip } from './gossip.js'
@@ -6,7 +6,7 @@
 import {
 	FAILBACK_STABILITY,
 	HANDOFF_SETTLE_DELAY,
-	HANDOFF_STORE_CONTACT,
+	HANDOFF_STORE_CONTACT_WINDOW,
 	MAX_WAIT_FOR_QUIESCENCE,
 	MIN_OWNER_LOOKUPS,
 	UNREACHABLE_PER_LOOKUP,
@@ -19,23 +19,23 @@
 export interface HandoffDependencies {
 	readonly ownership: ShardOwnership
 	readonly gossip: Gossip
-	/** Does this controller hold a valid lease and know the records? */
+	/** Whether this controller holds a valid lease and its copy of the records is recent enough. */
 	hasLease(): boolean
-	/** Did the state service answer within the time? */
+	/** Whether the state service responded within the last `ms` milliseconds. */
 	reachedStoreWithin(ms: number): boolean
 }
 
-/** Decides when owned shards go to other controllers, and hands them off. */
+/** Decides when to hand off owned shards, and to which controller, and carries the handoffs out. */
 export class Handoff {
 	constructor(
 		private readonly context: MembershipContext,
 		private readonly dependencies: HandoffDependencies,
 	) {}
 
-	/** Hands one shard back to its home controller, if that has been up and ready for a while. */
+	/** Hands one shard back to its home controller, if that has been up and ready for long enough. */
 	failBack(): void {
 		if (!this.mayHandOff()) return
-		for (const shard of this.ownedShards()) {
+		for (const shard of this.snapshotOwnedShards()) {
 			const home = this.context.limits.controllerNames[shard.shardId]
 			if (home === this.context.limits.self) continue
 			const status = this.dependencies.gossip.eligibleStatus(home)
@@ -45,7 +45,7 @@
 		}
 	}
 
-	/** Has the home controller been up, and the shard been owned here, for long enough to change hands again? */
+	/** Whether the home controller has been up, and this controller has owned the shard, for long enough for a failback. */
 	private isStable(shard: OwnedShard, home: EligibleStatus): boolean {
 		const { limits, events } = this.context
 		const stableMs = limits.controllerLeaseMs * FAILBACK_STABILITY
@@ -55,15 +55,16 @@
 	}
 
 	/**
-	 * Cut off from the machines alone, this controller would keep its lease while no heartbeat reaches it, nobody takes over,
-	 * and all agent leases expire. That most machines of a shard are silent here while they ask a peer for their owner is
-	 * evidence enough to hand the shard to the peer; machines that are cut off themselves reach nobody. Not twice within an
-	 * agent lease, or the shards of a zone that is cut in two would change hands for ever.
+	 * Hands off one shard whose machines reach a peer but not this controller. A controller that is partitioned only from
+	 * the machines would otherwise keep its lease without receiving heartbeats, until all agent leases expire. The evidence
+	 * is that most machines of the shard are silent here while some look up their owner at the peer; machines that are
+	 * partitioned themselves reach no controller. A shard is handed off at most once per agent lease: the shards of a zone
+	 * that is split in two would otherwise be handed back and forth indefinitely.
 	 */
 	handOffUnreachableShards(): void {
 		if (!this.mayHandOff()) return
 		const { events, limits, availability } = this.context
-		for (const shard of this.ownedShards()) {
+		for (const shard of this.snapshotOwnedShards()) {
 			const unreachable = events.unreachableMachines(shard.shardId)
 			if (unreachable === 0 || this.ownedForMs(shard) < limits.agentLeaseMs) continue
 			const lookups = (status: EligibleStatus) => status.ownerLookups[shard.shardId] ?? 0
@@ -73,21 +74,21 @@
 				.at(0)
 			if (best === undefined || lookups(best) < MIN_OWNER_LOOKUPS) continue
 			if (lookups(best) * UNREACHABLE_PER_LOOKUP < unreachable) continue
-			availability.cutFromWorkers = true
+			availability.partitionedFromMachines = true
 			this.handOff(shard, best, `its machines reach ${best.name} and not us`)
 			return
 		}
 	}
 
 	/**
-	 * Hands off every shard of a draining controller, to its home controller or to the peer that owns the fewest shards. A
-	 * shard whose machines are not all accounted for stays until they are, since its next owner would have to wait for them;
-	 * with `atOnce` it is handed off all the same.
+	 * Hands off every shard of a draining controller, to its home controller or else to the peer that owns the fewest
+	 * shards. A shard that is not quiescent stays until all its machines are accounted for, since its next owner would have
+	 * to wait for them; `atOnce` hands it off regardless.
 	 */
 	handOffAll(atOnce: boolean): void {
 		if (!this.context.availability.draining || !this.mayHandOff()) return
 		const shardCounts = this.shardCounts()
-		for (const shard of this.ownedShards()) {
+		for (const shard of this.snapshotOwnedShards()) {
 			if (!atOnce && !this.context.events.isQuiescent(shard.shardId)) continue
 			const home = this.context.limits.controllerNames[shard.shardId]
 			const rank = ({ name }: EligibleStatus) => (name === home ? -1 : (shardCounts.get(name) ?? 0))
@@ -101,7 +102,7 @@
 		}
 	}
 
-	/** Controller -> how many shards it owns. */
+	/** Controller -> number of shards it owns. */
 	private shardCounts(): Map<string, number> {
 		const counts = new Map<string, number>()
 		for (let shardId = 0; shardId < this.context.limits.controllerNames.length; shardId++) {
@@ -111,8 +112,8 @@
 		return counts
 	}
 
-	/** A copy, since handoffs change the map. */
-	private ownedShards(): OwnedShard[] {
+	/** A copy of the list, since handoffs change the map during the iteration. */
+	private snapshotOwnedShards(): OwnedShard[] {
 		return [...this.dependencies.ownership.ownedShards.values()]
 	}
 
@@ -120,9 +121,9 @@
 		return this.context.now() - shard.acquiredAt
 	}
 
-	/** Only while the state service answers: a handoff that it does not confirm costs the shard more than it gains. */
+	/** Requires a state service that responds: an unconfirmed handoff costs the shard more than it gains. */
 	private mayHandOff(): boolean {
-		const contactMs = this.context.limits.controllerLeaseMs * HANDOFF_STORE_CONTACT
+		const contactMs = this.context.limits.controllerLeaseMs * HANDOFF_STORE_CONTACT_WINDOW
 		return this.dependencies.hasLease() && this.dependencies.reachedStoreWithin(contactMs)
 	}
 
@@ -142,7 +143,7 @@
 					onFailure: () => {},
 				}),
 				Effect.andThen(Effect.sleep(limits.controllerLeaseMs * HANDOFF_SETTLE_DELAY)),
-				// A handoff that was not carried out leaves the key as it was: then the shard is acquired again here, under a
+				// A handoff that was not applied leaves the key unchanged, and this controller acquires the shard again under a
 				// new fencing token.
 				Effect.map(() => ownership.endTransition(shardId)),
 			),
--- a/packages/cluster/src/index.ts
+++ b/packages/cluster/src/index.ts
@@ -1,4 +1,4 @@
-/** Shards, their owners, and the records that controllers share. */
+/** Cluster membership: shard ownership, and the records that controllers share through the state service. */
 export * from './cancellation-log.js'
 export * from './job-registry.js'
 export * from './machine-groups.js'
--- a/packages/cluster/src/job-registry.ts
+++ b/packages/cluster/src/job-registry.ts
@@ -1,4 +1,4 @@
-/** The jobs of all shards, as the records in the watch cache tell them. */
+/** Registry of the jobs of all shards, built from the records in the watch cache. */
 import type { CacheEntry, WatchCache } from '@heathroad/store'
 import type { CancelledJob } from './cancellation-log.js'
 import {
@@ -18,16 +18,16 @@
 } from './records.js'
 import { decodeTerminalPage, type TerminalJob, terminalJobRecord, toTerminalJob } from './terminal-pages.js'
 
-/** A job whose terminal state is on a page. */
+/** A job whose terminal state is on a terminal page. */
 interface JobOnPage {
 	record: JobRecord
-	/** Revision of the change that made the state durable. */
+	/** Revision at which the state became durable. */
 	revision: number
 	/** Key of the page. */
 	key: string
 }
 
-/** Jobs on a page in their order; `revision`: of the change that made the job's state durable. */
+/** Jobs on a page in their stored order; `revision`: at which the job's state became durable. */
 function* jobsOnPage(
 	entry: CacheEntry | undefined,
 ): Iterable<{ job: TerminalJob; shardId: number; revision: number }> {
@@ -39,33 +39,33 @@
 }
 
 /**
- * Jobs are accepted in batches, and get a key of their own with their first progress, which then takes precedence.
- * Terminal states are on pages of their shards, and take precedence over everything. If two batches accept the same job,
- * because a user's retry reached another controller, every controller follows the earlier one: changes are seen in the
- * order of their revisions, and nobody acts on an acceptance before having seen all that came earlier.
+ * Jobs are accepted in batches and get a key of their own with their first progress, which then takes precedence. Terminal
+ * states are on pages of their shards and take precedence over all other records. If two batches accept the same job,
+ * because a user's retry reached another controller, every controller uses the earlier one: changes are applied in the
+ * order of their revisions, and no controller acts on an acceptance before it has applied all earlier changes.
  */
 export class JobRegistry {
 	private readonly accepted = new Map<string, AcceptedJobRecord>()
 	private readonly terminalJobs = new Map<string, JobOnPage>()
 	/**
-	 * Job -> revision of its cancellation, of which peers informed this controller and which the watch cache has yet to
-	 * show: a read that is older must not open the job again.
+	 * Job -> revision of its cancellation, as reported by peers and not yet shown by the watch cache. An older read must
+	 * not reopen the job.
 	 */
-	private readonly cancelledByPeers = new Map<string, number>()
-	/** Jobs that are no longer on a page: moved to another one by the same change, or archived. */
-	private leftPages: { uid: string; key: string }[] = []
-	/** Ids of jobs that are not over. */
+	private readonly peerCancellations = new Map<string, number>()
+	/** Jobs that were removed from a page: moved to another one by the same change, or archived. */
+	private removedFromPages: { uid: string; key: string }[] = []
+	/** Ids of jobs that are not terminal. */
 	readonly openJobs = new Set<string>()
 
 	constructor(private readonly cache: WatchCache) {}
 
-	/** A job's record, and the mod revision that its own key must still have for a write. */
+	/** A job's record, and the mod revision of its own key on which a write must be conditional. */
 	get(uid: string): { record: JobRecord; modRevision: number } | undefined {
 		const ownEntry = this.cache.get(jobKey(uid))
 		const record =
 			this.terminalJobs.get(uid)?.record ?? decodeJobRecord(ownEntry?.data) ?? this.accepted.get(uid)
 		if (record === undefined) return undefined
-		const isCancelled = record.finalState === undefined && this.cancelledByPeers.has(uid)
+		const isCancelled = record.finalState === undefined && this.peerCancellations.has(uid)
 		return {
 			record: isCancelled ? this.cancelledRecord(uid, record) : record,
 			modRevision: ownEntry?.modRevision ?? 0,
@@ -79,21 +79,21 @@
 	}
 
 	/**
-	 * Peers informed this controller of cancellations that the watch cache may not show yet; returns the jobs that are
-	 * cancelled here by that.
+	 * Applies cancellations that peers reported and that the watch cache may not show yet; returns the ids of the jobs that
+	 * were not known to be cancelled.
 	 */
 	applyPeerCancellations(cancellations: readonly CancelledJob[]): string[] {
 		const unknown = cancellations.filter(
-			({ uid, revision }) => revision > this.cache.revision && !this.cancelledByPeers.has(uid),
+			({ uid, revision }) => revision > this.cache.revision && !this.peerCancellations.has(uid),
 		)
 		for (const { uid, revision } of unknown) {
-			this.cancelledByPeers.set(uid, revision)
+			this.peerCancellations.set(uid, revision)
 			this.openJobs.delete(uid)
 		}
 		return unknown.map(({ uid }) => uid)
 	}
 
-	/** The record of a job that is over, and the revision of the change that made its state durable. */
+	/** The record of a terminal job, and the revision at which its state became durable. */
 	terminalRecord(uid: string): { record: JobRecord; revision: number } | undefined {
 		const onPage = this.terminalJobs.get(uid)
 		if (onPage !== undefined) return onPage
@@ -104,7 +104,7 @@
 		return { record, revision: ownEntry.modRevision }
 	}
 
-	/** Ids of all jobs that the records in memory hold. */
+	/** Ids of all jobs that are in the records in memory. */
 	*knownIds(): Iterable<string> {
 		for (const [key] of this.cache.withPrefix(JOB_PREFIX)) {
 			const uid = uidOfJobKey(key)
@@ -114,34 +114,34 @@
 		yield* this.terminalJobs.keys()
 	}
 
-	/** Does a page hold its terminal state? */
+	/** Whether the job's terminal state is on a page. */
 	isOnTerminalPage(uid: string): boolean {
 		return this.terminalJobs.has(uid)
 	}
 
-	/** How many terminal states are held in memory. */
+	/** Number of terminal states on pages in memory. */
 	get terminalCount(): number {
 		return this.terminalJobs.size
 	}
 
-	/** A job's own key changed. Returns false if the job is over by other records and the change has no effect. */
+	/** Handles a change of a job's own key; returns false if other records make the job terminal and it has no effect. */
 	onJobRecordChanged(uid: string, record: JobRecord): boolean {
 		this.accepted.delete(uid)
 		if (this.terminalJobs.has(uid)) return false
-		if (record.finalState === undefined && this.cancelledByPeers.has(uid)) return false
+		if (record.finalState === undefined && this.peerCancellations.has(uid)) return false
 		if (record.finalState === undefined) this.openJobs.add(uid)
 		else this.openJobs.delete(uid)
 		return true
 	}
 
-	/** A batch of accepted jobs appeared; returns those that were not known before. */
+	/** Handles a new accepted batch; returns the jobs in it that were not known before. */
 	onBatchAccepted(data: unknown): JobRecord[] {
 		const added: JobRecord[] = []
 		for (const record of decodeAcceptedBatch(data) ?? []) {
 			const { uid } = record.spec
 			if (this.get(uid) !== undefined) continue
 			this.accepted.set(uid, record)
-			if (this.cancelledByPeers.has(uid)) continue
+			if (this.peerCancellations.has(uid)) continue
 			this.openJobs.add(uid)
 			added.push(record)
 		}
@@ -149,28 +149,28 @@
 	}
 
 	/**
-	 * A page of terminal states changed; returns the jobs that memory did not know for over before, with the revisions at
-	 * which their states became durable. These may be much older than the change: states move to pages from own keys that a
-	 * full read left out.
+	 * Handles a change of a terminal page; returns the jobs that were not known to be terminal, with the revisions at which
+	 * their states became durable. These may be much older than the change, since pages also receive states from jobs' own
+	 * keys, which a full read may have omitted.
 	 */
 	onTerminalPageChanged(
 		key: string,
 		entry: CacheEntry | undefined,
-		before: CacheEntry | undefined,
+		previous: CacheEntry | undefined,
 	): { uid: string; record: JobRecord; revision: number }[] {
 		const uidsOnPage = new Set<string>()
-		const newlyOver: { uid: string; record: JobRecord; revision: number }[] = []
+		const newlyTerminal: { uid: string; record: JobRecord; revision: number }[] = []
 		for (const { job, shardId, revision } of jobsOnPage(entry)) {
 			uidsOnPage.add(job.uid)
 			const record = this.putOnPage(job, { shardId, revision, key })
-			if (record !== null) newlyOver.push({ uid: job.uid, record, revision })
+			if (record !== null) newlyTerminal.push({ uid: job.uid, record, revision })
 		}
-		for (const { jobs } of decodeTerminalPage(before?.data)?.batches ?? [])
-			for (const { uid } of jobs) if (!uidsOnPage.has(uid)) this.leftPages.push({ uid, key })
-		return newlyOver
+		for (const { jobs } of decodeTerminalPage(previous?.data)?.batches ?? [])
+			for (const { uid } of jobs) if (!uidsOnPage.has(uid)) this.removedFromPages.push({ uid, key })
+		return newlyTerminal
 	}
 
-	/** Returns the job's record if it was not over before; else null. */
+	/** Returns the job's record if it was not terminal before; else null. */
 	private putOnPage(
 		job: TerminalJob,
 		{ shardId, revision, key }: { shardId: number; revision: number; key: string },
@@ -180,42 +180,42 @@
 			onPage.key = key
 			return null
 		}
-		const wasOver = this.terminalRecord(job.uid) !== undefined
+		const wasTerminal = this.terminalRecord(job.uid) !== undefined
 		const record = terminalJobRecord(shardId, job)
 		this.terminalJobs.set(job.uid, { record, revision, key })
 		this.accepted.delete(job.uid)
 		this.openJobs.delete(job.uid)
-		return wasOver ? null : record
+		return wasTerminal ? null : record
 	}
 
-	/** Must be called when everything up to a revision is applied; returns the jobs whose states left memory. */
-	dropJobsThatLeftPages(): string[] {
-		for (const [uid, revision] of this.cancelledByPeers)
-			if (revision <= this.cache.revision) this.cancelledByPeers.delete(uid)
-		if (this.leftPages.length === 0) return []
-		const dropped = this.leftPages
+	/** Must be called once everything up to a revision is applied; returns the jobs whose states were dropped from memory. */
+	dropJobsRemovedFromPages(): string[] {
+		for (const [uid, revision] of this.peerCancellations)
+			if (revision <= this.cache.revision) this.peerCancellations.delete(uid)
+		if (this.removedFromPages.length === 0) return []
+		const dropped = this.removedFromPages
 			.filter(({ uid, key }) => this.terminalJobs.get(uid)?.key === key)
 			.map(({ uid }) => uid)
-		this.leftPages = []
+		this.removedFromPages = []
 		for (const uid of dropped) this.terminalJobs.delete(uid)
 		return dropped
 	}
 
 	/**
-	 * Must be called when a full read is applied; returns the ids of open jobs that no record names any more. An acceptance is
-	 * removed only once the job is over or has a key of its own, and that key only once the job is over: such a job is over,
-	 * and its terminal state left the records while changes were missed here.
+	 * Must be called when a full read is applied; drops the open jobs that are no longer in any record and returns their ids.
+	 * An acceptance is removed only once the job is terminal or has a key of its own, and that key only once the job is
+	 * terminal: such a job is terminal, and its state was archived while this controller missed changes.
 	 */
-	dropUnnamedJobs(): string[] {
+	dropUnrecordedJobs(): string[] {
 		const uidsInBatches = this.uidsInBatches()
-		const unnamed = [...this.openJobs].filter((uid) =>
+		const unrecorded = [...this.openJobs].filter((uid) =>
 			this.accepted.has(uid) ? !uidsInBatches.has(uid) : this.get(uid) === undefined,
 		)
-		for (const uid of unnamed) {
+		for (const uid of unrecorded) {
 			this.accepted.delete(uid)
 			this.openJobs.delete(uid)
 		}
-		return unnamed
+		return unrecorded
 	}
 
 	private uidsInBatches(): Set<string> {
@@ -225,12 +225,12 @@
 		return uids
 	}
 
-	/** Terminal states of one page, each with the revision of the change that made it durable. */
+	/** Terminal states of one page, each with the revision at which it became durable. */
 	*terminalJobsOnPage(key: string): Iterable<TerminalJob & { revision: number }> {
 		for (const { job, revision } of jobsOnPage(this.cache.get(key))) yield { ...job, revision }
 	}
 
-	/** Ids of jobs that records other than pages name, and would bring back if their terminal states were gone. */
+	/** Ids of jobs in records other than pages; these records would reopen the jobs if their terminal states were deleted. */
 	referencedIds(): Set<string> {
 		const uids = this.uidsInBatches()
 		for (const [key] of this.cache.withPrefix(JOB_PREFIX)) uids.add(uidOfJobKey(key))
@@ -239,8 +239,8 @@
 	}
 
 	/**
-	 * Records without effect: progress of jobs that are over, own records of jobs that are on pages, and batches whose jobs
-	 * are all over or have keys of their own.
+	 * Records without effect: progress of terminal jobs, own records of jobs that are on pages, and batches whose jobs are
+	 * all terminal or have keys of their own.
 	 */
 	*obsoleteEntries(): Iterable<[string, CacheEntry]> {
 		for (const [key, entry] of this.cache.withPrefix(PROGRESS_PREFIX))
@@ -251,23 +251,23 @@
 			if (this.isObsoleteBatch(entry.data)) yield [key, entry]
 	}
 
-	/** Are all jobs of a batch over, or have keys of their own? */
+	/** Whether all jobs of a batch are terminal or have keys of their own. */
 	isObsoleteBatch(data: unknown): boolean {
 		return (decodeAcceptedBatch(data) ?? []).every(({ spec }) => !this.accepted.has(spec.uid))
 	}
 
 	/**
-	 * Jobs that are not over and are in a batch with jobs that are over since before a revision: the batch cannot be removed
-	 * until they have keys of their own. One that runs for weeks would keep a dozen others in memory.
+	 * Open jobs in batches with other jobs that became terminal before a revision. Such a batch cannot be removed until the
+	 * open jobs have keys of their own: one that runs for weeks would keep a dozen others in memory.
 	 */
 	*jobsPinningBatches(untilRevision: number): Iterable<[string, JobRecord]> {
-		const isOver = ({ spec }: AcceptedJobRecord) => {
+		const isTerminal = ({ spec }: AcceptedJobRecord) => {
 			const onPage = this.terminalJobs.get(spec.uid)
 			return onPage !== undefined && onPage.revision < untilRevision
 		}
 		for (const [, entry] of this.cache.withPrefix(ACCEPTED_BATCH_PREFIX)) {
 			const records = decodeAcceptedBatch(entry.data) ?? []
-			if (!records.some(isOver)) continue
+			if (!records.some(isTerminal)) continue
 			for (const { spec } of records) {
 				const accepted = this.accepted.get(spec.uid)
 				if (accepted !== undefined && this.openJobs.has(spec.uid)) yield [spec.uid, accepted]
--- a/packages/cluster/src/membership-context.ts
+++ b/packages/cluster/src/membership-context.ts
@@ -1,4 +1,4 @@
-/** What the parts of a controller's membership share: configuration, clients, clock, callbacks and status flags. */
+/** Context shared by the modules of a controller's membership: configuration, clients, clock, callbacks and flags. */
 import type { DerivedLimits } from '@heathroad/config'
 import type { Log } from '@heathroad/logging'
 import type { StoreClient, WatchCache } from '@heathroad/store'
@@ -7,12 +7,12 @@
 import type { PeerStatus } from './peer-status.js'
 
 /**
- * What a controller may do for its shards at this moment. `lease`: it holds a valid lease and knows the records;
- * `promise`: all peers have promised not to take over its shards; `none`: it must not act.
+ * Basis on which a controller may currently act for its shards. `lease`: it holds a valid lease and its copy of the records
+ * is recent enough; `promise`: all peers have promised not to take over its shards; `none`: it must not act.
  */
 export type LeadershipStatus = 'lease' | 'promise' | 'none'
 
-/** The part of a controller's status that its service supplies. */
+/** The fields of a controller's status that its service provides. */
 export type ServiceStatus = Pick<
 	PeerStatus,
 	| 'runningTasks'
@@ -25,32 +25,32 @@
 	| 'supportsArchive'
 >
 
-/** Callbacks of the service to which a membership belongs. */
+/** Callbacks to the service that the membership belongs to. */
 export interface MembershipEvents {
 	onShardAcquired(shardId: number, fencingToken: number): void
 	onShardLost(shardId: number, why: string): void
-	/** Is the shard quiet enough to change hands? */
+	/** Whether the shard is reconciled and none of its machines is missing heartbeats, so that a handoff is cheap. */
 	isQuiescent(shardId: number): boolean
-	/** Machines of a shard whose heartbeat is long overdue, if they are most of the shard; else 0. */
+	/** Number of the shard's machines whose heartbeat is long overdue, if they are the majority; else 0. */
 	unreachableMachines(shardId: number): number
 	localStatus(): ServiceStatus
 	onPeerStatus(status: PeerStatus): void
-	/** Jobs cancelled after a revision, for a peer cut off from the state service; null: not all of them are known. */
+	/** Jobs cancelled after a revision, for a peer partitioned from the state service; null if some may be missing. */
 	cancellationsSince(revision: number): CancelledJob[] | null
-	/** A peer sent the cancellations it knows while this controller is cut off from the state service. */
+	/** A peer sent the cancellations it knows, while this controller is partitioned from the state service. */
 	applyCancellations(cancellations: readonly CancelledJob[]): void
 	log: Log
 }
 
-/** Reasons for which a controller does not receive shards. */
+/** Conditions under which a controller does not receive shards. */
 export interface Availability {
-	/** A shard was handed off because its machines reach others and not this controller, and none has answered since. */
-	cutFromWorkers: boolean
-	/** The controller is about to end: its shards go to others, and it acquires none. */
+	/** A shard was handed off because its machines reach a peer but not this controller; none has responded since. */
+	partitionedFromMachines: boolean
+	/** The controller is shutting down: it hands off its shards and acquires none. */
 	draining: boolean
 }
 
-/** Dependencies of every part of a membership. */
+/** Dependencies of all modules of a membership. */
 export interface MembershipContext {
 	readonly limits: DerivedLimits
 	readonly cache: WatchCache
--- a/packages/cluster/src/membership-ratios.ts
+++ b/packages/cluster/src/membership-ratios.ts
@@ -1,61 +1,61 @@
 /**
- * Timing of membership, as fractions of configured durations. The durations scale with the deployment (seconds in
- * production, milliseconds in tests); the fractions keep their relations to each other.
+ * Membership timing, as fractions of configured durations. The durations depend on the deployment (seconds in production,
+ * milliseconds in tests); the fractions keep the intervals in proportion.
  */
 
 // ---- fractions of the controller lease (`controllerLeaseMs`) ----
 
-/** A renewal's interval: four of them may fail before the lease expires. */
+/** Interval of lease renewals: four may fail before the lease expires. */
 export const LEASE_RENEWAL_INTERVAL = 0.2
-/** Interval of attempts to get a lease, and of renewals after one that failed. */
+/** Retry interval after a failed renewal, and of attempts to obtain a lease. */
 export const LEASE_RETRY_INTERVAL = 0.06
-/** Part of the lease that its holder relies on: its clock may run slower than that of the state service. */
-export const LEASE_RELIED_ON = 0.999
-/** A tick that comes later than this means that the process stood still; ticks are far more frequent. */
+/** Part of the lease in which its holder acts: its clock may run slower than that of the state service. */
+export const USABLE_LEASE_FRACTION = 0.999
+/** A gap between ticks longer than this counts as a standstill of the process; ticks are far more frequent. */
 export const STANDSTILL_THRESHOLD = 0.2
-/** A peer is alive if it was heard from within this time: several gossip intervals. */
+/** A peer is alive if a message of it arrived within this time, which covers several gossip intervals. */
 export const LIVENESS_TIMEOUT = 0.6
 /** Timeout of a request to a peer. */
 export const PEER_REQUEST_TIMEOUT = 0.25
-/** Controllers that may acquire a free shard do so one after the other, this far apart. */
-export const ACQUIRE_STEP = 0.08
-/** An acquisition that got no answer blocks the next one for this long: it may still be applied. */
+/** Stagger between the controllers that may acquire a shard without an owner. */
+export const ACQUIRE_STAGGER = 0.08
+/** Delay before the next acquisition after one without a response, which may still be applied. */
 export const ACQUIRE_RETRY_DELAY = 0.1
-/** The home controller must be up, and the present owner own the shard, for this long before a failback. */
+/** Minimum time that the home controller was up, and the current owner has owned the shard, before a failback. */
 export const FAILBACK_STABILITY = 0.4
-/** The state service must have answered within this time for a handoff. */
-export const HANDOFF_STORE_CONTACT = 0.3
-/** After a handoff the shard is not acquired again for this long. */
+/** A handoff requires a response of the state service within this time. */
+export const HANDOFF_STORE_CONTACT_WINDOW = 0.3
+/** Time after a handoff in which the previous owner does not acquire the shard again. */
 export const HANDOFF_SETTLE_DELAY = 0.2
-/** A controller that reached the state service within this time makes no takeover promise. */
-export const PROMISE_STORE_CONTACT = 0.25
+/** A controller that reached the state service within this time refuses takeover promises. */
+export const PROMISE_STORE_CONTACT_WINDOW = 0.25
 
-// ---- steps of ACQUIRE_STEP ----
+// ---- multiples of ACQUIRE_STAGGER ----
 
-/** Steps for which others leave a free shard to its home controller while that is alive. */
+/** Head start of a live home controller when its shard has no owner. */
 export const HOME_HEAD_START_STEPS = 6
 
 // ---- fractions of the agent lease (`agentLeaseMs`) ----
 
-/** After a standstill, no shard is handed back for at most this long. */
-export const MAX_FAILBACK_BLOCK = 2
-/** A shard that is never quiescent is handed back after this long all the same. */
+/** Longest time after a standstill in which no shard is handed back. */
+export const MAX_FAILBACK_SUSPENSION = 2
+/** A shard that is never quiescent is handed back after this time regardless. */
 export const MAX_WAIT_FOR_QUIESCENCE = 2
 
 // ---- fractions of a takeover promise (`takeoverPromiseMs`) ----
 
-/** For how long the promising peer keeps it: longer than the receiver relies on it, as their clocks may differ in rate. */
-export const PROMISE_KEPT = 1.002
-/** For how long the receiver relies on it, from when it sent the request. */
-export const PROMISE_RELIED_ON = 0.998
-/** A new incarnation does not know its predecessor's promises: it waits for longer than any of them lasts. */
-export const PROMISE_OF_FORMER_INCARNATION = 1.01
-/** Added to that, in ms: resolution of the clocks and delays of timers, which do not scale. */
+/** Duration on the giving side: longer than on the receiving side, since the rates of their clocks may differ. */
+export const GIVEN_PROMISE_DURATION = 1.002
+/** Duration on the receiving side, counted from when it sent the request. */
+export const RECEIVED_PROMISE_DURATION = 0.998
+/** A new incarnation doesn't know the promises of the previous one, so it waits longer than any of them lasts. */
+export const PREVIOUS_INCARNATION_PROMISE = 1.01
+/** Added to `PREVIOUS_INCARNATION_PROMISE`, in ms: clock resolution and timer delays, which do not scale. */
 export const PROMISE_MARGIN_MS = 100
 
 // ---- evidence that a shard's machines reach a peer ----
 
-/** Machines of the shard that must have looked up their owner at the peer. */
+/** Minimum number of the shard's machines that have looked up their owner at the peer. */
 export const MIN_OWNER_LOOKUPS = 2
-/** One lookup stands for at most this many unreachable machines: only some of them ask within a gossip interval. */
+/** Unreachable machines that one lookup accounts for, at most: only some machines do a lookup per gossip interval. */
 export const UNREACHABLE_PER_LOOKUP = 8
--- a/packages/cluster/src/membership.ts
+++ b/packages/cluster/src/membership.ts
@@ -1,6 +1,6 @@
 /**
- * A controller's membership in the cluster: which shards it owns, what it may do for them, and what it knows of its peers.
- * Coordinates the lease, ownership, takeover promises, gossip and handoffs, each of which has a module of its own.
+ * A controller's membership in the cluster: the shards it owns, whether it may act for them, and the status of its peers.
+ * Coordinates the lease, ownership, takeover promises, gossip and handoffs, which have a module each.
  */
 import type { DerivedLimits } from '@heathroad/config'
 import type { StoreClient, WatchCache } from '@heathroad/store'
@@ -16,24 +16,24 @@
 import { StandstillDetector } from './standstill-detector.js'
 import { TakeoverPromises } from './takeover-promises.js'
 
-/** A shard's owner as far as is known. */
+/** A shard's owner according to the watch cache, with its status as known from gossip. */
 export interface KnownOwner {
 	name: string
-	/** Was it heard from lately? */
+	/** Whether a message of it arrived recently. */
 	alive: boolean
-	/** Does it hear the shard's machines, by its own account? */
-	hears: boolean
+	/** Whether it receives heartbeats from the shard's machines, according to its own status. */
+	receivesHeartbeats: boolean
 }
 
 const createIncarnation = (controller: string): string =>
 	`${controller}:${Date.now().toString(36)}${Math.floor(Math.random() * 1e9).toString(36)}`
 
 /**
- * Ownership of a shard is a key attached to the controller's lease. The right to act on it lasts from when the last
- * successful renewal was sent, for the lease's duration less a margin, on the steady clock.
+ * A controller owns a shard by a key that is attached to its lease. It may act as the owner for the lease's duration less
+ * a margin, counted on the steady clock from when the last successful renewal was sent.
  */
 export class Membership {
-	/** The lease at the state service. */
+	/** This controller's lease at the state service. */
 	readonly lease: ControllerLease
 	private readonly context: MembershipContext
 	private readonly standstill: StandstillDetector
@@ -52,7 +52,7 @@
 		events: MembershipEvents,
 	) {
 		const incarnation = createIncarnation(limits.self)
-		const availability = { cutFromWorkers: false, draining: false }
+		const availability = { partitionedFromMachines: false, draining: false }
 		this.context = { limits, cache, client, httpClient, now, events, incarnation, availability }
 		this.standstill = new StandstillDetector(this.context)
 		this.gossiping = new Gossip(this.context, () => this.localStatus())
@@ -99,17 +99,17 @@
 		})
 	}
 
-	/** Tells two runs of one controller apart. */
+	/** Id of this run of the controller. */
 	get incarnation(): string {
 		return this.context.incarnation
 	}
 
-	/** null: no lease is held */
+	/** null if no lease is held */
 	get leaseId(): number | null {
 		return this.lease.leaseId
 	}
 
-	/** Shards that this controller owns, by number. */
+	/** Shards that this controller owns, by shard id. */
 	get ownedShards(): ReadonlyMap<number, OwnedShard> {
 		return this.ownership.ownedShards
 	}
@@ -119,24 +119,24 @@
 		return this.gossiping.peers
 	}
 
-	/** Since when this process has run without standing still: its start, or the end of its last standstill. */
+	/** Steady time since which the process has run without interruption: its start, or the end of its last standstill. */
 	get runningSince(): number {
 		return this.standstill.runningSince
 	}
 
 	/**
-	 * A shard was handed off because its machines reach others and not this controller. No shard comes back until the caller
-	 * resets it, when a machine answers.
+	 * A shard was handed off because its machines reach a peer but not this controller. Until the caller resets the flag, when
+	 * a machine responds, this controller gets no shards back.
 	 */
-	get cutFromWorkers(): boolean {
-		return this.context.availability.cutFromWorkers
+	get partitionedFromMachines(): boolean {
+		return this.context.availability.partitionedFromMachines
 	}
 
-	set cutFromWorkers(value: boolean) {
-		this.context.availability.cutFromWorkers = value
+	set partitionedFromMachines(value: boolean) {
+		this.context.availability.partitionedFromMachines = value
 	}
 
-	/** This controller is about to end: its shards go to others, and it acquires none. */
+	/** This controller is shutting down: it hands off its shards and acquires none. */
 	get draining(): boolean {
 		return this.context.availability.draining
 	}
@@ -145,24 +145,24 @@
 		this.context.availability.draining = value
 	}
 
-	/** A request to the state service was answered, or failed. */
+	/** Must be called after every request to the state service. */
 	onStoreContact(answered: boolean): void {
 		if (answered) this.lastStoreContactAt = this.context.now()
 	}
 
-	/** Did the state service answer within the time? */
+	/** Whether the state service responded within the last `ms` milliseconds. */
 	reachedStoreWithin(ms: number): boolean {
 		return this.context.now() - this.lastStoreContactAt < ms
 	}
 
-	/** Must be called regularly, far more often than a standstill lasts. */
+	/** Must be called at intervals far shorter than the standstill threshold. */
 	detectStandstill(): void {
 		this.standstill.tick()
 	}
 
 	/**
-	 * What this controller may do for its shards. An owner that renews its lease while it receives no changes would never learn
-	 * of a cancellation (incident 21): it relies on its lease only if it knows the records as of not long ago.
+	 * Whether this controller may act for its shards, and on what basis. An owner that renews its lease but receives no changes
+	 * would never learn of a cancellation (incident 21), so the lease counts only while the watch cache is recent enough.
 	 */
 	leadership(now = this.context.now()): LeadershipStatus {
 		const { cache, limits } = this.context
@@ -171,50 +171,55 @@
 		return 'none'
 	}
 
-	/** The owner of a shard as far as is known; null: it has none. */
+	/** The shard's owner and its status; null if the shard has no owner. */
 	ownerOf(shardId: number): KnownOwner | null {
 		const name = this.ownership.ownerOf(shardId)
 		if (name === undefined) return null
-		if (name === this.context.limits.self) return { name, alive: this.ownedShards.has(shardId), hears: true }
-		return { name, alive: this.isAlive(name), hears: !this.gossiping.reportsUnreachable(name, shardId) }
+		if (name === this.context.limits.self)
+			return { name, alive: this.ownedShards.has(shardId), receivesHeartbeats: true }
+		return {
+			name,
+			alive: this.isAlive(name),
+			receivesHeartbeats: !this.gossiping.reportsUnreachable(name, shardId),
+		}
 	}
 
-	/** Was a peer heard from lately? */
+	/** Whether a message of the peer arrived recently. */
 	isAlive(name: string): boolean {
 		return this.gossiping.isAlive(name)
 	}
 
-	/** Gets a lease and renews it until the fiber is interrupted. */
+	/** Obtains a lease and renews it until the fiber is interrupted. */
 	maintainLease(): Effect.Effect<never> {
 		return this.lease.maintain()
 	}
 
-	/** Must be called for every change of a shard's key. */
+	/** Must be called on every change of a shard's key. */
 	onShardKeyChanged(shardId: number): void {
 		this.ownership.onShardKeyChanged(shardId)
 	}
 
-	/** Acquires every shard that this controller may acquire. Must be called regularly. */
+	/** Acquires all shards that this controller may acquire. Must be called periodically. */
 	acquireFreeShards(): void {
 		this.ownership.acquireFreeShards()
 	}
 
-	/** Hands one shard back to its home controller, if that has been up and ready for a while. */
+	/** Hands one shard back to its home controller, if that has been up and ready for long enough. */
 	failBack(): void {
 		this.handoff.failBack()
 	}
 
-	/** Hands off one shard whose machines reach a peer and not this controller. */
+	/** Hands off one shard whose machines reach a peer but not this controller. */
 	handOffUnreachableShards(): void {
 		this.handoff.handOffUnreachableShards()
 	}
 
-	/** Hands off all shards while `draining`; `atOnce`: also those that are not quiescent. */
+	/** Hands off all shards if `draining` is set; `atOnce` includes those that are not quiescent. */
 	handOffAll(atOnce: boolean): void {
 		this.handoff.handOffAll(atOnce)
 	}
 
-	/** Acquires every owned shard again, under new fencing tokens. */
+	/** Acquires all owned shards again, under new fencing tokens. */
 	reacquireAll(): void {
 		this.ownership.reacquireAll()
 	}
@@ -224,7 +229,7 @@
 		this.gossiping.sendStatus()
 	}
 
-	/** Answers a message of another controller; null: the path is unknown. */
+	/** Handles a request of another controller and returns the response; null if the path is unknown. */
 	handlePeerRequest(path: string, message: unknown): unknown {
 		if (path === STATUS_PATH) return this.gossiping.answerStatus(message)
 		if (path === PROMISE_PATH) return this.promises.answer(message)
@@ -248,8 +253,8 @@
 	}
 
 	private mayReceiveShards(): boolean {
-		const { cutFromWorkers, draining } = this.context.availability
-		const isAvailable = !cutFromWorkers && !draining && !this.standstill.blocksFailback
+		const { partitionedFromMachines, draining } = this.context.availability
+		const isAvailable = !partitionedFromMachines && !draining && !this.standstill.blocksFailback
 		return isAvailable && this.leadership() === 'lease'
 	}
 }
--- a/packages/cluster/src/peer-client.ts
+++ b/packages/cluster/src/peer-client.ts
@@ -1,14 +1,14 @@
-/** Requests from one controller to another. */
+/** HTTP client for requests between controllers. */
 import { Effect } from 'effect'
 import type { MembershipContext } from './membership-context.js'
 import { PEER_REQUEST_TIMEOUT } from './membership-ratios.js'
 
-/** Path of status messages. */
+/** HTTP path of status messages. */
 export const STATUS_PATH = '/peer/news'
-/** Path of requests for takeover promises. */
+/** HTTP path of requests for takeover promises. */
 export const PROMISE_PATH = '/peer/promise'
 
-/** Sends a message to a peer. Succeeds with the body of its answer, or with null if there is none or it is an error. */
+/** Sends a request to a peer. Succeeds with the body of the response, or with null if none arrives or it is an error. */
 export const postToPeer = (
 	{ httpClient, limits }: Pick<MembershipContext, 'httpClient' | 'limits'>,
 	address: string,
--- a/packages/cluster/src/peer-status.ts
+++ b/packages/cluster/src/peer-status.ts
@@ -1,32 +1,32 @@
-/** The status that controllers send each other several times within the duration of a lease, and its message. */
+/** The status that controllers exchange several times per controller lease, and its codec. */
 import { isMap } from '@heathroad/wire'
 import { fieldNameCodec } from './field-names.js'
 
-/** A controller's status as it tells its peers. Shards and jobs are those that it owns. */
+/** A controller's status as sent to its peers. Unless noted otherwise, shards and jobs are those it owns. */
 export interface PeerStatus {
 	name: string
 	incarnation: string
-	/** null: it holds no lease */
+	/** null if it holds no lease */
 	leaseId: number | null
-	/** For how long it has run without standing still. */
+	/** Time since its start or its last standstill. */
 	uptimeMs: number
-	/** May it own more shards? */
+	/** Whether it can take more shards. */
 	ready: boolean
-	/** Job -> how many of its tasks run. */
+	/** Job -> number of its running tasks. */
 	runningTasks: Record<string, number>
-	/** Instance offer without capacity -> ms for which no controller need try it. */
+	/** Instance offer without capacity -> time in ms for which controllers should not try it. */
 	exhaustedOffers: Record<string, number>
-	/** Jobs that fail wherever they are tried. */
+	/** Quarantined jobs: they fail on every machine that runs them. */
 	quarantinedJobs: string[]
-	/** Team with a guarantee -> what it uses. */
+	/** Team with a guarantee -> its usage. */
 	teamUsage: Record<string, { cpus: number; gpus: number }>
-	/** Shards most of whose machines it receives no heartbeats from. */
+	/** Shards for which it receives no heartbeats from most machines. */
 	unreachableShards: number[]
-	/** Shards most of whose machines are unreachable, including shards that are being rebuilt after a takeover. */
+	/** Shards with most machines unreachable, including shards that are still in reconciliation after a takeover. */
 	partitionedShards: number[]
-	/** Shard that it does not own -> machines of the shard that lately asked it for their owner. */
+	/** Shard that it does not own -> number of the shard's machines that recently looked up their owner here. */
 	ownerLookups: Record<string, number>
-	/** Can it read the format of the records that has an archive? */
+	/** Whether it supports the record format with an archive. */
 	supportsArchive: boolean
 }
 
@@ -44,10 +44,10 @@
 	supportsArchive: 'history',
 })
 
-/** The message that carries a status. */
+/** Encodes a status as a message. */
 export const encodePeerStatus = (status: PeerStatus): unknown => statusCodec.encode(status)
 
-/** Reads a peer's status; null: the message is malformed. */
+/** Decodes a peer's status; null if the message is malformed. */
 export const decodePeerStatus = (message: unknown): PeerStatus | null => {
 	if (
 		!isMap(message) ||
@@ -60,6 +60,6 @@
 		!Array.isArray(message.unheard)
 	)
 		return null
-	// Peers of an older version, during a rolling restart, send no partitioned shards and have no archive.
+	// During a rolling upgrade, peers of an older version don't report partitioned shards and don't support the archive.
 	return { ...{ partitionedShards: [], supportsArchive: false }, ...statusCodec.decode(message) }
 }
--- a/packages/cluster/src/promise-messages.ts
+++ b/packages/cluster/src/promise-messages.ts
@@ -1,24 +1,24 @@
-/** Messages by which controllers ask each other for takeover promises, and their codecs. */
+/** Request and response messages of takeover promises, and their codecs. */
 import { isMap } from '@heathroad/wire'
 import type { CancelledJob } from './cancellation-log.js'
 
-/** A member's request that its shards are not taken over for a short while. */
+/** A member's request not to take over its shards for a short time. */
 export interface TakeoverPromiseRequest {
 	member: string
-	/** Shard -> fencing token by which the member acts for it. */
+	/** Shard -> fencing token under which the member acts for it. */
 	ownedShards: ReadonlyMap<number, number>
-	/** Up to where the member knows the records. */
+	/** Revision up to which the member has applied the records. */
 	revision: number
 }
 
-/** The message that carries a request. */
+/** Encodes a request as a message. */
 export const encodePromiseRequest = ({ member, ownedShards, revision }: TakeoverPromiseRequest): unknown => ({
 	name: member,
 	owned: Object.fromEntries(ownedShards),
 	epoch: revision,
 })
 
-/** Reads a request; null: it is malformed, or of an older version that names no revision. */
+/** Decodes a request; null if it is malformed, or from an older version that sends no revision. */
 export const decodePromiseRequest = (message: unknown): TakeoverPromiseRequest | null => {
 	if (!isMap(message) || typeof message.name !== 'string' || typeof message.epoch !== 'number') return null
 	const owned = isMap(message.owned) ? Object.entries(message.owned) : []
@@ -29,24 +29,24 @@
 	}
 }
 
-/** The answer that refuses a promise. */
+/** Response that refuses a promise. */
 export const PROMISE_REFUSED = { promised: false } as const
 
-/** The answer that gives a promise, with the cancellations that the requester may not know. */
+/** Encodes the response that gives a promise, with the cancellations that the requester may not know. */
 export const encodePromise = (cancellations: readonly CancelledJob[]): unknown => ({
 	promised: true,
 	cancelled: encodeCancellations(cancellations),
 })
 
-/** Reads an answer; null: the promise is refused, or the answer malformed. */
+/** Decodes a response into its cancellations; null if the promise is refused or the response malformed. */
 export const decodePromiseAnswer = (message: unknown): CancelledJob[] | null =>
 	isMap(message) && message.promised === true ? decodeCancellations(message.cancelled) : null
 
-/** Cancellations as controllers send them to each other. */
+/** Encodes cancellations for messages between controllers. */
 export const encodeCancellations = (cancellations: readonly CancelledJob[]): unknown =>
 	cancellations.map((job) => [job.uid, job.revision])
 
-/** Reads cancellations; null: malformed, or absent, as from a controller of an older version. */
+/** Decodes cancellations; null if they are malformed, or absent as from a controller of an older version. */
 export const decodeCancellations = (data: unknown): CancelledJob[] | null => {
 	if (!Array.isArray(data)) return null
 	const cancellations: CancelledJob[] = []
--- a/packages/cluster/src/record-keys.ts
+++ b/packages/cluster/src/record-keys.ts
@@ -1,46 +1,46 @@
-/** Keys of the records, below the root that all of them share. Stored data depends on every name here. */
+/** Keys of the records, without their shared prefix. The names are part of the stored format and must not change. */
 
-/** The owner of a shard; attached to the owner's lease. */
+/** Key of a shard's owner; attached to the owner's lease. */
 export const shardKey = (shardId: number): string => `part/${shardId}`
 
-/** The latest owner of a shard; stays when the shard has none. */
+/** Key of a shard's latest owner; it remains while the shard has no owner. */
 export const lastOwnerKey = (shardId: number): string => `last/${shardId}`
 
-/** A group of machines that were rented or registered together. */
+/** Key of a machine group: machines that were rented or registered together. */
 export const machineGroupKey = (name: string): string => `fleet/${name}`
 
-/** All keys of jobs' own records begin with it. */
+/** Prefix of the keys of jobs' own records. */
 export const JOB_PREFIX = 'job/'
 
-/** A job's own record. */
+/** Key of a job's own record. */
 export const jobKey = (uid: string): string => JOB_PREFIX + uid
 
-/** The id of the job whose own record has the key. */
+/** Extracts the job id from the key of a job's own record. */
 export const uidOfJobKey = (key: string): string => key.slice(JOB_PREFIX.length)
 
-/** All keys of progress chunks begin with it. */
+/** Prefix of the keys of progress chunks. */
 export const PROGRESS_PREFIX = 'done/'
 
-/** Done tasks of one chunk of a wide job. */
+/** Key of the done tasks in one chunk of a job with more than `TASKS_PER_CHUNK` tasks. */
 export const progressChunkKey = (uid: string, chunk: number): string => `${PROGRESS_PREFIX}${uid}/${chunk}`
 
-/** The id of the job whose progress has the key. */
+/** Extracts the job id from the key of a progress chunk. */
 export const uidOfProgressKey = (key: string): string => key.split('/')[1]
 
-/** All keys of accepted batches begin with it. */
+/** Prefix of the keys of accepted batches. */
 export const ACCEPTED_BATCH_PREFIX = 'intake/'
 
-/** A shard's open page: terminal states of its jobs that became durable lately; each of them changes this key. */
+/** Key of a shard's open page, to which every new terminal state of its jobs is appended. */
 export const terminalPageKey = (shardId: number): string => `over/${shardId}`
 
-/** A page that was full; `revision`: that of its last state. */
+/** Key of a page that was closed when it was full; `revision`: that of its last state. */
 export const closedPageKey = (shardId: number, revision: number): string => `over/${shardId}/${revision}`
 
-/** The form of the records and the archival epoch; if it is absent, the records are of the first form. */
+/** Key of the record format and the archival epoch; if it is absent, the records have the first format. */
 export const HISTORY_KEY = 'history'
 
-/** The cloud's catalog of machine types. */
+/** Key of the cloud's catalog of machine types. */
 export const CATALOG_KEY = 'catalog'
 
-/** A unique name of the whole installation, written when something first needs it. */
+/** Key of the installation's unique name, which is written on first use. */
 export const INSTALLATION_KEY = 'installation'
--- a/packages/cluster/src/records.ts
+++ b/packages/cluster/src/records.ts
@@ -1,39 +1,39 @@
-/** Records that controllers keep at the state service, and the codecs of their stored forms. */
+/** Records that controllers store in the state service, and their codecs. */
 import { isMap, type JobSpec } from '@heathroad/wire'
 import { fieldNameCodec } from './field-names.js'
 import { progressChunkKey } from './record-keys.js'
 
-/** The owner of a shard. */
+/** Owner of a shard. */
 export interface ShardOwnerRecord {
 	owner: string
-	/** Tells two runs of one controller apart. */
+	/** Id of one run of the controller. */
 	incarnation: string
 }
 
 /**
- * Machines of one shard that were rented or registered together. One key holds many machines, since the state service
- * limits changes per second and a machine with a key of its own would need three of them.
+ * Machines of one shard that were rented or registered together. They share one key because the state service limits
+ * changes per second, and a machine with a key of its own would need three changes.
  */
 export interface MachineGroupRecord {
 	shardId: number
 	machineType: string
 	zone: string
 	spot: boolean
-	/** Machines requested under the group's name whose rental is not recorded yet; else 0. */
+	/** Machines requested under the group's name whose rental is not recorded yet; 0 if none. */
 	requestedCount: number
-	/** Machine -> its address, once it may have received start commands; null before. */
+	/** Machine -> its address; null until it may have received start commands. */
 	addresses: Record<string, string | null>
 }
 
-/** A job that is not over, or the compact form of one that is, which is kept for ever. */
+/** A job that is not terminal, or the compact form of a terminal job, which is kept indefinitely. */
 export interface JobRecord {
 	shardId: number
 	spec?: JobSpec
 	/** Wall-clock time of its acceptance, in ms. */
 	acceptedAtMs?: number
-	/** Done tasks among the first `TASKS_PER_CHUNK`, as flat ranges: from, to, from, to; further chunks have keys of their own. */
+	/** Done tasks among the first `TASKS_PER_CHUNK`, as flat ranges: from, to, from, to; other chunks have their own keys. */
 	doneRanges?: number[]
-	/** Admission checks that have to release it before its first start, fixed at its acceptance. */
+	/** Admission checks that must release the job before its first start; fixed at its acceptance. */
 	requiredChecks?: readonly string[]
 	finalState?: 'done' | 'aborted'
 	taskCount?: number
@@ -41,24 +41,24 @@
 	resources?: { team: string; cpus: number; gpus: number; ramGb: number }
 }
 
-/** The newest format of the records that this program knows. */
+/** The newest record format that this version supports. */
 export const RECORD_FORMAT = 2
 
-/** What `HISTORY_KEY` holds: the format of the records, and the archival epoch. */
+/** Value of `HISTORY_KEY`: the record format and the archival epoch. */
 export interface HistoryRecord {
 	format: number
 	archivalEpoch: number
-	/** May there be terminal states in keys of their own, as in the first format? */
+	/** Whether there may be terminal states under keys of their own, as in the first format. */
 	legacy: boolean
 }
 
-/** Decodes the record of the format; null: it is absent or malformed. */
+/** Decodes a history record; null if it is absent or malformed. */
 export const decodeHistoryRecord = (data: unknown): HistoryRecord | null =>
 	isMap(data) && typeof data.form === 'number' && typeof data.turn === 'number'
 		? { format: data.form, archivalEpoch: data.turn, legacy: data.legacy !== false }
 		: null
 
-/** The stored form of a history record. */
+/** Encodes a history record for storage. */
 export const encodeHistoryRecord = ({ format, archivalEpoch, legacy }: HistoryRecord): unknown => ({
 	form: format,
 	turn: archivalEpoch,
@@ -76,22 +76,22 @@
 	resources: 'need',
 })
 
-/** The stored form of a job's record. */
+/** Encodes a job's record for storage. */
 export const encodeJobRecord = (record: JobRecord): Record<string, unknown> => jobRecordCodec.encode(record)
 
-/** Decodes a job's record; null: it is absent or malformed. */
+/** Decodes a job's record; null if it is absent or malformed. */
 export const decodeJobRecord = (data: unknown): JobRecord | null =>
 	isMap(data) && typeof data.part === 'number' ? jobRecordCodec.decode(data) : null
 
-/** A job's record as it was accepted: it names the whole specification. */
+/** A job's record as it was accepted, with the full specification. */
 export type AcceptedJobRecord = JobRecord & { spec: JobSpec }
 
 const hasSpec = (record: JobRecord | null): record is AcceptedJobRecord => record?.spec !== undefined
 
-/** Batches by their stored form: they are read far more often than they change. */
+/** Decoded batches by stored object: batches are read far more often than they change. */
 const acceptedBatches = new WeakMap<object, AcceptedJobRecord[]>()
 
-/** Decodes a batch of jobs accepted together, in one key of their own until each has one; null: absent or malformed. */
+/** Decodes an accepted batch: one key for jobs accepted together, until each has its own; null if absent or malformed. */
 export const decodeAcceptedBatch = (data: unknown): AcceptedJobRecord[] | null => {
 	if (!isMap(data) || !Array.isArray(data.jobs)) return null
 	const cached = acceptedBatches.get(data)
@@ -106,20 +106,20 @@
 	return records
 }
 
-/** The stored form of a batch of jobs accepted together. */
+/** Encodes an accepted batch for storage. */
 export const encodeAcceptedBatch = (jobs: readonly JobRecord[]): unknown => ({
 	jobs: jobs.map(encodeJobRecord),
 })
 
-/** Tasks whose completion one key records: at worst 512 ranges, well below the smallest value limit. */
+/** Number of tasks whose completion one key records: at worst 512 ranges, well below the smallest value limit. */
 export const TASKS_PER_CHUNK = 1024
 
 const shardOwnerCodec = fieldNameCodec<ShardOwnerRecord>({ incarnation: 'life' })
 
-/** The stored form of a shard's owner. */
+/** Encodes a shard's owner for storage. */
 export const encodeShardOwner = (record: ShardOwnerRecord): unknown => shardOwnerCodec.encode(record)
 
-/** Decodes the owner of a shard; null: the shard has none, or the record is malformed. */
+/** Decodes a shard's owner; null if the shard has none or the record is malformed. */
 export const decodeShardOwner = (data: unknown): ShardOwnerRecord | null =>
 	isMap(data) && typeof data.owner === 'string' && typeof data.life === 'string'
 		? shardOwnerCodec.decode(data)
@@ -132,14 +132,14 @@
 	addresses: 'hosts',
 })
 
-/** The stored form of a machine group. */
+/** Encodes a machine group for storage. */
 export const encodeMachineGroup = (record: MachineGroupRecord): unknown => machineGroupCodec.encode(record)
 
-/** Decodes a machine group; null: it is absent or malformed. */
+/** Decodes a machine group; null if it is absent or malformed. */
 export const decodeMachineGroup = (data: unknown): MachineGroupRecord | null =>
 	isMap(data) && typeof data.part === 'number' && isMap(data.hosts) ? machineGroupCodec.decode(data) : null
 
-/** How many tasks flat ranges hold; anything but an array holds none. */
+/** Number of tasks in flat ranges; 0 for anything but an array. */
 const countInRanges = (flatRanges: unknown): number => {
 	if (!Array.isArray(flatRanges)) return 0
 	let count = 0
@@ -149,8 +149,8 @@
 }
 
 /**
- * Tasks that the records of a job that is not over call done. Those of a wide job have keys of their own, which `read`
- * gets the content of.
+ * Number of done tasks in the records of a job that is not terminal. `read` returns the value of a key; the tasks after
+ * the first chunk are recorded under keys of their own.
  */
 export const countRecordedDone = (uid: string, record: JobRecord, read: (key: string) => unknown): number => {
 	let count = countInRanges(record.doneRanges)
@@ -159,6 +159,6 @@
 	return count
 }
 
-/** Done tasks of a job that is over, for display. */
+/** Number of done tasks of a terminal job, for display. */
 export const terminalDoneCount = ({ finalState, taskCount, doneCount }: JobRecord): number =>
 	(finalState === 'done' ? taskCount : doneCount) ?? 0
--- a/packages/cluster/src/shard-ownership.ts
+++ b/packages/cluster/src/shard-ownership.ts
@@ -1,6 +1,6 @@
 /**
- * Which shards this controller owns. Ownership is a key of the shard attached to the owner's lease: when the lease expires
- * the state service removes the key, and another controller acquires the shard.
+ * Shard ownership of this controller. A shard's owner holds the shard's key, attached to its lease: when the lease expires,
+ * the state service deletes the key and another controller acquires the shard.
  */
 import { KEY_PREFIX } from '@heathroad/store'
 import type { Mutation } from '@heathroad/wire'
@@ -9,10 +9,10 @@
 import type { MembershipContext } from './membership-context.js'
 import {
 	ACQUIRE_RETRY_DELAY,
-	ACQUIRE_STEP,
+	ACQUIRE_STAGGER,
 	HOME_HEAD_START_STEPS,
+	PREVIOUS_INCARNATION_PROMISE,
 	PROMISE_MARGIN_MS,
-	PROMISE_OF_FORMER_INCARNATION,
 } from './membership-ratios.js'
 import { lastOwnerKey, shardKey } from './record-keys.js'
 import { decodeShardOwner, encodeShardOwner } from './records.js'
@@ -20,24 +20,24 @@
 /** A shard that this controller owns. */
 export interface OwnedShard {
 	shardId: number
-	/** Mod revision of the shard's key. */
+	/** Mod revision of the shard's key at its acquisition. */
 	fencingToken: number
-	/** Steady time. */
+	/** Steady time at which the key was seen to be acquired. */
 	acquiredAt: number
 }
 
-/** What ownership needs to know of the rest of the membership. */
-export interface OwnershipConditions {
-	/** Does this controller hold a valid lease and know the records? */
+/** Queries to the rest of the membership that ownership depends on. */
+export interface OwnershipDependencies {
+	/** Whether this controller holds a valid lease and its copy of the records is recent enough. */
 	hasLease(): boolean
 	isAlive(name: string): boolean
-	/** Has this controller promised not to take over the member's shards? */
+	/** Whether this controller has promised not to take over the member's shards. */
 	hasPromisedTo(member: string): boolean
 	/** Steady time at which the process started. */
 	readonly startedAt: number
 }
 
-/** Mutations that make a controller the owner of a shard, and its last owner once it owns it no longer. */
+/** Mutations that make a controller the owner of a shard and record it as the shard's last owner. */
 export const ownerMutations = (shardId: number, data: unknown, leaseId: number): Mutation[] => [
 	{ set: KEY_PREFIX + shardKey(shardId), data, leaseId },
 	{ set: KEY_PREFIX + lastOwnerKey(shardId), data },
@@ -46,28 +46,28 @@
 /** Acquires and relinquishes shards. */
 export class ShardOwnership {
 	readonly ownedShards = new Map<number, OwnedShard>()
-	/** Steady time since when a shard has had no owner. */
-	private readonly absentSince = new Map<number, number>()
-	/** Shards that are not to be acquired now: an acquisition or a handoff is in flight. */
+	/** Shard -> steady time since which it has had no owner. */
+	private readonly unownedSince = new Map<number, number>()
+	/** Shards that must not be acquired now, since an acquisition or a handoff is in flight. */
 	private readonly inTransition = new Set<number>()
 
 	constructor(
 		private readonly context: MembershipContext,
 		private readonly lease: ControllerLease,
-		private readonly conditions: OwnershipConditions,
+		private readonly dependencies: OwnershipDependencies,
 	) {}
 
-	/** The shard's owner as far as the watch cache knows. */
+	/** The shard's owner according to the watch cache. */
 	ownerOf(shardId: number): string | undefined {
 		return decodeShardOwner(this.context.cache.get(shardKey(shardId))?.data)?.owner
 	}
 
-	/** Is the shard owned here, or an acquisition or handoff of it in flight? */
-	isInvolved(shardId: number): boolean {
+	/** Whether the shard is owned here, or an acquisition or handoff of it is in flight. */
+	isOwnedOrInTransition(shardId: number): boolean {
 		return this.inTransition.has(shardId) || this.ownedShards.has(shardId)
 	}
 
-	/** Keeps this controller from acquiring a shard until `endTransition`. */
+	/** Prevents this controller from acquiring a shard until `endTransition`. */
 	beginTransition(shardId: number): void {
 		this.inTransition.add(shardId)
 	}
@@ -77,18 +77,18 @@
 		this.inTransition.delete(shardId)
 	}
 
-	/** Stops owning a shard, if it is owned, and reports why. */
+	/** Gives up a shard, if it is owned, and reports the reason. */
 	relinquish(shardId: number, why: string): void {
 		if (!this.ownedShards.delete(shardId)) return
 		this.context.events.onShardLost(shardId, why)
 	}
 
-	/** Stops owning every shard. */
+	/** Gives up all owned shards. */
 	relinquishAll(why: string): void {
 		for (const shardId of [...this.ownedShards.keys()]) this.relinquish(shardId, why)
 	}
 
-	/** Called for every change of a shard's key. */
+	/** Must be called on every change of a shard's key. */
 	onShardKeyChanged(shardId: number): void {
 		const { cache, limits, incarnation } = this.context
 		const entry = cache.get(shardKey(shardId))
@@ -96,13 +96,13 @@
 		const isOwn = record?.owner === limits.self && record.incarnation === incarnation
 		if (!isOwn) this.relinquish(shardId, record === null ? 'the key is gone' : `${record.owner} has it`)
 		else if (entry !== undefined) this.onAcquired(shardId, entry.modRevision)
-		this.trackAbsence(shardId, record === null)
+		this.trackUnowned(shardId, record === null)
 		this.acquireFreeShards()
 	}
 
-	private trackAbsence(shardId: number, isAbsent: boolean): void {
-		if (!isAbsent) this.absentSince.delete(shardId)
-		else if (!this.absentSince.has(shardId)) this.absentSince.set(shardId, this.context.now())
+	private trackUnowned(shardId: number, isUnowned: boolean): void {
+		if (!isUnowned) this.unownedSince.delete(shardId)
+		else if (!this.unownedSince.has(shardId)) this.unownedSince.set(shardId, this.context.now())
 	}
 
 	private onAcquired(shardId: number, fencingToken: number): void {
@@ -114,12 +114,12 @@
 		this.context.events.onShardAcquired(shardId, fencingToken)
 	}
 
-	/** Acquires every shard that this controller may acquire; called on changes and regularly. */
+	/** Acquires all shards that this controller may acquire; called on changes and periodically. */
 	acquireFreeShards(): void {
 		const { cache, limits } = this.context
-		if (this.lease.leaseId === null || cache.revision < 0 || !this.conditions.hasLease()) return
+		if (this.lease.leaseId === null || cache.revision < 0 || !this.dependencies.hasLease()) return
 		for (let shardId = 0; shardId < limits.controllerNames.length; shardId++) {
-			if (this.isInvolved(shardId)) continue
+			if (this.isOwnedOrInTransition(shardId)) continue
 			if (this.mayAcquire(shardId)) this.acquire(shardId)
 		}
 	}
@@ -127,53 +127,53 @@
 	private mayAcquire(shardId: number): boolean {
 		const { limits, cache, availability } = this.context
 		const owner = this.ownerOf(shardId)
-		// A key that names this controller is its own to renew: that of a former incarnation, or of a handoff that was not
-		// carried out, as when the state service failed at that moment. Nobody else can acquire the shard for as long as
-		// this controller's lease lasts (incident 11).
+		// A key that names this controller, although it doesn't own the shard, is from its previous incarnation or a handoff
+		// that was not applied, for example because the state service failed. No other controller can acquire the shard
+		// while this controller's lease lasts, so it must acquire the shard again itself (incident 11).
 		if (owner !== undefined) return owner === limits.self
 		if (availability.draining) return false
 		const lastOwner = decodeShardOwner(cache.get(lastOwnerKey(shardId))?.data)?.owner
 		if (lastOwner !== undefined && lastOwner !== limits.self && this.mayHavePromisedTo(lastOwner))
 			return false
 		const isHome = limits.controllerNames[shardId] === limits.self
-		if (isHome && !availability.cutFromWorkers) return true
-		return this.absentForMs(shardId) >= this.acquireDelayMs(shardId, lastOwner === undefined)
+		if (isHome && !availability.partitionedFromMachines) return true
+		return this.unownedForMs(shardId) >= this.acquireDelayMs(shardId, lastOwner === undefined)
 	}
 
-	/** Promises of this incarnation are known; those of a former one are not, and may still hold. */
+	/** Promises of this incarnation are known; those of the previous one are not, and may still be in effect. */
 	private mayHavePromisedTo(member: string): boolean {
-		if (this.conditions.hasPromisedTo(member)) return true
-		const uptimeMs = this.context.now() - this.conditions.startedAt
+		if (this.dependencies.hasPromisedTo(member)) return true
+		const uptimeMs = this.context.now() - this.dependencies.startedAt
 		const longestPromiseMs =
-			this.context.limits.takeoverPromiseMs * PROMISE_OF_FORMER_INCARNATION + PROMISE_MARGIN_MS
+			this.context.limits.takeoverPromiseMs * PREVIOUS_INCARNATION_PROMISE + PROMISE_MARGIN_MS
 		return uptimeMs < longestPromiseMs
 	}
 
-	/** For how long the shard has had no owner while this process was running. */
-	private absentForMs(shardId: number): number {
-		const { startedAt } = this.conditions
-		return this.context.now() - Math.max(this.absentSince.get(shardId) ?? startedAt, startedAt)
+	/** Time for which the shard has had no owner, counted from the start of this process at the earliest. */
+	private unownedForMs(shardId: number): number {
+		const { startedAt } = this.dependencies
+		return this.context.now() - Math.max(this.unownedSince.get(shardId) ?? startedAt, startedAt)
 	}
 
 	/**
-	 * How long a shard has to be without an owner before this controller acquires it. The home controller comes first, then
-	 * its successors in the order of the configuration, one after the other. A controller that its machines do not reach
-	 * waits longest.
+	 * How long a shard must be without an owner before this controller acquires it. The home controller comes first, then
+	 * its successors one by one, in the order of the configuration. A controller that is partitioned from the machines waits
+	 * longest.
 	 */
 	private acquireDelayMs(shardId: number, neverOwned: boolean): number {
 		const { limits, availability } = this.context
 		const names = limits.controllerNames
-		const stepMs = limits.controllerLeaseMs * ACQUIRE_STEP
+		const stepMs = limits.controllerLeaseMs * ACQUIRE_STAGGER
 		const distanceFromHome = (names.indexOf(limits.self) - shardId + names.length) % names.length
 		const headStartMs = this.homeHeadStartMs(names[shardId], stepMs, neverOwned)
-		const penaltyMs = availability.cutFromWorkers ? limits.controllerLeaseMs : 0
+		const penaltyMs = availability.partitionedFromMachines ? limits.controllerLeaseMs : 0
 		return headStartMs + stepMs * distanceFromHome + penaltyMs
 	}
 
 	private homeHeadStartMs(home: string, stepMs: number, neverOwned: boolean): number {
-		// At the first start of an installation the home controllers may come up at different times.
+		// At the first start of an installation, the home controllers may start at different times.
 		if (neverOwned) return this.context.limits.controllerLeaseMs
-		return this.conditions.isAlive(home) ? stepMs * HOME_HEAD_START_STEPS : 0
+		return this.dependencies.isAlive(home) ? stepMs * HOME_HEAD_START_STEPS : 0
 	}
 
 	private acquire(shardId: number): void {
@@ -182,8 +182,9 @@
 		if (leaseId === null) return
 		this.beginTransition(shardId)
 		const data = encodeShardOwner({ owner: limits.self, incarnation })
-		// The last owner's key too: an acquisition that is applied late, after others have owned the shard and lost it, would
-		// find the shard's key absent again, and take over what this controller may have promised to leave alone by then.
+		// The last owner's key is a condition too. An acquisition that is applied late, after others have owned and lost the
+		// shard, would find the shard's key absent again, and take over a shard that this controller may have promised by
+		// then not to take over.
 		const conditions = [shardKey(shardId), lastOwnerKey(shardId)].map((key) => ({
 			key: KEY_PREFIX + key,
 			modRevision: cache.modRevision(key),
@@ -198,7 +199,7 @@
 					},
 					onFailure: (error) => {
 						if (error._tag === 'LeaseExpired' && this.lease.leaseId === leaseId) this.lease.expire()
-						// Unanswered: if it was or will be applied, the watch reports it.
+						// Without a response it may have been applied, or may be later; the watch reports it then.
 						setTimeout(() => this.endTransition(shardId), limits.controllerLeaseMs * ACQUIRE_RETRY_DELAY)
 					},
 				}),
@@ -206,11 +207,11 @@
 		)
 	}
 
-	/** Acquires every owned shard again, under new fencing tokens. */
+	/** Acquires all owned shards again, under new fencing tokens. */
 	reacquireAll(): void {
 		for (const { shardId } of [...this.ownedShards.values()]) {
 			this.relinquish(shardId, 'taken anew after an error')
-			if (this.conditions.hasLease()) this.acquire(shardId)
+			if (this.dependencies.hasLease()) this.acquire(shardId)
 		}
 	}
 }
--- a/packages/cluster/src/takeover-promises.ts
+++ b/packages/cluster/src/takeover-promises.ts
@@ -1,12 +1,16 @@
 /**
- * Takeover promises. A controller that cannot reach the state service, and so cannot renew its lease, asks its peers not to
- * take over its shards for a short while. With the promises of all peers it goes on acting for them.
+ * Takeover promises. A controller that cannot reach the state service, and so cannot renew its lease, requests that its
+ * peers not take over its shards for a short time. With promises from all peers it continues to act for its shards.
  */
 import { Effect } from 'effect'
 import type { ControllerLease } from './controller-lease.js'
 import type { Peer } from './gossip.js'
 import type { MembershipContext } from './membership-context.js'
-import { PROMISE_KEPT, PROMISE_RELIED_ON, PROMISE_STORE_CONTACT } from './membership-ratios.js'
+import {
+	GIVEN_PROMISE_DURATION,
+	PROMISE_STORE_CONTACT_WINDOW,
+	RECEIVED_PROMISE_DURATION,
+} from './membership-ratios.js'
 import { PROMISE_PATH, postToPeer } from './peer-client.js'
 import {
 	decodePromiseAnswer,
@@ -21,17 +25,17 @@
 import type { ShardOwnership } from './shard-ownership.js'
 import type { StandstillDetector } from './standstill-detector.js'
 
-/** The parts of the membership that promises depend on. */
+/** The modules of the membership that promises depend on. */
 export interface PromiseDependencies {
 	readonly lease: ControllerLease
 	readonly ownership: ShardOwnership
 	readonly standstill: StandstillDetector
 	readonly peers: readonly Peer[]
-	/** Did the state service answer within the time? */
+	/** Whether the state service responded within the last `ms` milliseconds. */
 	reachedStoreWithin(ms: number): boolean
 }
 
-/** Promises that this controller has given and received. */
+/** The promises that this controller has given and received. */
 export class TakeoverPromises {
 	/** Member -> steady time until which this controller acquires none of its shards. */
 	private readonly givenUntil = new Map<string, number>()
@@ -43,58 +47,59 @@
 		private readonly dependencies: PromiseDependencies,
 	) {}
 
-	/** Has this controller promised not to take over the member's shards? */
+	/** Whether this controller has promised not to take over the member's shards. */
 	hasPromisedTo(member: string): boolean {
 		return this.context.now() < (this.givenUntil.get(member) ?? 0)
 	}
 
-	/** Have all peers promised not to take over this controller's shards? */
+	/** Whether all peers have promised not to take over this controller's shards. */
 	allPeersPromise(now: number): boolean {
 		return this.dependencies.peers.every((peer) => now < (this.receivedUntil.get(peer.name) ?? 0))
 	}
 
-	/** Answers a peer's request for a promise. */
+	/** Handles a peer's request for a promise and returns the response. */
 	answer(message: unknown): unknown {
-		// A request of an older version names no revision and is refused: its sender stops acting, which is safe.
+		// A request from an older version has no revision and is refused: its sender stops acting, which is safe.
 		const request = decodePromiseRequest(message)
 		if (request === null) return PROMISE_REFUSED
 		this.dependencies.standstill.tick()
 		if (!this.mayPromise() || !this.agreesOnOwnership(request)) return PROMISE_REFUSED
-		// The requester goes on only knowing every cancellation that anybody here was ever informed of.
+		// The requester may only continue if it knows every cancellation that this controller knows.
 		const cancellations = this.context.events.cancellationsSince(request.revision)
 		if (cancellations === null) return PROMISE_REFUSED
-		const durationMs = this.context.limits.takeoverPromiseMs * PROMISE_KEPT
+		const durationMs = this.context.limits.takeoverPromiseMs * GIVEN_PROMISE_DURATION
 		this.givenUntil.set(request.member, this.context.now() + durationMs)
 		return encodePromise(cancellations)
 	}
 
 	/**
-	 * Only while this controller cannot reach the state service either: otherwise the shards are better off with a controller
-	 * that can. One that stood still a moment ago does not know whether it can.
+	 * Only a controller that cannot reach the state service either may promise; otherwise a controller that can reach it
+	 * should take over. After a recent standstill, this controller doesn't know whether it can.
 	 */
 	private mayPromise(): boolean {
 		const { limits } = this.context
-		if (this.dependencies.reachedStoreWithin(limits.controllerLeaseMs * PROMISE_STORE_CONTACT)) return false
+		if (this.dependencies.reachedStoreWithin(limits.controllerLeaseMs * PROMISE_STORE_CONTACT_WINDOW))
+			return false
 		const runningMs = this.context.now() - this.dependencies.standstill.runningSince
 		return runningMs >= limits.takeoverPromiseMs
 	}
 
 	/**
-	 * Only for shards that belong to the requester as far as is known here, under the very fencing token that it acts by. An
-	 * acquisition by this controller that is still in flight then began before that token and can no longer be applied: its
-	 * condition names an older mod revision of the last owner's key.
+	 * Whether this controller's records agree that the requester owns the shards, under the same fencing tokens. If they
+	 * do, an acquisition by this controller with an unknown outcome began before that token and can no longer be applied:
+	 * it is conditional on an older mod revision of the last owner's key.
 	 */
 	private agreesOnOwnership({ member, ownedShards }: TakeoverPromiseRequest): boolean {
 		for (const [shardId, fencingToken] of ownedShards) {
 			const entry = this.context.cache.get(shardKey(shardId))
 			if (entry?.modRevision !== fencingToken) return false
 			if (decodeShardOwner(entry.data)?.owner !== member) return false
-			if (this.dependencies.ownership.isInvolved(shardId)) return false
+			if (this.dependencies.ownership.isOwnedOrInTransition(shardId)) return false
 		}
 		return true
 	}
 
-	/** Asks all peers for promises, if this controller owns shards. */
+	/** Requests promises from all peers, if this controller owns shards. */
 	request(): void {
 		const { lease, ownership, peers } = this.dependencies
 		if (ownership.ownedShards.size === 0 || lease.leaseId === null) return
@@ -120,7 +125,7 @@
 		const cancellations = decodePromiseAnswer(answer)
 		if (cancellations === null) return
 		this.context.events.applyCancellations(cancellations)
-		const until = sentAt + this.context.limits.takeoverPromiseMs * PROMISE_RELIED_ON
+		const until = sentAt + this.context.limits.takeoverPromiseMs * RECEIVED_PROMISE_DURATION
 		this.receivedUntil.set(peer, Math.max(this.receivedUntil.get(peer) ?? 0, until))
 	}
 }
--- a/packages/cluster/src/terminal-pages.ts
+++ b/packages/cluster/src/terminal-pages.ts
@@ -1,12 +1,12 @@
 /**
- * Pages of terminal states: the compact form in which a shard's records keep the jobs that are over, many to a key, until
- * they are archived.
+ * Terminal pages: the compact form of a shard's terminal jobs, many per key, in which they are stored until they are
+ * archived.
  */
 import { isMap } from '@heathroad/wire'
 import { closedPageKey, terminalPageKey } from './record-keys.js'
 import type { JobRecord } from './records.js'
 
-/** A job that is over, with what is needed for as long as some machine may still run a task of it. */
+/** A terminal job, with the data needed as long as a machine may still run one of its tasks. */
 export interface TerminalJob {
 	uid: string
 	finalState: 'done' | 'aborted'
@@ -17,7 +17,7 @@
 
 /** Terminal states that became durable together. */
 export interface TerminalBatch {
-	/** null: the mod revision of the page's key */
+	/** null stands for the mod revision of the page's key */
 	revision: number | null
 	jobs: TerminalJob[]
 }
@@ -28,7 +28,7 @@
 	batches: TerminalBatch[]
 }
 
-/** A state's index here is its stored form. */
+/** Terminal states are stored as their index in this array. */
 const STATES = ['done', 'aborted'] as const
 
 /** The stored form of a job: uid, state, tasks, done tasks, team, CPUs, GPUs, GB of memory. */
@@ -56,10 +56,10 @@
 const isEncodedBatch = (item: unknown): item is [revision: number, rows: JobRow[]] =>
 	Array.isArray(item) && typeof item[0] === 'number' && Array.isArray(item[1]) && item[1].every(Array.isArray)
 
-/** Decodes a page; null: it is absent or malformed. */
+/** Decodes a page; null if it is absent or malformed. */
 export const decodeTerminalPage = (data: unknown): TerminalPage | null => {
 	if (!isMap(data) || typeof data.part !== 'number' || !Array.isArray(data.over)) return null
-	// Validated as a whole: every controller follows all pages, and none may fail over one that is malformed.
+	// Fully validated: every controller reads all pages, and a malformed one must not make any of them fail.
 	if (!data.over.every(isEncodedBatch)) return null
 	return {
 		shardId: data.part,
@@ -70,13 +70,13 @@
 	}
 }
 
-/** The stored form of a page. */
+/** Encodes a page for storage. */
 export const encodeTerminalPage = (page: TerminalPage): unknown => ({
 	part: page.shardId,
 	over: page.batches.map((batch) => [batch.revision ?? 0, batch.jobs.map(encodeJobRow)]),
 })
 
-/** The record that the job had under a key of its own in the first format. */
+/** The job's record in the first format, which stored it under a key of its own. */
 export const terminalJobRecord = (shardId: number, job: TerminalJob): JobRecord => ({
 	shardId,
 	finalState: job.finalState,
@@ -88,7 +88,7 @@
 /** The fields of a job's specification that its terminal state keeps. */
 type TerminalJobSpec = { tasks: number; team: string; cpus: number; gpus: number; ramGb: number }
 
-/** What a job's record becomes when the job is over. `doneCount`: its done tasks, for display. */
+/** Creates a job's terminal state. `doneCount`: number of its done tasks, for display. */
 export const toTerminalJob = (
 	uid: string,
 	finalState: TerminalJob['finalState'],
@@ -107,28 +107,28 @@
 	},
 })
 
-/** What one page holds at most. */
+/** Maximum size of one page. */
 export interface PageLimits {
 	/** Characters of its encoded value. */
 	maxValueChars: number
 	maxJobs: number
 }
 
-/** The page with a revision for every batch; `modRevision`: of the page's key. */
+/** Fills in the missing revisions of batches; `modRevision`: of the page's key. */
 export const withRevisions = (page: TerminalPage, modRevision: number): TerminalPage => ({
 	shardId: page.shardId,
 	batches: page.batches.map(({ revision, jobs }) => ({ revision: revision ?? modRevision, jobs })),
 })
 
-/** Room that a page's content takes. */
+/** Size of a page's content. */
 interface PageUsage {
 	chars: number
 	jobs: number
 }
 
-/** Characters of an encoded page without batches; rounded up. */
+/** Characters of an encoded page without batches, rounded up. */
 const EMPTY_PAGE_CHARS = 40
-/** Characters of an encoded batch without jobs; rounded up. */
+/** Characters of an encoded batch without jobs, rounded up. */
 const EMPTY_BATCH_CHARS = 24
 
 const EMPTY_PAGE: PageUsage = { chars: EMPTY_PAGE_CHARS, jobs: 0 }
@@ -138,7 +138,7 @@
 	jobs: page.batches.reduce((count, batch) => count + batch.jobs.length, 0),
 })
 
-/** How many of the jobs, from the first on, fit into a page as one more batch. */
+/** Number of jobs, from the start of the list, that fit into a page as one more batch. */
 const countFitting = (jobs: readonly TerminalJob[], used: PageUsage, limits: PageLimits): number => {
 	let chars = used.chars + EMPTY_BATCH_CHARS
 	let count = 0
@@ -151,22 +151,22 @@
 	return count
 }
 
-/** Writes to pages, and how many of the given jobs they hold. */
+/** Writes to pages, and the number of given jobs that they contain. */
 export interface PageAppend {
 	changes: { key: string; data: unknown }[]
 	taken: number
 }
 
 /**
- * Adds terminal states to a shard's open page, as many as fit. The content of a page that is full goes under a key of its
- * own, which is never written again, in the same transaction and before the new page.
+ * Appends terminal states to a shard's open page, up to its limits. The content of a full page moves to a key of its own,
+ * which is never written again; that write comes before the new page in the same transaction.
  *
- * @param before the open page; undefined: there is none
- * @param revision of states that are durable already, under keys of their own; null: they become durable with this write
+ * @param openPage the current open page; undefined if there is none
+ * @param revision of states that are already durable under keys of their own; null if this write makes them durable
  */
 export const appendToPage = (
 	shardId: number,
-	before: { data: unknown; modRevision: number } | undefined,
+	openPage: { data: unknown; modRevision: number } | undefined,
 	jobs: readonly TerminalJob[],
 	limits: PageLimits,
 	revision: number | null = null,
@@ -174,14 +174,15 @@
 	const changes: PageAppend['changes'] = []
 	const close = (modRevision: number, data: unknown) =>
 		changes.push({ key: closedPageKey(shardId, modRevision), data })
-	const decoded = decodeTerminalPage(before?.data)
-	const page = before === undefined || decoded === null ? null : withRevisions(decoded, before.modRevision)
-	// A malformed page is set aside unchanged: it may hold terminal states that an operator can still recover.
-	if (before !== undefined && page === null) close(before.modRevision, before.data)
+	const decoded = decodeTerminalPage(openPage?.data)
+	const page =
+		openPage === undefined || decoded === null ? null : withRevisions(decoded, openPage.modRevision)
+	// A malformed page is moved unchanged: it may contain terminal states that an operator can still recover.
+	if (openPage !== undefined && page === null) close(openPage.modRevision, openPage.data)
 	let batches = page?.batches ?? []
 	let taken = countFitting(jobs, page === null ? EMPTY_PAGE : pageUsage(page), limits)
-	if (before !== undefined && page !== null && taken === 0 && batches.length > 0) {
-		close(before.modRevision, encodeTerminalPage(page))
+	if (openPage !== undefined && page !== null && taken === 0 && batches.length > 0) {
+		close(openPage.modRevision, encodeTerminalPage(page))
 		batches = []
 		taken = countFitting(jobs, EMPTY_PAGE, limits)
 	}
--- a/packages/cluster/src/terminal-state-log.ts
+++ b/packages/cluster/src/terminal-state-log.ts
@@ -1,25 +1,25 @@
-/** Terminal states of jobs in the order in which they became durable, for those who follow a team's jobs. */
+/** Terminal states of jobs in the order in which they became durable, for clients that watch a team's jobs. */
 import { type JobRecord, terminalDoneCount } from './records.js'
 
-/** A job's terminal state, and the revision of the change that made it durable. */
+/** A job's terminal state, and the revision at which it became durable. */
 export interface TerminalState {
 	uid: string
 	team: string
 	state: 'done' | 'aborted'
 	revision: number
-	/** Tasks of the job. */
+	/** Number of tasks of the job. */
 	taskCount: number
-	/** How many of its tasks were done. */
+	/** Number of its tasks that were done. */
 	doneCount: number
 }
 
-/** A position in the order in which terminal states became durable; those of one transaction are ordered by their ids. */
+/** Position in the order in which terminal states became durable; those of one transaction are ordered by job id. */
 export interface LogPosition {
 	revision: number
 	uid: string
 }
 
-/** As a position's `uid`: after every terminal state of its revision. */
+/** As a position's `uid`: sorts after all terminal states of the revision. */
 export const REVISION_END = '~'
 
 const compareIds = (left: string, right: string): number => {
@@ -27,23 +27,23 @@
 	return left < right ? -1 : 1
 }
 
-/** Orders positions, as `Array.sort` expects it. */
+/** Comparator of positions for `Array.sort`. */
 export const comparePositions = (left: LogPosition, right: LogPosition): number =>
 	left.revision - right.revision || compareIds(left.uid, right.uid)
 
-/** How terminal states are read by those who report them, independent of where they are kept. */
+/** Read access to terminal states, independent of where they are stored. */
 export interface TerminalStateSource {
-	/** A job's terminal state, however old; undefined: none is known. */
+	/** A job's terminal state, regardless of its age; undefined if none is known. */
 	get(uid: string): TerminalState | undefined
-	/** A team's first state after a position, up to and including a revision; null: there is none yet. */
+	/** A team's first state after a position, up to and including a revision; null if there is none yet. */
 	next(team: string, after: LogPosition, revision: number): TerminalState | null
-	/** How many of a team's states lie after a position, as far as they are kept. */
+	/** Number of a team's states after a position that are still kept. */
 	countAfter(team: string, after: LogPosition): number
-	/** Are all of a team's states after a position still kept? */
+	/** Whether all of a team's states after a position are still kept. */
 	retainsAllAfter(team: string, after: LogPosition): boolean
 }
 
-/** The terminal state that a job's record tells; null: the job is not over. */
+/** The terminal state in a job's record; null if the job is not terminal. */
 export const toTerminalState = (uid: string, record: JobRecord, revision: number): TerminalState | null => {
 	if (record.finalState === undefined) return null
 	return {
@@ -56,10 +56,10 @@
 	}
 }
 
-/** A position before every state. */
+/** A position before all states. */
 const BEFORE_ALL: LogPosition = { revision: -1, uid: '' }
 
-/** States above the maximum that are kept until the next trim, as a factor: trimming sorts, so it is done in batches. */
+/** The log is trimmed once it exceeds the maximum by this factor: trimming sorts, so it is done in batches. */
 const TRIM_THRESHOLD = 1.25
 
 /** One team's terminal states. */
@@ -83,20 +83,20 @@
 }
 
 /**
- * The latest terminal states. A bounded number of them is kept: a follower that is further behind starts again from the
- * present.
+ * The latest terminal states, up to a maximum number. A client that has fallen further behind must restart from the current
+ * state.
  */
 export class TerminalStateLog implements TerminalStateSource {
 	private readonly teamLogs = new Map<string, TeamLog>()
-	/** In the order of their arrival here, which is nearly that of their positions. */
+	/** In order of arrival, which is nearly the order of positions. */
 	private readonly retained: TerminalState[] = []
 	private readonly byUid = new Map<string, TerminalState>()
-	/** Position up to which states of any team may never have been added. */
+	/** Position up to which states of any team may be missing from the log. */
 	private incompleteUpTo: LogPosition = BEFORE_ALL
 
 	/**
-	 * @param maxStates how many states are kept
-	 * @param readOlder reads the states of jobs that are not among them
+	 * @param maxStates number of states that are kept
+	 * @param readOlder looks up the state of a job that is not in the log
 	 */
 	constructor(
 		private readonly maxStates: number,
@@ -111,7 +111,7 @@
 		return created
 	}
 
-	/** Adds a state in its order: own writes are known before the watch reports earlier changes. */
+	/** Inserts a state at its position: this controller's own writes are known before the watch reports earlier changes. */
 	add(state: TerminalState): void {
 		const { states } = this.teamLog(state.team)
 		const index = firstIndexAfter(states, state)
@@ -122,7 +122,7 @@
 		if (this.retained.length > this.maxStates * TRIM_THRESHOLD) this.trim()
 	}
 
-	/** States up to and including a revision may be missing here: whoever follows from before it begins anew. */
+	/** Marks that states up to and including a revision may be missing: clients before it must restart their watch. */
 	markIncompleteUpTo(revision: number): void {
 		const position = { revision, uid: REVISION_END }
 		if (comparePositions(position, this.incompleteUpTo) > 0) this.incompleteUpTo = position
@@ -133,7 +133,7 @@
 		const removed = this.retained.splice(0, this.retained.length - this.maxStates)
 		for (const state of removed) {
 			const log = this.teamLog(state.team)
-			// States of long ago may be added after later ones were trimmed.
+			// Old states may be added after later ones were trimmed.
 			if (comparePositions(state, log.trimmedUpTo) > 0) log.trimmedUpTo = state
 			this.byUid.delete(state.uid)
 		}
--- a/packages/cluster/src/transactions.ts
+++ b/packages/cluster/src/transactions.ts
@@ -1,4 +1,4 @@
-/** The transactions that change records of jobs, with the conditions that make each of them safe however late it is applied. */
+/** Transactions that change job records, with conditions that keep each of them safe even if it is applied late. */
 import { KEY_PREFIX, type TransactionContent } from '@heathroad/store'
 import type { Condition, Mutation } from '@heathroad/wire'
 import { HISTORY_KEY, jobKey, shardKey, terminalPageKey } from './record-keys.js'
@@ -12,14 +12,14 @@
 } from './records.js'
 import { appendToPage, type PageLimits, type TerminalJob } from './terminal-pages.js'
 
-/** What the transactions read of the records, as the watch cache has it. */
+/** Read access to the records, as in the watch cache. */
 export interface RecordReader {
 	get(key: string): { data: unknown; modRevision: number } | undefined
-	/** 0: the key is absent */
+	/** 0 if the key is absent */
 	modRevision(key: string): number
 }
 
-/** A transaction, and how many of the given jobs it holds. */
+/** A transaction, and the number of given jobs that it contains. */
 export interface PartialTransaction {
 	content: TransactionContent
 	taken: number
@@ -31,14 +31,14 @@
 })
 
 /**
- * Every write that makes a record name a job which is not over holds only for the archival epoch in which it was made. A
- * terminal state leaves memory only when an epoch began after it, so a write that names its job was either made knowing the
- * state, or is no longer applied, however late it arrives.
+ * Condition of every write that records a job as not terminal: the archival epoch in which the write was made has not ended.
+ * A terminal state is dropped from memory only when an epoch began after it, so a write for its job either was made with
+ * knowledge of the state, or fails, however late it arrives.
  */
 const archivalEpochCondition = (records: RecordReader): Condition => unchanged(records, HISTORY_KEY)
 
 /**
- * Accepts jobs in one batch, under a key that was never used before, or over an obsolete batch that has the given
+ * Accepts jobs in one batch, under a key that was never used before, or by overwriting an obsolete batch that has the given
  * `modRevision`.
  */
 export const acceptJobs = (
@@ -55,7 +55,7 @@
 	mutations: [{ set: KEY_PREFIX + key, data: encodeAcceptedBatch(jobs) }],
 })
 
-/** Writes a job's record under its own key, whose mod revision must still be the given one. */
+/** Writes a job's record under its own key, on condition of the key's mod revision. */
 export const putJobRecord = (
 	records: RecordReader,
 	uid: string,
@@ -68,8 +68,8 @@
 })
 
 /**
- * Moves a job to another shard. Every other decision about the job changes its own key or the owner of its shard, so a move
- * that is applied late undoes nothing.
+ * Moves a job to another shard. Every other decision about the job changes its own key or the owner of its shard, so a late
+ * move cannot undo it.
  */
 export const moveJobToShard = (
 	records: RecordReader,
@@ -83,8 +83,8 @@
 }
 
 /**
- * Records terminal states of a shard's jobs. Outcomes and cancellations alike change the shard's page on condition of its
- * mod revision: of two that were made without knowing each other only one is applied, and none that is late.
+ * Records terminal states of a shard's jobs. Outcomes and cancellations both change the shard's page on condition of its
+ * mod revision: of two concurrent ones only one is applied, and a late one is never applied.
  */
 export const recordTerminalJobs = (
 	records: RecordReader,
@@ -103,7 +103,7 @@
 	}
 }
 
-/** Moves terminal states from keys of their own, as the first format has them, to a page. */
+/** Moves terminal states from keys of their own, as in the first format, to a page. */
 export const migrateTerminalRecords = (
 	records: RecordReader,
 	shardId: number,
@@ -117,7 +117,7 @@
 	let openPage = records.get(pageKey)
 	let taken = 0
 	for (const { job, modRevision } of jobs) {
-		// Each keeps the revision at which it became durable, so each is a batch of its own.
+		// Each state keeps the revision at which it became durable, so each forms a batch of its own.
 		const { changes } = appendToPage(shardId, openPage, [job], limits, modRevision)
 		const closesPage = changes.length > 1
 		if (closesPage && taken > 0) break
@@ -131,7 +131,7 @@
 	return { content: { conditions, mutations }, taken }
 }
 
-/** Removes pages whose terminal states are all in the archive. */
+/** Deletes pages whose terminal states are all in the archive. */
 export const deletePages = (
 	records: RecordReader,
 	shardId: number,
@@ -141,7 +141,7 @@
 	mutations: keys.map((key) => ({ delete: KEY_PREFIX + key })),
 })
 
-/** Begins the next archival epoch, or changes the format of the records. */
+/** Starts the next archival epoch, or changes the record format. */
 export const advanceArchivalEpoch = (records: RecordReader, next: HistoryRecord): TransactionContent => ({
 	conditions: [archivalEpochCondition(records)],
 	mutations: [{ set: KEY_PREFIX + HISTORY_KEY, data: encodeHistoryRecord(next) }],
--- a/packages/server/src/archival-controller.ts
+++ b/packages/server/src/archival-controller.ts
@@ -98,7 +98,7 @@
 
 	/** Every change up to the watch cache's revision is applied. */
 	onRevisionAdvanced(): void {
-		const droppedJobs = this.context.jobs.dropJobsThatLeftPages()
+		const droppedJobs = this.context.jobs.dropJobsRemovedFromPages()
 		if (droppedJobs.length > 0) this.reader.onJobsLeftMemory(droppedJobs, this.context.cache.revision)
 	}
 
--- a/packages/server/src/heartbeat-router.ts
+++ b/packages/server/src/heartbeat-router.ts
@@ -56,8 +56,8 @@
 		this.localStatus.onOwnerLookup(machineId, shardId)
 		const owner = membership.ownerOf(shardId)
 		// Redirected to an owner that it cannot reach, the machine would wait there for most of its lease.
-		const isReachable = owner?.alive && owner.hears && owner.name !== config.limits.self
-		if (owner?.alive && !owner.hears) this.gossipSoon()
+		const isReachable = owner?.alive && owner.receivesHeartbeats && owner.name !== config.limits.self
+		if (owner?.alive && !owner.receivesHeartbeats) this.gossipSoon()
 		respond({ status: 421, body: isReachable ? { overseer: owner.name } : {} })
 	}
 
--- a/packages/server/src/record-dispatcher.ts
+++ b/packages/server/src/record-dispatcher.ts
@@ -76,7 +76,7 @@
 	/** A full read is applied: jobs that left the records while changes were missed here are over. */
 	dropUnnamedJobs(): void {
 		const { context, shards } = this.consumers
-		const uids = context.jobs.dropUnnamedJobs()
+		const uids = context.jobs.dropUnrecordedJobs()
 		if (uids.length === 0) return
 		context.log('info', 'open jobs dropped', {
 			count: uids.length,
--- a/packages/server/src/worker-probe.ts
+++ b/packages/server/src/worker-probe.ts
@@ -20,7 +20,7 @@
 	/** Probes a random machine; does nothing unless this controller is cut off. */
 	tick(): void {
 		const { membership, machineGroups, config } = this.context
-		if (!membership.cutFromWorkers) return
+		if (!membership.partitionedFromMachines) return
 		const addresses = [...machineGroups.records.values()]
 			.flatMap((group) => Object.values(group.addresses))
 			.filter((address) => address !== null)
@@ -43,7 +43,7 @@
 		this.answersInARow = answered ? this.answersInARow + 1 : 0
 		if (this.answersInARow < ANSWERS_NEEDED) return
 		this.answersInARow = 0
-		this.context.membership.cutFromWorkers = false
+		this.context.membership.partitionedFromMachines = false
 		this.context.log('info', 'workers reachable again')
 	}
 }
--- a/packages/store/src/client.ts
+++ b/packages/store/src/client.ts
@@ -1,4 +1,4 @@
-/** Client of the state service: a key-value store with transactions, watches and leases, spoken to over HTTP. */
+/** HTTP client of the state service: a key-value store with transactions, watches and leases. */
 import type {
 	Condition,
 	HttpClient,
@@ -11,28 +11,28 @@
 import { encodeTransaction, isMap, parseRangeResponse, parseWatchResponse } from '@heathroad/wire'
 import { Data, Effect } from 'effect'
 
-/** Not executed, because of a rate limit or an outage. Safe to send again. */
+/** The request was not executed, because of a rate limit or an outage. Safe to retry. */
 export class RequestRejected extends Data.TaggedError('RequestRejected')<{ readonly status: number }> {}
 /** The lease has expired; keys can no longer be attached to it. */
 export class LeaseExpired extends Data.TaggedError('LeaseExpired') {}
-/** The watch's starting revision is no longer kept; all keys have to be read again. */
+/** The watch's starting revision has been compacted; all keys must be read again. */
 export class RevisionCompacted extends Data.TaggedError('RevisionCompacted') {}
 
-/** `failedKeys`: keys of conditions that did not hold. */
+/** Result of a transaction. `failedKeys`: keys whose conditions did not hold. */
 export type TransactionResult =
 	| { ok: true; revision: number }
 	| { ok: false; failedKeys: string[]; revision: number }
 
-/** What any request may fail with. `NoResponse`: it may have been executed, or may be later. */
+/** Errors of all requests. `NoResponse`: the request may have been executed, or may be executed later. */
 export type StoreFailure = NoResponse | RequestRejected
 
-/** All keys of heathroad share one prefix, so that one watch sees every change in order. */
+/** Prefix of all keys of heathroad, so that one watch receives all changes in order. */
 export const KEY_PREFIX = 'heathroad/'
 
 /** One page of a range read. */
 export type RangePage = RangeResponse
 
-/** Requests to the state service. Each is sent once: retrying is the caller's decision. */
+/** Requests to the state service. Each is sent once; retries are up to the caller. */
 export interface StoreClient {
 	/** Applies all mutations if all conditions hold, else none. */
 	transact(
@@ -40,20 +40,20 @@
 		mutations: readonly Mutation[],
 	): Effect.Effect<TransactionResult, StoreFailure | LeaseExpired>
 	/**
-	 * Keys with a prefix in their order, after a key (null: from the first on), as many as asked for, at most 1,000 and
-	 * 512 KiB.
+	 * Reads keys with a prefix in key order, after the given key (null: from the start). A page has up to `size` keys, limited
+	 * to 1,000 keys and 512 KiB.
 	 */
 	list(prefix: string, after: string | null, size: number): Effect.Effect<RangePage, StoreFailure>
-	/** Changes after a revision of keys with a prefix, by default `KEY_PREFIX`; waits at most `blockMs` for the first. */
+	/** Reads changes after a revision to keys with a prefix (default `KEY_PREFIX`); waits up to `blockMs` for the first. */
 	watch(
 		afterRevision: number,
 		blockMs: number,
 		prefix?: string,
 	): Effect.Effect<WatchResponse, StoreFailure | RevisionCompacted>
-	/** Returns the id of a new lease. */
+	/** Creates a lease and returns its id. */
 	grantLease(durationMs: number): Effect.Effect<number, StoreFailure>
 	renewLease(leaseId: number): Effect.Effect<void, StoreFailure | LeaseExpired>
-	/** Ends the lease now; removes the keys that are attached to it. */
+	/** Revokes the lease immediately, which deletes the keys attached to it. */
 	revokeLease(leaseId: number): Effect.Effect<void, StoreFailure>
 }
 
@@ -64,12 +64,12 @@
 const GONE = 410
 const TOO_MANY_REQUESTS = 429
 
-/** Tells whether the state service refused a request for its rate, which is no outage. */
+/** Whether the state service rejected a request because of its rate limit, which does not indicate an outage. */
 export const isRateLimited = (failure: { readonly _tag: string; readonly status?: number }): boolean =>
 	failure._tag === 'RequestRejected' && failure.status === TOO_MANY_REQUESTS
 const SERVER_ERROR = 500
 
-/** A response that the client does not understand: treated as rejected. */
+/** Treats a response that can't be decoded as a rejection. */
 const malformed = ({ status }: HttpResponse) => Effect.fail(new RequestRejected({ status }))
 
 const decodeTransactionResult = (
@@ -115,10 +115,10 @@
 	response.status === OK || response.status === NOT_FOUND ? Effect.void : malformed(response)
 
 /**
- * Makes a client.
+ * Creates a client of the state service at `address`.
  *
- * @param timeoutMs of a request that neither blocks nor reads a page; a page may take twice as long
- * @param onContact called after each request: did the service answer, and not with a server error?
+ * @param timeoutMs timeout of a request that neither blocks nor reads a page; reading a page may take twice as long
+ * @param onContact called after each request; `answered`: the service responded, and not with a server error
  */
 export const createStoreClient = (
 	httpClient: HttpClient,
@@ -131,7 +131,7 @@
 			Effect.tapError(() => Effect.sync(() => onContact(false))),
 			Effect.flatMap((response) => {
 				const { status } = response
-				// 429 comes from a service that is alive; only a 5xx hints at an outage.
+				// A service that responds with 429 is up; only a 5xx indicates an outage.
 				onContact(status < SERVER_ERROR)
 				const isRejected = status === TOO_MANY_REQUESTS || status >= SERVER_ERROR
 				return isRejected ? Effect.fail(new RequestRejected({ status })) : Effect.succeed(response)
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,4 +1,4 @@
-/** Access to the state service: its client, a cache of all keys, and a queue for writes. */
+/** Access to the state service: client, watch cache and write queue. */
 export * from './client.js'
 export * from './request-pacer.js'
 export * from './watch-cache.js'
--- a/packages/store/src/linearizable-reads.ts
+++ b/packages/store/src/linearizable-reads.ts
@@ -1,4 +1,4 @@
-/** Linearizable reads that share requests to the state service. */
+/** Batches linearizable reads, so that concurrent callers share requests to the state service. */
 import { Effect } from 'effect'
 import { isRateLimited, type RevisionCompacted, type StoreClient, type StoreFailure } from './client.js'
 import type { RequestPacer } from './request-pacer.js'
@@ -7,14 +7,14 @@
 type PendingRead = (succeeded: boolean) => void
 
 /**
- * Callers that arrive while a read is in flight share the next one: however often users ask, there is one read an interval
- * at most.
+ * Callers that arrive while a read is in flight share the next one, so there is at most one read per interval, regardless of
+ * the rate of user requests.
  */
 export class LinearizableReads {
 	private pending: PendingRead[] = []
 	private inFlight = false
 
-	/** `readLatest`: brings the local copy up to date. */
+	/** @param readLatest brings the watch cache up to date */
 	constructor(
 		private readonly pacer: RequestPacer,
 		private readonly readLatest: (
@@ -22,7 +22,7 @@
 		) => Effect.Effect<void, StoreFailure | RevisionCompacted>,
 	) {}
 
-	/** Succeeds with true once a read that began after this call has been applied, and with false if it failed. */
+	/** Succeeds with true once a read that began after this call has been applied, or with false if that read failed. */
 	request(client: StoreClient): Effect.Effect<boolean> {
 		return Effect.callback<boolean>((resume) => {
 			this.pending.push((succeeded) => resume(Effect.succeed(succeeded)))
@@ -40,13 +40,13 @@
 		)
 	}
 
-	/** One read for all callers that wait by now. */
+	/** Performs one read for all callers that are currently waiting. */
 	private readForPending(client: StoreClient): Effect.Effect<void> {
 		const callers = this.pending
 		this.pending = []
 		return this.readLatest(client).pipe(
 			Effect.match({
-				// Too many requests are no outage: the callers share the next read.
+				// A rate limit is not an outage: the callers share the next read instead.
 				onFailure: (error): ReadOutcome => (isRateLimited(error) ? 'retry' : 'failed'),
 				onSuccess: (): ReadOutcome => 'succeeded',
 			}),
--- a/packages/store/src/request-pacer.ts
+++ b/packages/store/src/request-pacer.ts
@@ -1,11 +1,11 @@
-/** Keeps requests a minimum interval apart. */
+/** Enforces a minimum interval between requests. */
 
-/** Gives out time slots that lie at least an interval apart. */
+/** Reserves time slots that begin at least one interval apart. */
 export class RequestPacer {
 	private nextSlotAt = Number.NEGATIVE_INFINITY
 
 	/**
-	 * @param intervalMs distance of the slots
+	 * @param intervalMs minimum time between the starts of two slots
 	 * @param now steady clock, in ms
 	 */
 	constructor(
@@ -13,7 +13,7 @@
 		private readonly now: () => number,
 	) {}
 
-	/** Reserves the next slot; returns in how many ms it begins. */
+	/** Reserves the next slot; returns the time in ms until it begins. */
 	reserveDelayMs(): number {
 		const now = this.now()
 		const slotAt = Math.max(now, this.nextSlotAt)
--- a/packages/store/src/watch-cache.ts
+++ b/packages/store/src/watch-cache.ts
@@ -1,4 +1,4 @@
-/** A local copy of all keys of the state service, kept up to date by a watch. */
+/** Watch cache: a local copy of all keys of the state service, kept up to date by a watch. */
 import type { KeyValue } from '@heathroad/wire'
 import { Effect } from 'effect'
 import type { RangePage, RevisionCompacted, StoreClient, StoreFailure } from './client.js'
@@ -6,41 +6,41 @@
 import { LinearizableReads } from './linearizable-reads.js'
 import { RequestPacer } from './request-pacer.js'
 
-/** Keys that one request of a full read asks for: the most that one response holds. */
+/** Number of keys per request of a full read: the maximum of one response. */
 const FULL_READ_PAGE_SIZE = 1000
-/** After a failed watch, the cache waits at least this many intervals before the next. */
-const RETRY_INTERVALS = 3
+/** Minimum delay before the next watch after one that failed, in watch intervals. */
+const MIN_RETRY_INTERVALS = 3
 
-/** A key's content, and the revision of its latest change. */
+/** Value of a key, and the revision of its latest change. */
 export interface CacheEntry {
 	data: unknown
 	modRevision: number
-	/** steady time at which the change arrived here; undefined: it was found by a full read, and may be of any age */
+	/** Steady time at which the change arrived; undefined if a full read found it, in which case its age is unknown. */
 	arrivedAt?: number
 }
 
-/** Called for every key whose content differs from what was known; undefined: the key is absent. */
+/** Called for every key whose value has changed; an undefined entry means that the key is absent. */
 export type CacheListener = (
 	key: string,
 	entry: CacheEntry | undefined,
-	before: CacheEntry | undefined,
+	previous: CacheEntry | undefined,
 ) => void
 
-/** Decides what one full read keeps in memory. */
+/** Decides which keys of one full read are kept in memory. */
 export interface FullReadFilter {
-	/** Tells whether a key of the read is kept. Keys that change later are kept in any case. */
+	/** Whether a key of the read is kept. Keys that change later are always kept. */
 	retains(key: string, data: unknown, modRevision: number): boolean
-	/** The read, whose first request was answered at the revision, is about to be applied. */
+	/** Called before the read is applied; `revision`: that of the response to its first request. */
 	onApply(revision: number): void
 }
 
-/** A full read that is complete. */
+/** A completed full read. */
 interface FullRead {
-	/** at which its first request was answered */
+	/** Revision of the response to its first request. */
 	firstRevision: number
 	retained: readonly KeyValue[]
 	filter: FullReadFilter
-	/** what changed during it; null: nothing */
+	/** Changes during the read; null if there were none. */
 	changes: { revision: number; log: readonly KeyValue[] } | null
 }
 
@@ -48,31 +48,31 @@
 
 const withoutPrefix = (key: string): string => key.slice(KEY_PREFIX.length)
 
-/** Keys in the cache are without the prefix that all keys share. */
+/** Cache of all keys, which are stored without `KEY_PREFIX`. */
 export class WatchCache {
 	readonly entries = new Map<string, CacheEntry>()
-	/** Everything up to this revision has been applied. -1: nothing has been read yet. */
+	/** Revision up to which all changes have been applied; -1 if nothing has been read yet. */
 	revision = -1
-	/** Steady time at which the latest read that was answered was sent: everything durable by then is known. */
+	/** Steady time at which the latest successful read was sent: everything durable by then is in the cache. */
 	private knownAsOf = Number.NEGATIVE_INFINITY
 	/** Called when `revision` has advanced. */
 	onRevisionAdvanced: () => void = () => {}
-	/** Slots of linearizable reads, shared with other reads that are made on request. */
+	/** Paces linearizable reads and other reads on behalf of user requests. */
 	readonly readPacer: RequestPacer
 	private readonly linearizableReads: LinearizableReads
 	/** Called when a full read begins; several may be in flight. */
 	beginFullRead: () => FullReadFilter = () => KEEP_EVERYTHING
-	/** Called before a full read is applied: changes since the last read may never be reported one by one. */
+	/** Called before a full read is applied: changes since the previous read may not be reported individually. */
 	onFullRead: () => void = () => {}
-	/** Called once a full read, and the changes that were made during it, are applied, before `onRevisionAdvanced`. */
+	/** Called after a full read and the changes during it were applied, before `onRevisionAdvanced`. */
 	onFullReadApplied: () => void = () => {}
 
 	/**
-	 * Linearizable reads begin at least `intervalMs` apart: otherwise each controller would read as fast as it is answered
-	 * when users ask often, and all of them together would use up the request rate of the state service, which leases and
-	 * writes need (incident 9).
+	 * Linearizable reads begin at least `intervalMs` apart. Under frequent user requests, each controller would otherwise
+	 * send reads back to back, and together they would exhaust the request rate of the state service, which leases and writes
+	 * need (incident 9).
 	 *
-	 * @param intervalMs also between a watch's response and the next watch
+	 * @param intervalMs minimum interval of linearizable reads, and delay between a watch's response and the next watch
 	 * @param now steady clock, in ms
 	 */
 	constructor(
@@ -84,54 +84,54 @@
 		this.linearizableReads = new LinearizableReads(this.readPacer, (client) => this.readLatest(client))
 	}
 
-	/** For how many ms changes may have gone unnoticed; infinite before the first read. */
+	/** Upper bound of the cache's staleness, in ms; infinite before the first read. */
 	ageMs(now = this.now()): number {
 		return now - this.knownAsOf
 	}
 
-	/** undefined: the key is absent */
+	/** undefined if the key is absent */
 	get(key: string): CacheEntry | undefined {
 		return this.entries.get(key)
 	}
 
-	/** 0: the key is absent */
+	/** 0 if the key is absent */
 	modRevision(key: string): number {
 		return this.entries.get(key)?.modRevision ?? 0
 	}
 
-	/** Entries whose keys begin with a prefix, in the order of their insertion. */
+	/** Entries whose keys begin with a prefix, in insertion order. */
 	*withPrefix(prefix: string): Iterable<[string, CacheEntry]> {
 		for (const entry of this.entries) if (entry[0].startsWith(prefix)) yield entry
 	}
 
 	/**
-	 * Applies a write of this controller that was confirmed, before the watch reports it. A confirmation that comes later
-	 * than the watch tells nothing new, and the key may have changed or been deleted since.
+	 * Applies a confirmed write of this controller before the watch reports it. A confirmation that arrives after the watch has
+	 * reported the write is ignored: the key may have been changed or deleted since.
 	 */
 	applyOwnWrite(key: string, data: unknown, modRevision: number): void {
 		if (modRevision > this.revision) this.put(key, data, modRevision, this.now())
 	}
 
 	private put(key: string, data: unknown, modRevision: number, arrivedAt?: number): void {
-		const before = this.entries.get(key)
-		if (before !== undefined && before.modRevision >= modRevision) return
+		const previous = this.entries.get(key)
+		if (previous !== undefined && previous.modRevision >= modRevision) return
 		if (data === undefined) {
-			if (before !== undefined) this.remove(key, before)
+			if (previous !== undefined) this.remove(key, previous)
 			return
 		}
 		const entry = arrivedAt === undefined ? { data, modRevision } : { data, modRevision, arrivedAt }
 		this.entries.set(key, entry)
-		this.onChange(key, entry, before)
+		this.onChange(key, entry, previous)
 	}
 
-	private remove(key: string, before: CacheEntry): void {
+	private remove(key: string, previous: CacheEntry): void {
 		this.entries.delete(key)
-		this.onChange(key, undefined, before)
+		this.onChange(key, undefined, previous)
 	}
 
 	/**
-	 * Applies a watch response. Two reads may overlap: changes at or before the cache's revision were applied already, and
-	 * applying them again could bring a deleted key back.
+	 * Applies a watch response. Reads may overlap: changes up to the cache's revision have already been applied, and applying
+	 * them again could restore a deleted key.
 	 */
 	applyEvents(revision: number, log: readonly KeyValue[]): void {
 		this.putChanges(log)
@@ -154,9 +154,9 @@
 	}
 
 	/**
-	 * Replaces the content by a full read whose first page was taken at `revision`, in the order of the changes. Newer
-	 * changes that later pages show are left to the watch, which reports them in order; until then the key stays as it was
-	 * known.
+	 * Replaces the content with a full read whose first page was read at `revision`, and applies the differences in the order
+	 * of the revisions. Newer changes in later pages are left to the watch, which reports them in order; until then such a key
+	 * keeps its cached value.
 	 */
 	replaceAll(revision: number, all: readonly KeyValue[]): void {
 		this.replaceContent(revision, all)
@@ -174,7 +174,7 @@
 			if (!present.has(key) && entry.modRevision <= revision) this.remove(key, entry)
 	}
 
-	/** Reads all keys, and then the changes that were made meanwhile. */
+	/** Reads all keys, and then the changes that were made during the read. */
 	readAll(client: StoreClient): Effect.Effect<void, StoreFailure | RevisionCompacted> {
 		return Effect.gen({ self: this }, function* () {
 			const sentAt = this.now()
@@ -187,22 +187,22 @@
 				const page: RangePage = yield* client.list(KEY_PREFIX, after, FULL_READ_PAGE_SIZE)
 				if (firstRevision < 0) firstRevision = page.revision
 				lastRevision = page.revision
-				// Entries that are not retained never take more memory than their page.
+				// Entries are filtered page by page, so that those not retained use no more memory than one page.
 				retained.push(...page.entries.filter((entry) => this.retainsEntry(filter, entry)))
 				if (!page.more || page.entries.length === 0) break
 				after = page.entries[page.entries.length - 1].key
 			}
 			const changes = lastRevision > firstRevision ? yield* client.watch(firstRevision, 0) : null
 			if (this.revision < firstRevision) this.applyFullRead({ firstRevision, retained, filter, changes })
-			// Another read was applied meanwhile: an older one would bring back keys that were deleted since.
+			// A later read was applied meanwhile; applying this older one would restore keys that were deleted since.
 			else if (changes !== null) this.applyEvents(changes.revision, changes.log)
 			this.knownAsOf = Math.max(this.knownAsOf, sentAt)
 		})
 	}
 
 	/**
-	 * The revision advances once, at the end: until then a key that changed during the read lacks what it held at the first
-	 * revision, so nobody may take the content for complete.
+	 * The revision advances only once, at the end. Until then, keys that changed during the read lack their values at the first
+	 * revision, so the content must not be treated as complete.
 	 */
 	private applyFullRead({ firstRevision, retained, filter, changes }: FullRead): void {
 		this.onFullRead()
@@ -219,7 +219,7 @@
 		return filter.retains(key, entry.data, entry.modRevision) || this.entries.has(key)
 	}
 
-	/** Reads the changes since the last read; waits for one, for at most `blockMs`, if there is none. */
+	/** Reads the changes since the last read; if there are none, waits up to `blockMs` for one. */
 	private readChanges(
 		client: StoreClient,
 		blockMs: number,
@@ -242,8 +242,8 @@
 	}
 
 	/**
-	 * Watches the state service until the fiber is interrupted. The interval after a response lets several changes share
-	 * the next one. After a failure nobody knows what was missed, so the next read, `retryMs` later, does not wait for
+	 * Watches the state service until the fiber is interrupted. The delay after a response lets several changes share the next
+	 * one. After a failure, changes may have been missed, so the next read, at least `retryMs` later, does not wait for
 	 * changes.
 	 */
 	follow(client: StoreClient, blockMs: number, retryMs: number): Effect.Effect<never> {
@@ -252,7 +252,7 @@
 			Effect.matchEffect({
 				onFailure: () => {
 					failed = true
-					return Effect.sleep(Math.max(retryMs, this.intervalMs * RETRY_INTERVALS))
+					return Effect.sleep(Math.max(retryMs, this.intervalMs * MIN_RETRY_INTERVALS))
 				},
 				onSuccess: () => {
 					failed = false
@@ -264,8 +264,8 @@
 	}
 
 	/**
-	 * Succeeds with true once a read that began after this call has been applied: everything that was durable before the call
-	 * is then in the cache. With false, the read failed.
+	 * Succeeds with true once a read that began after this call has been applied: the cache then contains everything that was
+	 * durable before the call. Succeeds with false if the read failed.
 	 */
 	linearizableRead(client: StoreClient): Effect.Effect<boolean> {
 		return this.linearizableReads.request(client)
--- a/packages/store/src/write-group.ts
+++ b/packages/store/src/write-group.ts
@@ -1,13 +1,13 @@
-/** Writes that are carried out together, in one transaction of the state service. */
+/** Groups writes into one transaction of the state service. */
 import type { Condition, Mutation } from '@heathroad/wire'
 import type { QueuedWrite, TransactionContent, WriteQueueLimits } from './write-queue.js'
 
-/** Conditions that a transaction may have for each of its operations. */
+/** Maximum number of conditions in a transaction, per permitted operation. */
 const CONDITIONS_PER_OPERATION = 4
-/** Size of an encoded condition, in bytes; an estimate on the safe side. */
+/** Conservative estimate of the size of an encoded condition, in bytes. */
 const BYTES_PER_CONDITION = 80
 
-/** A write with its content at the time when it was built. */
+/** A write with the content that was built for it. */
 export interface BuiltWrite {
 	readonly write: QueuedWrite
 	readonly content: TransactionContent
@@ -17,7 +17,7 @@
 
 const keyOf = (mutation: Mutation): string => ('set' in mutation ? mutation.set : mutation.delete)
 
-/** Builds a write's content; null: the write is obsolete. */
+/** Builds a write's content; null if the write is obsolete. */
 export const buildWrite = (write: QueuedWrite): BuiltWrite | null => {
 	const content = write.build()
 	if (content === null) return null
@@ -25,7 +25,7 @@
 	return { write, content, bytes }
 }
 
-/** Collects writes as long as they fit into one transaction and do not interfere with each other. */
+/** Collects writes that fit into one transaction and do not conflict with each other. */
 export class WriteGroup {
 	readonly members: BuiltWrite[] = []
 	readonly mutations: Mutation[] = []
@@ -35,17 +35,17 @@
 
 	constructor(private readonly limits: WriteQueueLimits) {}
 
-	/** Does the group hold no write yet? */
+	/** Whether the group has no writes. */
 	get isEmpty(): boolean {
 		return this.members.length === 0
 	}
 
-	/** The conditions of all writes, each once. */
+	/** The conditions of all writes, without duplicates. */
 	get conditions(): Condition[] {
 		return [...this.conditionsByKey.values()]
 	}
 
-	/** Does the transaction stay within its limits with one more write? A write that exceeds them by itself is sent alone. */
+	/** Whether the write fits into the transaction's limits. A write that exceeds them on its own is sent alone. */
 	hasRoomFor({ content, bytes }: BuiltWrite): boolean {
 		if (this.isEmpty) return true
 		const { maxOperations, maxBytes } = this.limits
@@ -58,10 +58,10 @@
 	}
 
 	/**
-	 * Writes that touch one key never share a transaction: each was made without knowing the other, and the later mutation
-	 * would silently undo the earlier.
+	 * Whether the write must not share a transaction with the group, because they touch the same key. Each was built without
+	 * knowledge of the other, and the later mutation would silently overwrite the earlier one.
 	 */
-	interferesWith({ content }: BuiltWrite): boolean {
+	conflictsWith({ content }: BuiltWrite): boolean {
 		const touches = (key: string) => this.writtenKeys.has(key) || this.conditionsByKey.has(key)
 		const contradicts = ({ key, modRevision }: Condition) =>
 			this.writtenKeys.has(key) || (this.conditionsByKey.get(key)?.modRevision ?? modRevision) !== modRevision
@@ -70,7 +70,7 @@
 		)
 	}
 
-	/** Adds a write that has been checked by `hasRoomFor` and `interferesWith`. */
+	/** Adds a write; the caller must have checked it with `hasRoomFor` and `conflictsWith`. */
 	add(built: BuiltWrite): void {
 		this.members.push(built)
 		for (const mutation of built.content.mutations) this.writtenKeys.add(keyOf(mutation))
--- a/packages/store/src/write-queue.ts
+++ b/packages/store/src/write-queue.ts
@@ -1,4 +1,4 @@
-/** Groups small writes into transactions and keeps this controller's share of the state service's change rate. */
+/** Groups small writes into transactions, and limits them to this controller's share of the state service's write rate. */
 import type { Condition, Mutation } from '@heathroad/wire'
 import { Effect } from 'effect'
 import { Backoff } from './backoff.js'
@@ -7,59 +7,59 @@
 import { type BuiltWrite, buildWrite, WriteGroup } from './write-group.js'
 
 /**
- * Lower goes first. A rental's record, one change for dozens of machines, goes before acceptances and cancellations, those
- * before outcomes, release marks and removals of machines, and progress goes last.
+ * Priorities of writes; lower values go first. `rental`: rental records, one change for dozens of machines; `user`:
+ * acceptances and cancellations; `outcome`: outcomes, release marks and removals of machines; `progress`: task progress.
  */
 export const WritePriority = { rental: 0, user: 1, outcome: 2, progress: 3 } as const
 
-/** Transactions in flight at one time. */
+/** Maximum number of transactions in flight. */
 const MAX_IN_FLIGHT = 3
-/** Tokens that progress leaves for writes of higher priority, as a fraction of what one second brings. */
+/** Tokens that progress leaves for writes of higher priority, as a fraction of the tokens gained in one second. */
 const PROGRESS_RESERVE = 0.3
-/** Added to the time until there are tokens, in ms: a timer that fires early would find too few. */
+/** Added to the wait for tokens, in ms, since a timer that fires early would find too few. */
 const TOKEN_WAIT_MARGIN_MS = 20
 
-/** What became of a write. */
+/** Outcome of a write. */
 export type WriteResult =
 	| { kind: 'ok'; revision: number }
 	| { kind: 'conflict' }
-	/** No answer: it may have been applied, or may be later. */
+	/** No response: the write may have been applied, or may be applied later. */
 	| { kind: 'unknown' }
-	/** Certainly not applied: past its deadline, or obsolete, before it was carried out. */
+	/** Certainly not applied: its deadline passed, or it became obsolete, before it was executed. */
 	| { kind: 'refused' }
 
-/** Mutations that are applied if all conditions hold. */
+/** Content of a transaction: the mutations are applied if all conditions hold. */
 export interface TransactionContent {
 	conditions: readonly Condition[]
 	mutations: readonly Mutation[]
 }
 
-/** A write that waits in the queue. */
+/** A write in the queue. */
 export interface QueuedWrite {
 	/** One of `WritePriority`. */
 	priority: number
-	/** What to write, built when the write is dequeued, so that it holds the latest; null: it is obsolete. */
+	/** Builds the content when the write is dequeued, from the latest data; null if the write is obsolete. */
 	build: () => TransactionContent | null
-	/** Steady time after which it is no longer worth trying. */
+	/** Steady time after which the write is refused instead of sent. */
 	deadline: number
 	onResult: (result: WriteResult) => void
 }
 
-/** Limits of the state service, and this controller's share. */
+/** Limits of the state service, and this controller's share of them. */
 export interface WriteQueueLimits {
-	/** This controller's share of the changes per second. */
+	/** This controller's share of the state service's changes per second. */
 	writesPerS: number
-	/** What the state service takes per second from all controllers, as a burst for users' writes. */
+	/** Changes per second that the state service allows for all controllers together; allowed to user writes as a burst. */
 	burst: number
-	/** Mutations of one transaction. */
+	/** Maximum number of mutations in one transaction. */
 	maxOperations: number
-	/** Estimated size of one transaction. */
+	/** Maximum estimated size of one transaction. */
 	maxBytes: number
 }
 
 const REFUSED: WriteResult = { kind: 'refused' }
 
-/** Writes wait in one queue for each priority, first in, first out. */
+/** Queue of writes, first in, first out within each priority. */
 export class WriteQueue {
 	private readonly queues: QueuedWrite[][] = [[], [], [], []]
 	private readonly bucket: TokenBucket
@@ -68,7 +68,7 @@
 	private timer: ReturnType<typeof setTimeout> | null = null
 	private dequeueScheduled = false
 
-	/** `now`: steady clock, in ms. */
+	/** @param now steady clock, in ms */
 	constructor(
 		private readonly client: StoreClient,
 		private readonly limits: WriteQueueLimits,
@@ -77,13 +77,13 @@
 		this.bucket = new TokenBucket(limits.writesPerS, limits.burst, now())
 	}
 
-	/** Writes that are added in one task share transactions; `onResult` is never called before this has returned. */
+	/** Writes enqueued in the same event loop task share transactions; `onResult` is never called before this returns. */
 	enqueue(write: QueuedWrite): void {
 		this.queues[write.priority].push(write)
 		this.scheduleDequeue()
 	}
 
-	/** Raises the priority of a write that still waits; one that is in flight stays as it is. */
+	/** Raises the priority of a queued write; a write that is already in flight is unaffected. */
 	raisePriority(write: QueuedWrite, priority: number): void {
 		if (write.priority <= priority) return
 		const queue = this.queues[write.priority]
@@ -113,8 +113,8 @@
 	}
 
 	/**
-	 * Level down to which a priority may use the bucket. Users' writes may use what the other controllers leave (the state
-	 * service itself says when that is too much); progress leaves a reserve to those before it.
+	 * Level down to which a priority may use the bucket. User writes may also use the rate that other controllers leave unused
+	 * (the state service rejects what exceeds it); progress leaves a reserve for higher priorities.
 	 */
 	private minLevel(priority: number): number {
 		if (priority <= WritePriority.user) return -this.limits.burst
@@ -122,7 +122,7 @@
 		return this.limits.writesPerS * PROGRESS_RESERVE
 	}
 
-	/** Sends as many transactions as the limits allow now. */
+	/** Sends as many transactions as the limits currently allow. */
 	private dequeue(): void {
 		const now = this.now()
 		this.refuseExpired(now)
@@ -158,9 +158,9 @@
 	}
 
 	/**
-	 * Removes the writes of the next transaction from the queues, and obsolete ones that are met on the way. A low priority
-	 * may not fill the transaction beyond what the bucket grants that priority, or the next urgent write would wait for a
-	 * second and more.
+	 * Removes the writes of the next transaction from the queues, and obsolete ones found on the way. A low priority may not
+	 * fill the transaction beyond what the bucket allows that priority, or the next urgent write would wait for a second or
+	 * more.
 	 */
 	private takeGroup(obsolete: QueuedWrite[]): WriteGroup {
 		const group = new WriteGroup(this.limits)
@@ -173,7 +173,7 @@
 					continue
 				}
 				if (!group.hasRoomFor(built)) return group
-				if (group.interferesWith(built)) {
+				if (group.conflictsWith(built)) {
 					index++
 					continue
 				}
@@ -183,7 +183,7 @@
 		return group
 	}
 
-	/** The first write is paid for by the level that the caller has checked. */
+	/** Whether the tokens allow one more write; for the first write, the caller has checked the level. */
 	private mayExtend(group: WriteGroup, priority: number): boolean {
 		return group.isEmpty || this.bucket.level - group.mutations.length > this.minLevel(priority)
 	}
@@ -210,7 +210,7 @@
 		)
 	}
 
-	/** Back to the front of their queues, in the same order. */
+	/** Returns the writes to the front of their queues, in the same order. */
 	private requeue(members: readonly BuiltWrite[]): void {
 		for (const { write } of [...members].reverse()) this.queues[write.priority].unshift(write)
 	}
@@ -221,7 +221,7 @@
 			for (const { write } of members) write.onResult({ kind: 'ok', revision: result.revision })
 			return
 		}
-		// One condition that does not hold fails the whole transaction; the writes whose conditions hold are sent again.
+		// A failed condition fails the whole transaction; the writes whose conditions held are sent again.
 		const failedKeys = new Set(result.failedKeys)
 		const isStale = ({ content }: BuiltWrite) =>
 			members.length === 1 || content.conditions.some(({ key }) => failedKeys.has(key))
--- a/tests/double-outage.test.ts
+++ b/tests/double-outage.test.ts
@@ -185,7 +185,7 @@
 			() => 0,
 		)
 		const book = new JobRegistry(cache)
-		cache.onRevisionAdvanced = () => book.dropJobsThatLeftPages()
+		cache.onRevisionAdvanced = () => book.dropJobsRemovedFromPages()
 		const apply = (revision: number, log: [string, unknown][]) =>
 			cache.applyEvents(
 				revision,
--- a/tests/models/records.ts
+++ b/tests/models/records.ts
@@ -69,7 +69,7 @@
 	const registry = new JobRegistry(cache)
 	const entries = Object.entries(records).map(([key, entry]) => ({ key: KEY_PREFIX + key, ...entry }))
 	cache.replaceAll(Math.max(revision, ...entries.map(({ modRevision }) => modRevision)), entries)
-	registry.dropJobsThatLeftPages()
+	registry.dropJobsRemovedFromPages()
 	return { cache, registry }
 }
 
