--- a/packages/cluster/src/release-marks.ts
+++ b/packages/cluster/src/release-marks.ts
@@ -74,22 +74,22 @@
  * its shard has no effect.
  *
  * @param mustKeep whether a job that is already marked must stay marked
- * @param limits `room`: maximum characters of a page's value; `ops`: maximum pages written in one transaction
+ * @param limits `maxPageChars`: characters of a page's value; `maxPages`: pages written in one transaction
  */
 export const markReleased = (
 	records: RecordReader,
 	shardId: number,
 	uids: readonly string[],
 	mustKeep: (uid: string) => boolean,
-	limits: { room: number; ops: number },
+	limits: { maxPageChars: number; maxPages: number },
 ): { content: TransactionContent; taken: readonly string[] } => {
 	const conditions: Condition[] = []
 	const mutations: Mutation[] = []
 	let takenCount = 0
-	for (let page = 0; takenCount < uids.length && mutations.length < limits.ops; page++) {
+	for (let page = 0; takenCount < uids.length && mutations.length < limits.maxPages; page++) {
 		const key = releasePageKey(shardId, page)
 		const kept = (decodeReleasePage(records.get(key)?.data) ?? []).filter(mustKeep)
-		const added = takeFitting(uids, takenCount, limits.room - pageSize(kept))
+		const added = takeFitting(uids, takenCount, limits.maxPageChars - pageSize(kept))
 		if (added.length === 0) continue
 		takenCount += added.length
 		conditions.push({ key: KEY_PREFIX + key, modRevision: records.modRevision(key) })
--- a/packages/controller/src/release-writer.ts
+++ b/packages/controller/src/release-writer.ts
@@ -53,7 +53,10 @@
 		const { config, ports, records, shardId } = this.state
 		const uids = [...this.releasedJobs].map((job) => job.uid)
 		const { txn_ops } = config.settings.deployment.state
-		const limits = { room: maxValueChars(config.settings), ops: Math.min(MAX_PAGES_PER_WRITE, txn_ops) }
+		const limits = {
+			maxPageChars: maxValueChars(config.settings),
+			maxPages: Math.min(MAX_PAGES_PER_WRITE, txn_ops),
+		}
 		return markReleased(records, shardId, uids, (uid) => ports.keepsReleaseMark(uid), limits).content
 	}
 
--- a/tests/gate.test.ts
+++ b/tests/gate.test.ts
@@ -165,7 +165,7 @@
 		}
 	}
 	// Room for nine uids of 10 characters, each with quotes and a comma, beside the page's own characters.
-	const limits = { room: 16 + 9 * 13 + 5, ops: 3 }
+	const limits = { maxPageChars: 16 + 9 * 13 + 5, maxPages: 3 }
 	const cases: {
 		name: string
 		pages: ReturnType<typeof page>[]
--- a/tests/golden-forms.test.ts
+++ b/tests/golden-forms.test.ts
@@ -192,7 +192,8 @@
 		migration: migrateTerminalRecords(entries, 0, [{ job: first, modRevision: 33 }], room).content,
 		'pages leave': deletePages(entries, 1, ['over/1/50']),
 		'next turn': advanceArchivalEpoch(entries, { ...values.historyRecord, archivalEpoch: 8 }),
-		release: markReleased(entries, 1, ['job-000412'], () => true, { room: 4000, ops: 4 }).content,
+		release: markReleased(entries, 1, ['job-000412'], () => true, { maxPageChars: 4000, maxPages: 4 })
+			.content,
 		'with a lease': {
 			conditions: [owning],
 			mutations: [{ set: 'heathroad/part/1', data: encodeShardOwner(values.partRecord), leaseId: 7 }],
--- a/tests/release-model.test.ts
+++ b/tests/release-model.test.ts
@@ -83,7 +83,7 @@
 		get: (key: string) => view.records[key],
 		modRevision: (key: string) => view.records[key]?.modRevision ?? 0,
 	}
-	const limits = { room: 1000, ops: 1 }
+	const limits = { maxPageChars: 1000, maxPages: 1 }
 	const { content } = markReleased(reader, 0, unmarked(state, controller), () => true, limits)
 	const ownership = { key: KEY_PREFIX + shardKey(0), modRevision: fencingToken(view) }
 	const complete = { ...content, conditions: [ownership, ...content.conditions] }
