--- a/packages/controller/src/admission-gate.ts
+++ b/packages/controller/src/admission-gate.ts
@@ -2,7 +2,7 @@
 import type { JobRecord } from '@heathroad/cluster'
 import type { JobSpec } from '@heathroad/wire'
 import TinyQueue from 'tinyqueue'
-import { CheckQueries, NO_SUCH_CHECK, type PendingJob } from './check-questions.js'
+import { CheckQueries, NO_SUCH_CHECK, type PendingJob } from './check-queries.js'
 import { ReleaseWriter } from './release-writer.js'
 import type { ShardState } from './state.js'
 
--- a/packages/controller/src/release-writer.ts
+++ b/packages/controller/src/release-writer.ts
@@ -2,7 +2,7 @@
 import { markReleased } from '@heathroad/cluster'
 import { maxValueChars } from '@heathroad/config'
 import { type TransactionContent, WritePriority, type WriteResult } from '@heathroad/store'
-import type { PendingJob } from './check-questions.js'
+import type { PendingJob } from './check-queries.js'
 import type { ShardState } from './state.js'
 
 /** Maximum number of release pages in one write: keeps it small next to the other writes of a transaction. */
@@ -53,7 +53,10 @@
 		const { config, dependencies, records, shardId } = this.state
 		const uids = [...this.releasedJobs].map((job) => job.uid)
 		const { txn_ops } = config.settings.deployment.state
-		const limits = { room: maxValueChars(config.settings), ops: Math.min(MAX_PAGES_PER_WRITE, txn_ops) }
+		const limits = {
+			maxPageChars: maxValueChars(config.settings),
+			maxPages: Math.min(MAX_PAGES_PER_WRITE, txn_ops),
+		}
 		return markReleased(records, shardId, uids, (uid) => dependencies.keepsReleaseMark(uid), limits).content
 	}
 
--- a/packages/server/src/heartbeat-router.ts
+++ b/packages/server/src/heartbeat-router.ts
@@ -56,8 +56,8 @@
 		this.localStatus.onOwnerLookup(machineId, shardId)
 		const owner = membership.ownerOf(shardId)
 		// A machine that is redirected to an owner it cannot reach would wait there for most of its lease.
-		const isReachable = owner?.alive && owner.hears && owner.name !== config.limits.self
-		if (owner?.alive && !owner.hears) this.scheduleGossip()
+		const isReachable = owner?.alive && owner.receivesHeartbeats && owner.name !== config.limits.self
+		if (owner?.alive && !owner.receivesHeartbeats) this.scheduleGossip()
 		respond({ status: 421, body: isReachable ? { overseer: owner.name } : {} })
 	}
 
--- a/packages/server/src/record-dispatcher.ts
+++ b/packages/server/src/record-dispatcher.ts
@@ -74,9 +74,9 @@
 	}
 
 	/** Called once a full read is applied: jobs that left the records while changes were missed are terminal. */
-	dropUnnamedJobs(): void {
+	dropUnrecordedJobs(): void {
 		const { context, shards } = this.consumers
-		const uids = context.jobs.dropUnnamedJobs()
+		const uids = context.jobs.dropUnrecordedJobs()
 		if (uids.length === 0) return
 		context.log('info', 'open jobs dropped', {
 			count: uids.length,
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -143,7 +143,7 @@
 		cache.beginFullRead = () => this.archive.beginFullRead()
 		cache.onFullRead = () => this.recordObserver?.onFullRead()
 		cache.onFullReadApplied = () => {
-			this.recordDispatcher.dropUnnamedJobs()
+			this.recordDispatcher.dropUnrecordedJobs()
 			this.archive.onFullReadApplied()
 		}
 		cache.onRevisionAdvanced = () => {
--- a/packages/server/src/worker-probe.ts
+++ b/packages/server/src/worker-probe.ts
@@ -20,7 +20,7 @@
 	/** Probes a random machine; does nothing unless this controller is partitioned from the machines. */
 	tick(): void {
 		const { membership, machineGroups, config } = this.context
-		if (!membership.cutFromWorkers) return
+		if (!membership.partitionedFromMachines) return
 		const addresses = [...machineGroups.records.values()]
 			.flatMap((group) => Object.values(group.addresses))
 			.filter((address) => address !== null)
@@ -43,7 +43,7 @@
 		this.consecutiveAnswers = answered ? this.consecutiveAnswers + 1 : 0
 		if (this.consecutiveAnswers < REQUIRED_ANSWERS) return
 		this.consecutiveAnswers = 0
-		this.context.membership.cutFromWorkers = false
+		this.context.membership.partitionedFromMachines = false
 		this.context.log('info', 'workers reachable again')
 	}
 }
