--- a/packages/controller/src/terminal-state-writer.ts
+++ b/packages/controller/src/terminal-state-writer.ts
@@ -1,18 +1,18 @@
-/** Writes the terminal states of completed jobs to the pages that they share. */
+/** Writes the terminal states of completed jobs to shared pages. */
 import { recordTerminalJobs, toTerminalJob } from '@heathroad/cluster'
 import { type QueuedWrite, type TransactionContent, WritePriority } from '@heathroad/store'
 import type { JobRun } from './model.js'
 import type { ShardState } from './state.js'
 
-/** A transaction as it was sent, and the jobs whose terminal states it contains. */
+/** The transaction sent to the state service, and the jobs whose terminal states it contains. */
 interface SentWrite {
 	jobs: readonly JobRun[]
 	content: TransactionContent
 }
 
 /**
- * Makes terminal states durable, all that were reached during one write together in the next. One write at a time:
- * each is based on the page that the one before it left.
+ * Makes terminal states durable. Jobs that complete during one write are batched into the next; there is one write at a
+ * time, as each is based on the page that the previous one wrote.
  */
 export class TerminalStateWriter {
 	private readonly pendingJobs = new Set<JobRun>()
@@ -20,16 +20,16 @@
 
 	constructor(private readonly state: ShardState) {}
 
-	/** All of the job's tasks are done. May be called again and again until that is durable. */
+	/** Adds a job whose tasks are all done. May be called repeatedly until its terminal state is durable. */
 	add(job: JobRun): void {
 		this.pendingJobs.add(job)
 		this.flush()
 	}
 
-	/** Pending jobs without a terminal state on record; the others leave the set. */
+	/** Returns the pending jobs without a recorded terminal state, and removes the others from the set. */
 	private openJobs(): JobRun[] {
 		for (const job of this.pendingJobs)
-			if (job.isTerminal || this.state.ports.job(job.spec.uid)?.record.finalState !== undefined)
+			if (job.isTerminal || this.state.dependencies.job(job.spec.uid)?.record.finalState !== undefined)
 				this.pendingJobs.delete(job)
 		return [...this.pendingJobs]
 	}
@@ -53,7 +53,7 @@
 	private flush(): void {
 		if (this.write !== null || this.pendingJobs.size === 0 || this.state.stopped) return
 		let sent: SentWrite | null = null
-		this.write = this.state.ports.enqueueWrite({
+		this.write = this.state.dependencies.enqueueWrite({
 			priority: WritePriority.outcome,
 			build: () => {
 				sent = this.buildWrite()
@@ -66,7 +66,7 @@
 					for (const job of sent.jobs) this.pendingJobs.delete(job)
 					this.state.applyOwnMutations(sent.content.mutations, result.revision)
 					this.flush()
-				} else if (result.kind !== 'refused') this.state.ports.refreshCache(() => this.flush())
+				} else if (result.kind !== 'refused') this.state.dependencies.refreshCache(() => this.flush())
 			},
 		})
 	}
