--- a/packages/testkit/src/stream-checks.ts
+++ b/packages/testkit/src/stream-checks.ts
@@ -138,12 +138,17 @@
 		this.addresses = await Promise.all(this.proxies.map(async (proxy) => `127.0.0.1:${await proxy.listen()}`))
 		const begunMs = Date.now()
 		const timer = setTimeout(() => this.deadline.abort(), this.options.forS * 1000)
-		await this.submitAndRead()
-		clearTimeout(timer)
-		this.faultsEnded = true
-		this.collect(begunMs)
-		await this.close()
-		return this.result
+		try {
+			await this.submitAndRead()
+			this.collect(begunMs)
+			return this.result
+		} finally {
+			// Also after an error: whatever still runs would keep the process from ending.
+			clearTimeout(timer)
+			this.deadline.abort()
+			this.faultsEnded = true
+			await this.close()
+		}
 	}
 
 	/** Readers by ids that are submitted only later, by team, and by ids after that. */
