--- a/packages/grpc/src/connections.ts
+++ b/packages/grpc/src/connections.ts
@@ -1,24 +1,24 @@
 /** TCP connections of the gRPC server. */
 import * as net from 'node:net'
 
-/** The connection preface of HTTP/2 and an empty SETTINGS frame, in bytes: the least that every client sends first. */
+/** Size of the HTTP/2 connection preface with an empty SETTINGS frame, in bytes; every client sends at least these. */
 const PREFACE_BYTES = 24 + 9
-/** Connections that the kernel queues before they are accepted. */
+/** Number of connections that the kernel queues before they are accepted. */
 const LISTEN_BACKLOG = 128
 
-/** Bounds of the connections, and who hears of errors. */
+/** Limits of the connections, and the callback for listener errors. */
 export interface ConnectionLimits {
-	/** open connections at most; further ones are refused */
+	/** maximum number of open connections; further ones are refused */
 	maxConnections: number
-	/** a connection without the preface of HTTP/2 is closed after this time, in ms */
+	/** time after which a connection that has not sent the HTTP/2 preface is closed, in ms */
 	prefaceTimeoutMs: number
 	/** called with errors of the listener after it has opened */
 	onError: (error: Error) => void
 }
 
 /**
- * Accepts connections and hands them to the gRPC library. Their number is bounded, one without a preface of HTTP/2 is
- * closed, and one whose reader does not read can be closed from here; the library offers none of this.
+ * Accepts connections and passes them to the gRPC library. Adds what the library lacks: a limit on the number of
+ * connections, a timeout for the HTTP/2 preface, and a way to close the connection of a peer that does not read.
  */
 export class Connections {
 	private readonly socketsByPeer = new Map<string, net.Socket>()
@@ -33,7 +33,7 @@
 		this.server.maxConnections = limits.maxConnections
 	}
 
-	/** Listens at IP:PORT; answers with the address in use, or rejects with the error of the socket. */
+	/** Listens on IP:PORT; resolves with the bound address, or rejects with the socket's error. */
 	listen(address: string): Promise<net.AddressInfo> {
 		const colon = address.lastIndexOf(':')
 		const options = {
@@ -51,17 +51,17 @@
 		})
 	}
 
-	/** Closes a peer's connection at once, with all calls on it. */
+	/** Closes a peer's connection immediately, which ends all calls on it. */
 	disconnect(peer: string): void {
 		this.socketsByPeer.get(peer)?.destroy()
 	}
 
-	/** Accepts no further connections. */
+	/** Stops accepting connections. */
 	close(): void {
 		this.server.close()
 	}
 
-	/** Closes all connections at once, and accepts no further ones. */
+	/** Stops accepting connections, and closes the open ones immediately. */
 	destroy(): void {
 		this.close()
 		for (const socket of this.socketsByPeer.values()) socket.destroy()
@@ -77,7 +77,7 @@
 			clearTimeout(prefaceTimer)
 			if (this.socketsByPeer.get(peer) === socket) this.socketsByPeer.delete(peer)
 		})
-		// Without a listener an error would end the process; 'close' follows every error.
+		// Without a listener an 'error' event would crash the process; 'close' follows every error.
 		socket.on('error', () => {})
 		this.onConnection(socket)
 	}
--- a/packages/grpc/src/event-message.ts
+++ b/packages/grpc/src/event-message.ts
@@ -1,4 +1,4 @@
-/** Events of a subscription as messages of the definition. */
+/** Conversion of job events to gRPC messages. */
 import type { JobEvent } from '@heathroad/events'
 import type { EventMessage } from '@heathroad/proto'
 
@@ -9,7 +9,7 @@
 	cancelled: 'STATE_CANCELLED',
 } as const
 
-/** Encodes an event as the message of the definition. */
+/** Converts a job event to the message `Event` of the service definition. */
 export const eventMessage = (event: JobEvent): Partial<EventMessage> => ({
 	...event,
 	state: EVENT_STATES[event.state],
--- a/packages/grpc/src/grpc-server.ts
+++ b/packages/grpc/src/grpc-server.ts
@@ -1,4 +1,4 @@
-/** Life cycle of the gRPC server of one controller: listening, health, regular work, and shutdown. */
+/** Life cycle of a controller's gRPC server: listening, health, periodic work and shutdown. */
 import { type ConnectionInjector, Server, ServerCredentials } from '@grpc/grpc-js'
 import { ReflectionService } from '@grpc/reflection'
 import type { GrpcSettings } from '@heathroad/config'
@@ -11,39 +11,40 @@
 import { UnaryCalls } from './unary-calls.js'
 import { WatchCalls } from './watch-calls.js'
 
-/** A connection must send the preface of HTTP/2 within this time, in ms. */
+/** Time within which a connection must send the HTTP/2 preface, in ms. */
 const PREFACE_TIMEOUT_MS = 5000
-/** Unary calls that one connection may have open beside its streams. */
+/** Number of unary calls that one connection may have open in addition to its streams. */
 const UNARY_CALLS_PER_CONNECTION = 100
-/** An idle connection is closed after so many stall times, to make room for others. */
-const IDLE_STALL_TIMES = 10
-/** The least time for the answer to a keepalive ping, in ms. */
+/** An idle connection is closed after this multiple of the stall timeout, to make room for others. */
+const IDLE_TIMEOUT_IN_STALL_TIMEOUTS = 10
+/** Minimum time to wait for the response to a keepalive ping, in ms. */
 const MIN_KEEPALIVE_TIMEOUT_MS = 4000
-/** Memory of one HTTP/2 session, in MB. */
+/** Memory limit of one HTTP/2 session, in MB. */
 const SESSION_MEMORY_MB = 1
-/** Without a setting the server may have one of so many sockets of the process, and at least a few. */
+/** Without a setting, one in this many sockets of the process may be a gRPC connection. */
 const SOCKETS_PER_CONNECTION = 8
+/** Lower bound of that default. */
 const MIN_CONNECTIONS = 4
-/** The longest wait for the last statuses to be sent at a shutdown, in ms. */
-const FLUSH_MS = 200
+/** Maximum time that a shutdown waits for the last statuses to be sent, in ms. */
+const MAX_FLUSH_MS = 200
 
 const createServer = (settings: GrpcSettings, heartbeatMs: number): Server =>
 	new Server({
 		'grpc.max_receive_message_length': MAX_BODY_BYTES,
 		'grpc.max_send_message_length': MAX_BODY_BYTES,
-		// One connection may carry all streams of the controller, and unary calls beside them.
+		// One connection may carry all streams of the controller, and unary calls in addition.
 		'grpc.max_concurrent_streams': settings.maxStreams + UNARY_CALLS_PER_CONNECTION,
-		// Detects peers that vanished without closing their connection.
+		// Detects peers that disappeared without closing their connection.
 		'grpc.keepalive_time_ms': settings.stallTimeoutS * 1000,
 		'grpc.keepalive_timeout_ms': Math.max(MIN_KEEPALIVE_TIMEOUT_MS, heartbeatMs * 2),
 		'grpc.keepalive_permit_without_calls': 1,
-		'grpc.max_connection_idle_ms': settings.stallTimeoutS * 1000 * IDLE_STALL_TIMES,
+		'grpc.max_connection_idle_ms': settings.stallTimeoutS * 1000 * IDLE_TIMEOUT_IN_STALL_TIMEOUTS,
 		'grpc-node.max_session_memory': SESSION_MEMORY_MB,
 	})
 
 /**
- * The gRPC server of one controller. Submissions, queries and cancellations go through the same code as over HTTP;
- * streams deliver the records, and only while this controller may answer its users.
+ * The gRPC server of a controller. Submissions, queries and cancellations run the same code as over HTTP. Streams
+ * deliver job states from the controller's records, and only while it may answer users.
  */
 export class GrpcServer {
 	private readonly server: Server
@@ -73,10 +74,10 @@
 		this.server = createServer(settings, heartbeatMs)
 		this.addServices(new UnaryCalls(service, isDraining))
 		this.injector = this.server.createConnectionInjector(ServerCredentials.createInsecure())
-		const share = Math.max(MIN_CONNECTIONS, Math.floor(maxSockets / SOCKETS_PER_CONNECTION))
+		const defaultMaxConnections = Math.max(MIN_CONNECTIONS, Math.floor(maxSockets / SOCKETS_PER_CONNECTION))
 		this.connections = new Connections(
 			{
-				maxConnections: settings.maxConnections || share,
+				maxConnections: settings.maxConnections || defaultMaxConnections,
 				prefaceTimeoutMs: PREFACE_TIMEOUT_MS,
 				onError: (error) => service.log('error', 'gRPC listener failed', { error: error.message }),
 			},
@@ -84,7 +85,7 @@
 		)
 	}
 
-	/** Listens at the address of the settings; answers with the port, which the system chooses if the setting is 0. */
+	/** Listens on the configured address; resolves with the port, which the system chooses if the setting is 0. */
 	async start(): Promise<number> {
 		const { port } = await this.connections.listen(this.settings.listen)
 		this.timer = setInterval(() => this.runPeriodicWork(), this.settings.minUpdateIntervalS * 1000)
@@ -92,7 +93,7 @@
 		return port
 	}
 
-	/** Ends all streams, accepts no more calls, and ends those under way within `graceMs`; 0: at once, as a crash does. */
+	/** Rejects new calls, ends all streams, and ends open calls within `graceMs`; 0: immediately, as a crash does. */
 	async stop(graceMs = 1000): Promise<void> {
 		this.isDraining = true
 		if (this.timer !== null) clearInterval(this.timer)
@@ -102,8 +103,8 @@
 			this.setHealth(false)
 			this.watchCalls.endAll()
 			this.injector.drain(graceMs)
-			// Lets the last events and statuses leave before the connections close.
-			await new Promise((done) => setTimeout(done, Math.min(graceMs, FLUSH_MS)))
+			// Gives the last events and statuses time to be sent before the connections close.
+			await new Promise((done) => setTimeout(done, Math.min(graceMs, MAX_FLUSH_MS)))
 		}
 		this.connections.destroy()
 		this.server.forceShutdown()
--- a/packages/grpc/src/service-records.ts
+++ b/packages/grpc/src/service-records.ts
@@ -1,4 +1,4 @@
-/** The service's records as event streams read them, and the id of the installation. */
+/** Read access of event streams to the service's job records, and the id of the installation. */
 import {
 	countRecordedDone,
 	INSTALLATION_KEY,
@@ -12,30 +12,30 @@
 import { KEY_PREFIX, WritePriority } from '@heathroad/store'
 import { StreamPreparation } from './stream-preparation.js'
 
-/** A shard's new owner has complete numbers of running tasks after so many heartbeat intervals. */
-const HEARTBEATS_AFTER_TAKEOVER = 2
+/** Number of heartbeat intervals after which a shard's new owner has complete counts of running tasks. */
+const HEARTBEATS_UNTIL_COUNTS_COMPLETE = 2
 
-/** Observes the records of a service from its construction on, and passes changes to the hub. */
+/** Provides event streams with job records, observes their changes from construction on, and notifies the hub. */
 export class ServiceRecords implements JobRecords, RecordObserver {
 	readonly terminalStates: TerminalStateLog
-	/** set once the installation's id is known */
+	/** null until the installation's id is known */
 	hub: EventHub | null = null
-	/** shards with a new owner, whose numbers of running tasks may be incomplete until this time, steady ms */
-	private readonly incompleteUntil = new Map<number, number>()
+	/** by shard with a new owner: monotonic time in ms until which its counts of running tasks may be incomplete */
+	private readonly countsIncompleteUntil = new Map<number, number>()
 	private readonly preparation: StreamPreparation
 
-	/** `retained`: terminal states that are kept for streams, of all teams together and from the archive. */
+	/** `maxRetained`: number of terminal states kept for streams, over all teams; also the limit for archived ones. */
 	constructor(
 		private readonly service: Service,
-		retained: number,
+		maxRetained: number,
 	) {
 		this.terminalStates = new TerminalStateLog(
-			retained,
+			maxRetained,
 			(uid) => this.recordedState(uid) ?? this.preparation.stateOf(uid),
 		)
-		this.preparation = new StreamPreparation(service, this.terminalStates, retained)
+		this.preparation = new StreamPreparation(service, this.terminalStates, maxRetained)
 		for (const uid of service.jobs.knownIds()) this.addTerminalState(uid)
-		// What an earlier full read left out of memory is not known here.
+		// Terminal states that an earlier full read left out of memory are missing here.
 		if (service.cache.revision >= 0) {
 			this.terminalStates.markIncompleteUpTo(service.cache.revision)
 			this.preparation.markArchiveChecked()
@@ -43,7 +43,7 @@
 		service.recordObserver = this
 	}
 
-	// ---- observer of the service ----
+	// ---- RecordObserver ----
 
 	onJobChanged(uid: string): void {
 		this.addTerminalState(uid)
@@ -52,7 +52,10 @@
 
 	onShardChanged(shardId: number): void {
 		const { heartbeatMs } = this.service.config.limits
-		this.incompleteUntil.set(shardId, this.service.now() + heartbeatMs * HEARTBEATS_AFTER_TAKEOVER)
+		this.countsIncompleteUntil.set(
+			shardId,
+			this.service.now() + heartbeatMs * HEARTBEATS_UNTIL_COUNTS_COMPLETE,
+		)
 	}
 
 	onRevisionAdvanced(): void {
@@ -60,7 +63,7 @@
 		this.hub?.revisionAdvanced()
 	}
 
-	/** The log keeps omitted states too, within its bound: a reader of their team may not have them yet. */
+	/** Adds the omitted state to the log, up to its limit: a reader of the team may not have received it yet. */
 	onTerminalStateOmitted(uid: string, record: JobRecord, revision: number): void {
 		const state = toTerminalState(uid, record, revision)
 		if (state === null) return
@@ -68,7 +71,7 @@
 		if (revision > this.revision()) this.hub?.jobChanged(uid)
 	}
 
-	/** States may have become terminal and left the records unseen: streams end, and begin anew where readers come back. */
+	/** Ends all streams, since jobs may have become terminal and left the records unobserved; readers reconnect. */
 	onFullRead(): void {
 		this.preparation.onFullRead()
 		this.hub?.endAll('not serving')
@@ -85,12 +88,12 @@
 		return toTerminalState(uid, terminal.record, terminal.revision) ?? undefined
 	}
 
-	/** Reads what a stream needs that is not in memory; see `StreamPreparation.prepare`. */
+	/** Reads the terminal states that a stream needs and memory lacks; see `StreamPreparation.prepare`. */
 	prepare(selection: Selection, done: (isComplete: boolean) => void): void {
 		this.preparation.prepare(selection, done)
 	}
 
-	// ---- records for streams ----
+	// ---- JobRecords ----
 
 	revision(): number {
 		return this.service.cache.revision
@@ -112,7 +115,8 @@
 		}
 		const { membership } = this.service
 		const owner = membership.ownerOf(shardId)
-		if (owner?.alive !== true || this.service.now() < (this.incompleteUntil.get(shardId) ?? 0)) return null
+		if (owner?.alive !== true || this.service.now() < (this.countsIncompleteUntil.get(shardId) ?? 0))
+			return null
 		const status = membership.peers.find((peer) => peer.name === owner.name)?.status ?? null
 		return status === null ? null : Number(status.runningTasks[uid] ?? 0)
 	}
@@ -131,15 +135,15 @@
 		}
 	}
 
-	// ---- id of the installation ----
+	// ---- installation id ----
 
-	/** The id that signs this installation's cursors; null: it is not known yet. */
+	/** The installation's id, which signs its cursors; null: not known yet. */
 	installationId(): string | null {
 		const data = this.service.cache.get(INSTALLATION_KEY)?.data
 		return typeof data === 'string' ? data : null
 	}
 
-	/** Proposes an id; it is stored only if the installation has none, and never changes afterwards. */
+	/** Proposes an id, which is stored only if the installation has none. A stored id never changes. */
 	proposeInstallationId(id: string): void {
 		if (this.service.cache.revision < 0 || this.installationId() !== null) return
 		const key = KEY_PREFIX + INSTALLATION_KEY
--- a/packages/grpc/src/status.ts
+++ b/packages/grpc/src/status.ts
@@ -1,17 +1,17 @@
-/** Failures of calls: status codes, texts and retry delays. */
+/** Failures of gRPC calls: status codes, texts and retry delays. */
 import { Metadata, status } from '@grpc/grpc-js'
 import type { StreamRefusal } from '@heathroad/events'
 import type { HttpReply } from '@heathroad/wire'
 import protobuf from 'protobufjs'
 
-/** A call's failure, as the gRPC library takes it. */
+/** A failed call, in the form that the gRPC library expects. */
 export interface Failure {
 	code: status
 	details: string
 	metadata?: Metadata
 }
 
-/** Codes for the HTTP statuses of the service; any other status is UNAVAILABLE. */
+/** gRPC codes by HTTP status of the service's reply; any other status maps to UNAVAILABLE. */
 const CODE_BY_HTTP_STATUS: Readonly<Record<number, status>> = {
 	400: status.INVALID_ARGUMENT,
 	404: status.NOT_FOUND,
@@ -19,11 +19,11 @@
 	429: status.RESOURCE_EXHAUSTED,
 }
 
-/** Retry delay of a reply that may be retried and names none, in s. */
+/** Retry delay for a retryable reply that does not specify one, in seconds. */
 const DEFAULT_RETRY_AFTER_S = 1
 const NANOS_PER_MS = 1_000_000
 
-// google.rpc.Status with a RetryInfo, as clients' libraries expect it in the trailers.
+// google.rpc.Status with a RetryInfo, as client libraries expect it in the trailers.
 const googleRpc = protobuf.parse(
 	`
 	syntax = "proto3";
@@ -49,7 +49,7 @@
 	return Buffer.from(Status.encode({ code, message, details: [retryInfo] }).finish())
 }
 
-/** Builds a failure. `retryAfterMs` is sent as the trailer `retry-after-ms` and as google.rpc.RetryInfo. */
+/** Creates a failure. `retryAfterMs` is sent as the trailer `retry-after-ms` and as google.rpc.RetryInfo. */
 export const failure = (code: status, text: string, retryAfterMs?: number): Failure => {
 	if (retryAfterMs === undefined) return { code, details: text }
 	const metadata = new Metadata()
@@ -59,7 +59,7 @@
 	return { code, details: text, metadata }
 }
 
-/** The failure for a reply of the service that is not a job. A status without a code of its own is UNAVAILABLE. */
+/** Converts an error reply of the service to a failure, with a retry delay if the call may be retried. */
 export const replyFailure = (reply: HttpReply, text: string): Failure => {
 	const code = CODE_BY_HTTP_STATUS[reply.status] ?? status.UNAVAILABLE
 	const isRetryable = code === status.RESOURCE_EXHAUSTED || code === status.UNAVAILABLE
@@ -67,7 +67,7 @@
 	return failure(code, text, (reply.retryAfterS ?? DEFAULT_RETRY_AFTER_S) * 1000)
 }
 
-/** The failure for a stream that was not admitted. */
+/** Converts the refusal of a stream to a failure. */
 export const refusalFailure = ({ reason, retryAfterMs }: StreamRefusal): Failure =>
 	reason === 'too many begin'
 		? failure(status.UNAVAILABLE, 'too many streams begin at once', retryAfterMs)
--- a/packages/grpc/src/stream-preparation.ts
+++ b/packages/grpc/src/stream-preparation.ts
@@ -1,4 +1,4 @@
-/** What a stream needs to know of terminal states outside memory before it may begin. */
+/** Reads terminal states that are not in memory before a stream starts. */
 import type { TerminalState, TerminalStateLog } from '@heathroad/cluster'
 import type { Selection } from '@heathroad/events'
 import { type ArchivedJob, jobIdOf } from '@heathroad/history'
@@ -18,49 +18,49 @@
 	doneCount: job.doneCount,
 })
 
-/** Prepares the streams of one controller. */
+/** Prepares the streams of one controller for their subscription. */
 export class StreamPreparation {
-	/** terminal states of the stream that is being subscribed */
+	/** terminal states read for the stream that is being subscribed */
 	private preparedStates = NO_STATES
-	/** terminal states from outside memory, the latest ones that streams asked for */
+	/** terminal states found outside memory, limited to the ones most recently requested by streams */
 	private readonly foundStates = new Map<string, TerminalState>()
-	/** a full read was not followed by a check yet whether the archive holds states that the log lacks */
+	/** whether the archive may hold states that the log lacks, because it was not checked since the latest full read */
 	private mayLackArchivedStates = true
-	/** archival epoch at the latest full read: states that were archived by then are older; null: it is being applied */
+	/** archival epoch at the latest full read: states archived by then are older; null: the read is being applied */
 	private epochAtFullRead: number | null = null
 
-	/** `retained`: states found outside memory that are kept for further streams. */
+	/** `maxRetained`: number of states found outside memory that are kept for later streams. */
 	constructor(
 		private readonly service: Service,
 		private readonly terminalStates: TerminalStateLog,
-		private readonly retained: number,
+		private readonly maxRetained: number,
 	) {}
 
-	/** Returns a job's terminal state that was found outside memory. */
+	/** Returns a job's terminal state if it was found outside memory. */
 	stateOf(uid: string): TerminalState | undefined {
 		return this.preparedStates.get(uid) ?? this.foundStates.get(uid)
 	}
 
-	/** A full read is about to be applied. */
+	/** Called before a full read is applied. */
 	onFullRead(): void {
 		this.mayLackArchivedStates = true
 		this.epochAtFullRead = null
 	}
 
-	/** Every change up to a later revision is applied. */
+	/** Called when every change up to a later revision has been applied. */
 	onRevisionAdvanced(): void {
 		this.epochAtFullRead ??= this.service.archive.archivalEpoch()
 	}
 
-	/** The log of terminal states is marked as incomplete for whatever the archive may hold. */
+	/** Records that the log of terminal states is marked as incomplete for everything that the archive may hold. */
 	markArchiveChecked(): void {
 		this.mayLackArchivedStates = false
 	}
 
 	/**
 	 * Reads what a stream needs that is not in memory: terminal states of named jobs, or whether a team's states may be
-	 * archived. To be called after a linearizable read; calls back with false if not everything could be read. A stream must
-	 * be subscribed within the callback, as long as the states that were read are at hand.
+	 * archived. Must be called after a linearizable read. Calls back with false if not everything could be read. The stream
+	 * must be subscribed within the callback: the states that were read are dropped when it returns.
 	 */
 	prepare(selection: Selection, done: (isComplete: boolean) => void): void {
 		if ('team' in selection) {
@@ -76,8 +76,8 @@
 	}
 
 	/**
-	 * After a full read the log lacks the states that were archived before: streams cannot resume from before the latest of
-	 * them.
+	 * After a full read, marks the log as incomplete up to the latest archived state: the log lacks states archived before
+	 * the read, so streams cannot resume at earlier cursors.
 	 */
 	private checkArchive(): Effect.Effect<boolean> {
 		const { archive } = this.service
@@ -86,14 +86,14 @@
 		if (epoch === null) return Effect.succeed(false)
 		return Effect.map(archive.latestRevision(), (latestRevision) => {
 			if (latestRevision === null || this.epochAtFullRead !== epoch) return false
-			// What was archived by then is older than the epoch.
+			// States that were archived by the full read are older than the epoch.
 			this.terminalStates.markIncompleteUpTo(Math.min(latestRevision, epoch - 1))
 			this.mayLackArchivedStates = false
 			return true
 		})
 	}
 
-	/** The terminal states of named jobs; null: for some job nothing is proven. */
+	/** The terminal states of named jobs; null: some job's state could not be determined. */
 	private findTerminalStates(uids: readonly string[]): Effect.Effect<StatesById | null> {
 		const states = this.knownStates(uids)
 		const searchedIds = uids.filter((uid) => !states.has(uid) && this.needsSearch(uid))
@@ -105,8 +105,8 @@
 			})
 		return Effect.forEach(searchedIds, search, { concurrency: 'unbounded', discard: true }).pipe(
 			Effect.map(() => {
-				// A job may have come to memory, or left it, during the searches for others. One that was absent before a full
-				// read may have been accepted and archived by then.
+				// A job may have entered or left memory during the searches for others. A job that was absent before a full
+				// read may have been accepted and archived before that read.
 				const fullReadRevision = this.service.archive.fullReadRevision()
 				const isAbsent = (uid: string) => (absentAsOf.get(uid) ?? -1) >= fullReadRevision
 				const isProven = (uid: string) => states.has(uid) || isAbsent(uid) || !this.needsSearch(uid)
@@ -124,20 +124,20 @@
 		return states
 	}
 
-	/** Tells whether it takes a search to know a job's terminal state, or that the job was never accepted. */
+	/** Returns whether a search is needed to learn a job's terminal state, or that the job was never accepted. */
 	private needsSearch(uid: string): boolean {
 		const { jobs, jobLocator } = this.service
 		const isKnown = jobs.get(uid) !== undefined || this.terminalStates.get(uid) !== undefined
 		return !isKnown && jobLocator.absentAsOf(uid) === null
 	}
 
-	/** Keeps a state for further streams; the longest kept ones are dropped. */
+	/** Keeps a state for later streams; drops the least recently kept ones above the limit. */
 	private retain(state: TerminalState): TerminalState {
-		// Deleted first, so that it becomes the latest in the order of the map.
+		// Deleted first, so that it moves to the end of the map's insertion order.
 		this.foundStates.delete(state.uid)
 		this.foundStates.set(state.uid, state)
 		for (const oldest of this.foundStates.keys()) {
-			if (this.foundStates.size <= this.retained) break
+			if (this.foundStates.size <= this.maxRetained) break
 			this.foundStates.delete(oldest)
 		}
 		return state
--- a/packages/grpc/src/unary-calls.ts
+++ b/packages/grpc/src/unary-calls.ts
@@ -1,4 +1,4 @@
-/** Submit, Get and Cancel, carried out by the same code of the service as over HTTP. */
+/** Submit, Get and Cancel, handled by the same service code as over HTTP. */
 import { type ServerUnaryCall, type sendUnaryData, status } from '@grpc/grpc-js'
 import { fieldName, type JobMessage, type SubmitMessage, stateName, toHttpSubmission } from '@heathroad/proto'
 import type { HttpRequest, Service } from '@heathroad/server'
@@ -6,7 +6,7 @@
 import { type Failure, failure, replyFailure } from './status.js'
 
 const JOBS_PATH = '/v2/runs'
-/** Retry delay while this controller shuts down, in ms: other controllers answer at once. */
+/** Retry delay while this controller shuts down, in ms; short, because other controllers can answer immediately. */
 const SHUTDOWN_RETRY_MS = 100
 
 type UnaryHandler<Request> = (
@@ -15,7 +15,7 @@
 ) => void
 type JobReference = { uid: string }
 
-/** The error text of a reply, with its field by the name that it has in the definition. */
+/** The error text of a reply, with the field renamed to its name in the gRPC definition. */
 const errorText = (body: unknown): string => {
 	if (!isMap(body)) return ''
 	const text = String(body.error ?? '')
@@ -24,7 +24,7 @@
 
 /** Handlers of the unary calls. */
 export class UnaryCalls {
-	/** `isDraining`: whether the server shuts down, so that it takes no more calls. */
+	/** `isDraining`: whether the server is shutting down and rejects new calls. */
 	constructor(
 		private readonly service: Service,
 		private readonly isDraining: () => boolean,
@@ -78,7 +78,7 @@
 		tasks: this.taskCountOf(response.uid),
 	})
 
-	/** A job's number of tasks from its records or its cached archive page; 0: neither has it. */
+	/** A job's number of tasks, from its records or its cached archive page; 0: neither has it. */
 	private taskCountOf(uid: string): number {
 		const location = this.service.jobLocator.inMemory(uid)
 		if (location === null) return 0
@@ -86,7 +86,7 @@
 		return location.kind === 'archived' ? location.job.taskCount : 0
 	}
 
-	/** Fails the call unless the id has the right form: only then may it become part of a path. */
+	/** Fails the call unless the id is well-formed: only then may it become part of a path. */
 	private checkJobId(uid: string, fail: (callFailure: Failure) => void): boolean {
 		if (JOB_ID_PATTERN.test(uid)) return true
 		fail(failure(status.INVALID_ARGUMENT, `uid: Expected ${JOB_ID_FORMAT}`))
--- a/packages/grpc/src/watch-calls.ts
+++ b/packages/grpc/src/watch-calls.ts
@@ -1,4 +1,4 @@
-/** Watch calls: their admission, the subscriptions that they read from, and readers that stall. */
+/** Watch calls: admission, subscription to job events, and handling of stalled readers. */
 import { randomBytes } from 'node:crypto'
 import { status } from '@grpc/grpc-js'
 import type { GrpcSettings } from '@heathroad/config'
@@ -15,9 +15,9 @@
 import { type Failure, failure, refusalFailure } from './status.js'
 import { type WatchCall, WatchStream } from './watch-stream.js'
 
-/** Events that all streams together send before the event loop runs anything else. */
+/** Number of events that all streams together send before yielding to the event loop. */
 const EVENTS_PER_TURN = 128
-/** Random bytes of the installation's id. */
+/** Number of random bytes in the installation's id. */
 const INSTALLATION_ID_BYTES = 12
 /** Retry delay while this controller cannot answer users, in ms. */
 const NOT_READY_RETRY_MS = 1000
@@ -28,15 +28,15 @@
 	'out of range': () => failure(status.OUT_OF_RANGE, 'cursor: what follows it is not kept any more'),
 }
 
-/** What the calls need of their server. */
+/** Functions of the gRPC server that the calls use. */
 export interface WatchCallsContext {
-	/** whether the server shuts down, so that it takes no more calls */
+	/** whether the server is shutting down and rejects new calls */
 	isDraining: () => boolean
 	/** closes the connection of a peer, by its IP:PORT */
 	disconnect: (peer: string) => void
 }
 
-/** The selection of a request, or what is wrong with it. */
+/** The selection of a request, or the failure if it is invalid. */
 const readSelection = (uids: readonly string[], team: string): Selection | Failure => {
 	const invalid = (text: string) => failure(status.INVALID_ARGUMENT, text)
 	if ((uids.length === 0) === (team === '')) return invalid('uids, team: Expected one of the two')
@@ -49,16 +49,16 @@
 const selectionFields = (selection: Selection): object =>
 	'team' in selection ? { team: selection.team } : { uids: selection.uids.length }
 
-/** Runs all Watch calls of one controller. */
+/** Handles all Watch calls of one controller. */
 export class WatchCalls {
 	private readonly admission: StreamAdmission
 	private readonly scheduler = new SendScheduler(EVENTS_PER_TURN, setImmediate)
 	private readonly streams = new Set<WatchStream>()
-	/** stalled readers whose stream was ended, with the time after which their connection is closed, steady ms */
+	/** stalled readers whose stream was ended, with the monotonic time in ms at which their connection is closed */
 	private readonly disconnectAt = new Map<WatchStream, number>()
-	/** null until the installation's id is known, which signs the cursors */
+	/** null until the installation's id is known, because it signs the cursors */
 	private hub: EventHub | null = null
-	/** start of the uninterrupted run of this process that was seen last, steady ms */
+	/** monotonic time in ms since which this process has run without a suspension, as of the latest publish */
 	private runningSince: number
 
 	constructor(
@@ -91,7 +91,7 @@
 		return this.hub !== null && !this.context.isDraining() && this.service.isHealthy()
 	}
 
-	/** Handler of the call. */
+	/** Handler of Watch calls. */
 	readonly watch = (call: WatchCall): void => {
 		const refuse = (callFailure: Failure) => void call.emit('error', callFailure)
 		const { uids, team, cursor } = call.request
@@ -105,8 +105,8 @@
 			return
 		}
 		const jobIdCount = 'team' in selection ? 0 : selection.uids.length
-		const accountedTeam = this.accountedTeam(selection)
-		const refusal = this.admission.admit(accountedTeam, jobIdCount)
+		const chargedTeam = this.chargedTeam(selection)
+		const refusal = this.admission.admit(chargedTeam, jobIdCount)
 		if (refusal !== null) {
 			refuse(refusalFailure(refusal))
 			return
@@ -117,21 +117,21 @@
 			onEnd: ({ isComplete, cursor: endCursor }) => {
 				this.logStream('stream ended', stream, { isComplete, cursor: endCursor })
 				this.streams.delete(stream)
-				this.admission.release(accountedTeam, jobIdCount)
+				this.admission.release(chargedTeam, jobIdCount)
 			},
 		})
 		this.streams.add(stream)
-		// Nothing older may be delivered than was delivered before the call, and nothing from before its cursor.
+		// Ensures that the stream delivers no state older than one delivered before the call or before its cursor.
 		this.service.afterLinearizableRead((isFresh) => {
-			if (!isFresh) return this.failUnreadable(stream)
+			if (!isFresh) return this.failStateUnavailable(stream)
 			this.records.prepare(selection, (isComplete) => {
 				if (isComplete) this.subscribe(stream, selection, cursor)
-				else this.failUnreadable(stream)
+				else this.failStateUnavailable(stream)
 			})
 		})
 	}
 
-	/** Creates the hub once the installation's id is known; names the installation if it has none. */
+	/** Creates the hub once the installation's id is known; proposes an id if there is none. */
 	openHub(): void {
 		if (this.hub !== null) return
 		const installation = this.records.installationId()
@@ -144,12 +144,12 @@
 		this.records.hub = this.hub
 	}
 
-	/** Publishes changes and ends streams that can't go on; to be called once per publish interval. */
+	/** Publishes changes and ends streams that cannot continue; must be called once per publish interval. */
 	publish(): void {
 		const { runningSince } = this.service.membership
 		const wasSuspended = runningSince !== this.runningSince
 		this.runningSince = runningSince
-		// After a suspension of the process the records here may be long outdated, and other controllers know better.
+		// After a suspension of the process its records may be long outdated; other controllers have newer ones.
 		if (!this.isReady() || wasSuspended) this.endAll()
 		this.hub?.publishChanges()
 		const now = this.service.now()
@@ -157,7 +157,7 @@
 		this.disconnectUnresponsiveReaders(now)
 	}
 
-	/** Ends all streams; their readers resume at other controllers. */
+	/** Ends all streams; readers resume at other controllers. */
 	endAll(): void {
 		this.hub?.endAll('not serving')
 	}
@@ -173,8 +173,8 @@
 	}
 
 	/**
-	 * A stream's status is queued behind the events that its reader does not take. If it never takes them, only closing
-	 * the connection frees their memory. Other streams on the connection resume at their cursors.
+	 * A stream's status is queued behind the events that its reader has not read. If the reader never reads them, only
+	 * closing the connection frees their memory. Other streams on the connection resume at their cursors.
 	 */
 	private disconnectUnresponsiveReaders(now: number): void {
 		for (const [stream, deadline] of this.disconnectAt) {
@@ -184,8 +184,8 @@
 		}
 	}
 
-	/** The team whose share of the streams a stream takes: of several jobs, the team of the first known one. */
-	private accountedTeam(selection: Selection): string {
+	/** The team against whose limit a stream counts; for named jobs, the team of the first known one. */
+	private chargedTeam(selection: Selection): string {
 		if ('team' in selection) return selection.team
 		for (const uid of selection.uids) {
 			const record = this.service.jobs.get(uid)?.record
@@ -194,13 +194,13 @@
 		return ''
 	}
 
-	private failUnreadable(stream: WatchStream): void {
+	private failStateUnavailable(stream: WatchStream): void {
 		stream.fail(failure(status.UNAVAILABLE, 'the state cannot be read now', NOT_READY_RETRY_MS))
 	}
 
 	private subscribe(stream: WatchStream, selection: Selection, cursor: string): void {
 		if (this.hub === null || !this.isReady()) {
-			this.failUnreadable(stream)
+			this.failStateUnavailable(stream)
 			return
 		}
 		const subscription = this.hub.subscribe(selection, cursor, {
@@ -215,7 +215,7 @@
 		stream.start(subscription)
 	}
 
-	/** Logs what happens to one stream of a watch, which may have others at other controllers. */
+	/** Logs the start or end of a stream; a watch may have other streams at other controllers. */
 	private logStream(event: 'stream began' | 'stream ended', stream: WatchStream, fields: object): void {
 		const { watchId, peer } = stream
 		this.service.log('debug', event, { watchId, peer, revision: this.records.revision(), ...fields })
--- a/packages/grpc/src/watch-stream.ts
+++ b/packages/grpc/src/watch-stream.ts
@@ -1,4 +1,4 @@
-/** One open Watch call: sends a subscription's events under the flow control of its reader. */
+/** An open Watch call: sends the events of a subscription under the reader's flow control. */
 import { Metadata, type ServerWritableStream, status } from '@grpc/grpc-js'
 import type { Sender, SendScheduler, StreamEndReason, Subscription } from '@heathroad/events'
 import type { EventMessage, WatchMessage } from '@heathroad/proto'
@@ -8,39 +8,39 @@
 export type WatchCall = ServerWritableStream<WatchMessage, Partial<EventMessage>>
 
 const END_FAILURES: Readonly<Record<StreamEndReason, () => Failure>> = {
-	// A short delay only: the client's own jitter spreads the readers further.
+	// The delay is short because the client's own jitter spreads the reconnects further.
 	'not serving': () => failure(status.UNAVAILABLE, 'this controller cannot tell any more', 100),
 	'too slow': () => failure(status.RESOURCE_EXHAUSTED, 'the reader takes less than comes', 1000),
 	'too far behind': () => failure(status.OUT_OF_RANGE, 'what comes next is not kept any more'),
 }
 
-/** Characters of a watch's id at most. */
+/** Maximum length of a watch's id, in characters. */
 const MAX_WATCH_ID_CHARS = 40
 
-/** When a reader that takes nothing counts as stalled. */
+/** Limits above which a reader whose flow control blocks counts as stalled. */
 export interface StallLimits {
-	/** it has taken nothing for longer than this time, in ms */
+	/** longest time without reading, in ms */
 	stallMs: number
-	/** or more terminal states than this wait for it */
+	/** maximum number of terminal states waiting to be sent */
 	maxBacklog: number
 }
 
-/** What a stream needs of its server. */
+/** Dependencies of a stream. */
 export interface WatchStreamContext {
 	scheduler: SendScheduler
-	/** steady time in ms */
+	/** monotonic time in ms */
 	now: () => number
-	/** called once, when the stream has ended for whatever reason; `isComplete`: all that it can deliver was sent */
+	/** called once, when the stream has ended for any reason; `isComplete`: everything it can deliver was sent */
 	onEnd: (outcome: { isComplete: boolean; cursor: string }) => void
 }
 
-/** The stream of one reader. */
+/** The event stream of one reader. */
 export class WatchStream implements Sender {
-	/** the call's status has reached the reader, or its connection is closed */
+	/** whether the call's status has reached the reader, or its connection is closed */
 	isClosed = false
 	private subscription: Subscription | null = null
 	private hasEnded = false
-	/** since when the reader's flow control blocks, steady ms; null: it does not */
+	/** monotonic time in ms since which the reader's flow control blocks; null: it does not block */
 	private blockedSince: number | null = null
 
 	constructor(
@@ -61,20 +61,20 @@
 		return this.call.getPeer()
 	}
 
-	/** The id that the client gave to its watch; the same for all of the watch's streams. Empty: it gave none. */
+	/** The id that the client gave to its watch, shared by all streams of the watch; empty: none was given. */
 	get watchId(): string {
 		return String(this.call.metadata.get('watch-id')[0] ?? '').slice(0, MAX_WATCH_ID_CHARS)
 	}
 
-	/** Begins to send the events of a subscription; ends it if the call has ended meanwhile. */
+	/** Starts sending the events of a subscription; ends the subscription if the call has ended in the meantime. */
 	start(subscription: Subscription): void {
 		if (this.hasEnded) {
 			subscription.end(null)
 			return
 		}
 		this.subscription = subscription
-		// The headers go first: a stream without events for long that breaks before its first one must resume where it
-		// began, or jobs that became terminal meanwhile would never be delivered.
+		// The headers are sent first: a stream that breaks before its first event, possibly after a long time, must resume
+		// where it started, or jobs that became terminal in the meantime would never be delivered.
 		const headers = new Metadata()
 		headers.set('cursor', subscription.cursor())
 		this.call.sendMetadata(headers)
@@ -103,7 +103,7 @@
 		return false
 	}
 
-	/** Whether the reader has taken nothing for too long, or is too far behind while it takes nothing. */
+	/** Whether the reader has read nothing for too long, or is too far behind while it does not read. */
 	isStalled({ stallMs, maxBacklog }: StallLimits): boolean {
 		if (this.hasEnded || this.blockedSince === null) return false
 		if (this.context.now() - this.blockedSince > stallMs) return true
@@ -115,7 +115,7 @@
 		this.subscription?.end(reason)
 	}
 
-	/** Fails the call because its subscription ended; the trailers hold the cursor at which to resume. */
+	/** Fails the call because its subscription ended; the trailers carry the cursor at which to resume. */
 	subscriptionEnded(reason: StreamEndReason): void {
 		if (this.hasEnded) return
 		const cursor = this.subscription?.cursor() ?? ''
