--- a/packages/client/src/client.ts
+++ b/packages/client/src/client.ts
@@ -1,4 +1,4 @@
-/** The client for users of an installation. */
+/** The client that users of an installation create. */
 import { DeadlineOver, Interrupted } from './errors.js'
 import { callSignal } from './interruption.js'
 import { JobWatcher, type WatchOptions, type WatchWarning } from './job-watcher.js'
@@ -11,17 +11,17 @@
 export type { CallOptions } from './retrying-caller.js'
 
 export interface ClientOptions {
-	/** gRPC addresses of one installation's controllers, as IP:PORT; tried in turn */
+	/** gRPC addresses of the installation's controllers, as IP:PORT; tried in turn */
 	grpc?: readonly string[]
-	/** HTTP addresses, used where no gRPC server answers */
+	/** HTTP addresses of the controllers, as IP:PORT; used if no gRPC server answers */
 	http?: readonly string[]
-	/** for a call with all its retries, in ms; 60 s by default */
+	/** timeout of a call including all its retries, in ms; 60 s by default */
 	deadlineMs?: number
-	/** for one try, in ms; 5 s by default */
+	/** timeout of one try, in ms; 5 s by default */
 	tryMs?: number
-	/** between two polls of a job where there are no streams, in ms; 5 s by default */
+	/** interval at which a job is polled if there are no streams, in ms; 5 s by default */
 	pollMs?: number
-	/** called for what is wrong at a controller and worth a line in a log; the client goes on by itself */
+	/** called for a fault of a controller that is worth logging; the client recovers from it by itself */
 	onWarning?: (warning: WatchWarning) => void
 }
 
@@ -36,7 +36,7 @@
 
 /**
  * Submits, watches and cancels jobs of one installation. A call is tried at one address after the other until it is
- * answered or its deadline is over; a submission keeps its id over all tries, so it is never carried out twice.
+ * answered or its deadline has passed. A submission has the same id in all tries, so it is never executed twice.
  */
 export class Client {
 	private readonly transports: TransportPool
@@ -44,29 +44,29 @@
 	private readonly watcher: JobWatcher
 	private warnings = 0
 
-	/** `random`: numbers from 0 to 1, for jitter and the first address. */
+	/** `random`: returns numbers from 0 to 1, for jitter and for choosing the first address. */
 	constructor(options: ClientOptions, random: () => number = Math.random) {
-		const all = { ...DEFAULT_OPTIONS, ...options }
-		if (all.grpc.length + all.http.length === 0)
+		const settings = { ...DEFAULT_OPTIONS, ...options }
+		if (settings.grpc.length + settings.http.length === 0)
 			throw new TypeError('a client needs an address: grpc or http')
-		this.transports = new TransportPool(all, random)
-		this.caller = new RetryingCaller(this.transports, all, random)
+		this.transports = new TransportPool(settings, random)
+		this.caller = new RetryingCaller(this.transports, settings, random)
 		const onWarning = (warning: WatchWarning) => {
 			this.warnings++
-			all.onWarning(warning)
+			settings.onWarning(warning)
 		}
-		this.watcher = new JobWatcher(this.transports, this.caller, all.pollMs, random, onWarning)
+		this.watcher = new JobWatcher(this.transports, this.caller, settings.pollMs, random, onWarning)
 	}
 
-	/** Warnings so far. */
+	/** Number of warnings so far. */
 	get warningCount(): number {
 		return this.warnings
 	}
 
 	/**
-	 * Submits a job; resolves with its state once it is accepted. Without a `uid` it gets one, the same in all tries.
+	 * Submits a job; resolves with its state once it is accepted. A job without a `uid` gets one, the same in all tries.
 	 * Errors: `MalformedJob`, `NeverRuns`, `DeadlineOver`, `Interrupted`. Their `mayBeAccepted` says whether the job may
-	 * run all the same, and their `uid` is the id by which to query or submit it again.
+	 * run despite the error, and their `uid` is the id with which to query or resubmit it.
 	 */
 	submit(job: Submission, call: CallOptions = {}): Promise<JobInfo> {
 		const spec = toJobSpec(job)
@@ -75,21 +75,21 @@
 		)
 	}
 
-	/** A job's present state. Errors: `UnknownJob`, `DeadlineOver`, `Interrupted`. */
+	/** Returns a job's current state. Errors: `UnknownJob`, `DeadlineOver`, `Interrupted`. */
 	get(uid: string, call: CallOptions = {}): Promise<JobInfo> {
 		return this.caller.call(uid, call, (transport, timeoutMs, signal) =>
 			transport.get(uid, timeoutMs, signal),
 		)
 	}
 
-	/** Cancels a job; resolves with its terminal state, which is `done` if that came first. Errors: as `get`. */
+	/** Cancels a job; resolves with its terminal state, which is `done` if the job finished first. Errors: as `get`. */
 	cancel(uid: string, call: CallOptions = {}): Promise<JobInfo> {
 		return this.caller.call(uid, call, (transport, timeoutMs, signal) =>
 			transport.cancel(uid, timeoutMs, signal),
 		)
 	}
 
-	/** Waits until a job is terminal, without a deadline for as long as that takes. Errors: as `watch`, `DeadlineOver`. */
+	/** Waits until a job is terminal, indefinitely if no deadline is given. Errors: as `watch`, and `DeadlineOver`. */
 	async wait(uid: string, call: CallOptions = {}): Promise<JobInfo> {
 		const timeout = call.deadlineMs === undefined ? undefined : AbortSignal.timeout(call.deadlineMs)
 		const signal = callSignal(timeout, call.signal)
@@ -98,24 +98,24 @@
 				if (isFinal(state)) return { uid, state, done, running }
 		} catch (error) {
 			if (error instanceof Interrupted && timeout?.aborted)
-				throw new DeadlineOver('not over in time', uid, true)
+				throw new DeadlineOver('not finished before the deadline', uid, true)
 			throw error
 		}
-		throw new Interrupted('the stream ended without a final state', uid, true)
+		throw new Interrupted('the watch ended without a terminal state', uid, true)
 	}
 
 	/**
-	 * The states of jobs as they change, beginning with the present ones: of named jobs, which may be submitted later,
-	 * until all of them are terminal; or of a team's jobs, without an end. Each terminal state is delivered exactly once. A
-	 * watch of named jobs ends only once it has delivered the terminal state of each, unless it began at a cursor.
-	 * When a controller ends, the watch resumes at another one. Errors: `Interrupted`; `NeedsGrpc` for a team where no
-	 * gRPC address is known; `MalformedJob` for an id of another form.
+	 * Yields the current states of jobs and then each change: of named jobs, which may be submitted later, until all of
+	 * them are terminal; or of a team's jobs, indefinitely. Each terminal state is delivered exactly once. A watch of named
+	 * jobs ends only once it has delivered the terminal state of each, unless it started at a cursor. When a controller
+	 * shuts down or crashes, the watch resumes at another one. Errors: `Interrupted`; `NeedsGrpc` for a team if no gRPC
+	 * address is known; `MalformedJob` for a malformed id.
 	 */
 	watch(selection: Selection, call: WatchOptions = {}): AsyncGenerator<JobEvent, void> {
 		return this.watcher.watch(selection, call)
 	}
 
-	/** Closes the connections; a later call opens new ones. */
+	/** Closes all connections; later calls open new ones. */
 	close(): void {
 		this.transports.close()
 	}
--- a/packages/client/src/errors.ts
+++ b/packages/client/src/errors.ts
@@ -1,6 +1,6 @@
 /** Errors of the client. */
 
-/** A call without an answer. `mayBeAccepted`: a submission may have been accepted, or may still be. */
+/** A failed call. `mayBeAccepted`: a submission may have been accepted, or may still be accepted. */
 export class JobError extends Error {
 	constructor(
 		message: string,
@@ -17,17 +17,17 @@
 /** The submission is invalid: a field is missing or wrong. A retry cannot succeed. */
 export class MalformedJob extends JobError {}
 
-/** The job could never run: unknown team, no machine large enough, above its team's limit. A retry cannot succeed. */
+/** The job can never run: unknown team, no machine large enough, or above its team's limit. A retry cannot succeed. */
 export class NeverRuns extends JobError {}
 
-/** No job of that id was ever accepted. */
+/** No job with that id was ever accepted. */
 export class UnknownJob extends JobError {}
 
-/** No answer before the call's deadline. */
+/** The call got no answer before its deadline. */
 export class DeadlineOver extends JobError {}
 
-/** The caller's signal ended the call. */
+/** The caller's signal aborted the call. */
 export class Interrupted extends JobError {}
 
-/** The call is not possible over HTTP. */
+/** The call is not supported over HTTP. */
 export class NeedsGrpc extends JobError {}
--- a/packages/client/src/grpc.ts
+++ b/packages/client/src/grpc.ts
@@ -1,4 +1,4 @@
-/** Calls and streams over gRPC. */
+/** Transport over gRPC: unary calls and streams. */
 import {
 	type ClientReadableStream,
 	type ClientUnaryCall,
@@ -35,9 +35,9 @@
 	[status.FAILED_PRECONDITION, 'never runs'],
 ])
 
-/** A lost controller is detected within 20 s, also by streams without events; it is reconnected to within 2 s. */
+/** A lost controller is detected within 20 s, even on idle streams; reconnection attempts are at most 2 s apart. */
 const CHANNEL_OPTIONS = {
-	// The client retries itself.
+	// The client implements its own retries.
 	'grpc.enable_retries': 0,
 	'grpc.use_local_subchannel_pool': 1,
 	'grpc.keepalive_time_ms': 15_000,
@@ -46,24 +46,24 @@
 	'grpc.max_reconnect_backoff_ms': 2_000,
 }
 
-/** The delay that the service asked for, in ms; null: none. */
+/** The retry delay that the service requested, in ms; null: none. */
 const retryAfterOf = (metadata: Metadata | undefined): number | null => {
 	const text = metadata?.get('retry-after-ms')[0]
 	const ms = Number(text)
 	return text !== undefined && Number.isFinite(ms) && ms >= 0 ? ms : null
 }
 
-/** What a failed call or stream is for the client. */
+/** Classifies the error of a call or stream as a rejection or a retryable failure. */
 export const toFailure = ({ code, details, metadata }: ServiceError): Rejection | RetryableFailure => {
 	const text = `${status[code]}: ${details}`
 	const reason = REJECTION_BY_CODE.get(code)
 	if (reason !== undefined) return { kind: 'rejected', reason, text }
-	// These details say that no connection came about; a call that failed otherwise may have been carried out.
+	// These details mean that no connection was established; a call that failed otherwise may have been executed.
 	const isUnreachable = code === status.UNAVAILABLE && /No connection established|ECONNREFUSED/.test(details)
 	const retryAfterMs = retryAfterOf(metadata)
 	const isRefused = code === status.RESOURCE_EXHAUSTED && retryAfterMs !== null
 	const isUnimplemented = code === status.UNIMPLEMENTED
-	// A controller that refuses to serve says when to come back.
+	// A controller that refuses to serve a call sends a retry delay.
 	const isNotServing = code === status.UNAVAILABLE && retryAfterMs !== null
 	const isConnectionLost = code === status.UNAVAILABLE && !isUnreachable && !isNotServing
 	return {
@@ -85,7 +85,7 @@
 	running: message.running,
 })
 
-/** gRPC address of a controller. */
+/** Transport to the gRPC address of a controller. */
 export class GrpcTransport implements Transport {
 	private readonly client: JobsClient
 
@@ -103,7 +103,7 @@
 				signal.removeEventListener('abort', abort)
 				if (error !== null) resolve(toFailure(error))
 				else if (job !== undefined) resolve({ kind: 'job', job: toJobInfo(job) })
-				else throw new Error('a call ended with neither a response nor an error')
+				else throw new Error('gRPC call completed with neither a response nor an error')
 			})
 			const abort = () => call.cancel()
 			signal.addEventListener('abort', abort, { once: true })
@@ -143,7 +143,7 @@
 		signal.addEventListener('abort', abort, { once: true })
 		if (signal.aborted) abort()
 		try {
-			// Read one by one, so that the flow control slows the stream down to the pace of the caller.
+			// Read one by one, so that flow control limits the stream to the caller's pace.
 			for await (const message of call as AsyncIterable<EventMessage>) {
 				const { tasks, cursor: eventCursor } = message
 				yield { ...toJobInfo(message), tasks, cursor: eventCursor, afterGap: false }
--- a/packages/client/src/http.ts
+++ b/packages/client/src/http.ts
@@ -1,4 +1,4 @@
-/** Calls over HTTP. */
+/** Transport over HTTP: unary calls only. */
 import {
 	createHttpClient,
 	encodeSubmission,
@@ -11,7 +11,7 @@
 import { type Outcome, type RejectionReason, stateFrom, type Transport } from './transport.js'
 
 const JOBS_PATH = '/v2/runs'
-/** Connections of one address. */
+/** Maximum number of connections to one address. */
 const MAX_CONNECTIONS = 8
 const TOO_MANY_REQUESTS = 429
 const SERVICE_UNAVAILABLE = 503
@@ -26,7 +26,7 @@
 	return `${status}${error}`
 }
 
-/** What a response is for the client. */
+/** Converts a response to the outcome of a try. */
 export const toOutcome = (response: HttpResponse): Outcome => {
 	const { status, body, retryAfterS: retryAfter } = response
 	if ((status === 200 || status === 201) && isMap(body) && typeof body.uid === 'string') {
@@ -44,8 +44,8 @@
 		kind: 'retryable',
 		text: errorText(response),
 		retryAfterMs: retryAfter === null ? null : retryAfter * 1000,
-		// 429 is refused before anything is done. Any other answer may come from a controller that stopped waiting for its
-		// write, which may still be carried out.
+		// A call refused with 429 was not executed. Any other response may come from a controller that stopped waiting for
+		// its write, which may still be executed.
 		mayBeAccepted: status !== TOO_MANY_REQUESTS,
 		isUnreachable: false,
 		isNotServing: status === SERVICE_UNAVAILABLE,
@@ -80,7 +80,7 @@
 	signal: AbortSignal
 }
 
-/** HTTP address of a controller. */
+/** Transport to the HTTP address of a controller. */
 export class HttpTransport implements Transport {
 	private readonly httpClient = createHttpClient(MAX_CONNECTIONS)
 
--- a/packages/client/src/interruption.ts
+++ b/packages/client/src/interruption.ts
@@ -1,8 +1,8 @@
-/** Signals of calls, and waiting that they interrupt. */
+/** Abort signals of calls, and delays that they interrupt. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import { Interrupted } from './errors.js'
 
-/** A call that can be interrupted, with what its error says of the job. */
+/** A call that can be interrupted, with the fields of its `Interrupted` error. */
 export interface InterruptibleCall {
 	uid: string
 	signal: AbortSignal
@@ -10,23 +10,23 @@
 	mayBeAccepted: boolean
 }
 
-/** A signal of one call's own: the listeners of all calls would otherwise collect at a signal that many of them share. */
+/** Creates a signal for one call: otherwise the listeners of all calls would accumulate on a signal that they share. */
 export const callSignal = (...sources: (AbortSignal | undefined)[]): AbortSignal =>
 	AbortSignal.any(sources.filter((source) => source !== undefined))
 
-const interruption = ({ uid, signal, mayBeAccepted }: InterruptibleCall): Interrupted =>
+const interruptedError = ({ uid, signal, mayBeAccepted }: InterruptibleCall): Interrupted =>
 	new Interrupted('interrupted', uid, mayBeAccepted, { cause: signal.reason })
 
 /** Throws `Interrupted` if the call's signal is aborted. */
 export const throwIfInterrupted = (call: InterruptibleCall): void => {
-	if (call.signal.aborted) throw interruption(call)
+	if (call.signal.aborted) throw interruptedError(call)
 }
 
-/** Waits; throws `Interrupted` as soon as the call's signal is aborted. */
+/** Waits for `ms`; throws `Interrupted` as soon as the call's signal is aborted. */
 export const delay = async (ms: number, call: InterruptibleCall): Promise<void> => {
 	try {
 		await sleep(ms, undefined, { signal: call.signal })
 	} catch {
-		throw interruption(call)
+		throw interruptedError(call)
 	}
 }
--- a/packages/client/src/job-watcher.ts
+++ b/packages/client/src/job-watcher.ts
@@ -1,4 +1,4 @@
-/** Watches jobs over streams, or by polling where there are none. */
+/** Watches jobs over streams, or by polling if the protocol has no streams. */
 import { randomUUID } from 'node:crypto'
 import { DeadlineOver, NeedsGrpc, UnknownJob } from './errors.js'
 import { callSignal, delay, type InterruptibleCall, throwIfInterrupted } from './interruption.js'
@@ -23,47 +23,48 @@
 	cursor?: string
 }
 
-/** Something is wrong that the client mends by itself. */
+/** A fault that the client recovers from by itself. */
 export interface WatchWarning {
-	/** a server ended a watch as complete, though the terminal event of some named jobs was not delivered */
+	/** a server ended a watch as complete before the terminal events of all named jobs were delivered */
 	kind: 'complete too early'
-	/** names the watch in the logs of controllers */
+	/** id of the watch in the logs of controllers */
 	watchId: string
-	/** of the server */
+	/** address of the server */
 	address: string
 	/** the jobs whose terminal event is outstanding */
 	uids: readonly string[]
 }
 
-/** Polls are this share of the interval apart, at least and at most, so that clients do not poll together. */
+/** A poll interval is multiplied by a random factor from `min` to `min + range`, so that clients do not poll together. */
 const POLL_JITTER = { min: 0.75, range: 0.5 } as const
 
 /** Progress of one watch over all of its streams. */
 interface WatchProgress {
-	/** names the watch in the logs of controllers */
+	/** id of the watch in the logs of controllers */
 	readonly watchId: string
-	/** the latest cursor for the whole selection; empty: there was none yet */
+	/** the latest cursor that is valid for the whole selection; empty: none was received yet */
 	cursor: string
 	/**
-	 * Whether streams resume at the cursor: those of a team, and those of a watch that began at a cursor of the caller, who
-	 * alone knows what was delivered before. All others begin with the present state, and what was delivered already is
-	 * dropped here: a cursor says that every state before it was delivered, and what one server lacks would be lost.
+	 * Whether streams resume at the cursor: those of team watches, and of watches that the caller started at a cursor
+	 * (only the caller knows what was delivered before it). All other streams start with the current state, and terminal
+	 * states delivered before are dropped here: a cursor claims that every earlier state was delivered, so a state that one
+	 * server lacks would be lost.
 	 */
 	resumesAtCursor: boolean
 	/**
-	 * Whether streams ask only for the jobs whose terminal event is outstanding, after one broke before it had delivered
-	 * anything new: streams that all break early would otherwise never come to the jobs named last. Cursors of such streams are
-	 * not valid for the whole selection, so their events have the latest one that is.
+	 * Whether streams request only the jobs whose terminal event is outstanding. Set once a stream broke after repeated
+	 * events only: if all streams break early, the jobs named last would otherwise never be reached. The cursors of such
+	 * streams are not valid for the whole selection, so their events carry the latest cursor that is.
 	 */
-	asksForOutstanding: boolean
-	/** a stream had to begin anew */
+	requestsOutstandingOnly: boolean
+	/** whether a stream had to restart with the current state */
 	hasGap: boolean
-	/** streams that a server began */
-	begunStreams: number
-	/** streams in a row that were rejected at their cursor, without an event in between */
+	/** number of streams that a server started */
+	startedStreams: number
+	/** number of consecutive streams whose cursor was rejected, without an event in between */
 	rejectedCursors: number
-	/** streams in a row that were called complete too early */
-	earlyEnds: number
+	/** number of consecutive streams that a server completed too early */
+	earlyCompletions: number
 	/** named jobs whose terminal state was delivered */
 	readonly terminalJobs: Set<string>
 }
@@ -72,15 +73,15 @@
 	watchId: randomUUID(),
 	cursor,
 	resumesAtCursor: 'team' in selection || cursor !== '',
-	asksForOutstanding: false,
+	requestsOutstandingOnly: false,
 	hasGap: false,
-	begunStreams: 0,
+	startedStreams: 0,
 	rejectedCursors: 0,
-	earlyEnds: 0,
+	earlyCompletions: 0,
 	terminalJobs: new Set(),
 })
 
-/** What a rejected cursor counts as, if it is not the first in a row. */
+/** The failure for backing off after consecutive rejected cursors. */
 const REJECTED_CURSOR: RetryableFailure = {
 	kind: 'retryable',
 	text: 'the cursor was rejected',
@@ -89,7 +90,7 @@
 	isUnreachable: false,
 }
 
-/** What a stream counts as that was called complete too early. */
+/** The failure for a stream that a server completed too early. */
 const COMPLETE_TOO_EARLY: RetryableFailure = {
 	kind: 'retryable',
 	text: 'the server lacks terminal states',
@@ -98,25 +99,27 @@
 	isUnreachable: false,
 }
 
-/** The named jobs whose terminal event was not delivered; null: only the caller or the server knows. */
+/** The named jobs whose terminal event was not delivered; null: only the caller or the server knows them. */
 const outstandingJobs = (selection: Selection, progress: WatchProgress): readonly string[] | null =>
 	'team' in selection || progress.resumesAtCursor
 		? null
 		: selection.uids.filter((uid) => !progress.terminalJobs.has(uid))
 
-/** What the next stream asks for. */
+/** The request that opens the next stream of a watch. */
 const streamRequest = (selection: Selection, progress: WatchProgress): WatchRequest => ({
-	selection: progress.asksForOutstanding ? { uids: outstandingJobs(selection, progress) ?? [] } : selection,
+	selection: progress.requestsOutstandingOnly
+		? { uids: outstandingJobs(selection, progress) ?? [] }
+		: selection,
 	cursor: progress.resumesAtCursor ? progress.cursor : '',
 	watchId: progress.watchId,
 })
 
-/** The job that errors of a watch name; empty for a team. */
+/** The job id in the errors of a watch; empty for a team. */
 const firstJobId = (selection: Selection): string => ('team' in selection ? '' : (selection.uids[0] ?? ''))
 
-/** Watches jobs. */
+/** Runs watches; each consists of one stream after the other until it is complete. */
 export class JobWatcher {
-	/** `pollMs`: between two polls of the same job; `onWarning`: called for each warning. */
+	/** `pollMs`: interval at which a job is polled; `onWarning`: called for each warning. */
 	constructor(
 		private readonly transports: TransportPool,
 		private readonly caller: RetryingCaller,
@@ -135,29 +138,29 @@
 		for (let tries = 1; ; tries++) {
 			throwIfInterrupted(call)
 			const { transport, candidateCount } = await this.transports.choose(failedGrpcTries)
-			const { cursor: cursorBefore, begunStreams: begunBefore } = progress
+			const { cursor: cursorBefore, startedStreams: startedBefore } = progress
 			const streamEnd = yield* this.watchAt(transport, selection, progress, call)
-			const end = this.checkedEnd(streamEnd, transport, selection, progress)
+			const end = this.verifyEnd(streamEnd, transport, selection, progress)
 			if (end.kind === 'complete') return
 			throwIfInterrupted(call)
 			if (end.kind === 'rejected') throw rejectionError(end, uid, false)
 			if (end.kind === 'restart') {
-				await this.beginAnew(selection, progress, candidateCount, call)
+				await this.restart(selection, progress, candidateCount, call)
 				continue
 			}
 			failedGrpcTries = end.lacksGrpc ? failedGrpcTries + 1 : 0
-			// A stream that began was a good one, also without an event: the delays begin anew.
-			if (progress.cursor !== cursorBefore || progress.begunStreams > begunBefore) tries = 1
+			// A stream that started counts as a success, even without an event: the backoff is reset.
+			if (progress.cursor !== cursorBefore || progress.startedStreams > startedBefore) tries = 1
 			this.transports.advance()
-			await this.backOff(Math.max(tries, progress.earlyEnds), end, candidateCount, call)
+			await this.backOff(Math.max(tries, progress.earlyCompletions), end, candidateCount, call)
 		}
 	}
 
 	/**
-	 * A stream that was called complete while terminal events are outstanding counts as a failed one, and a failed one as
-	 * complete if none is.
+	 * Corrects the reported end of a stream: a complete stream counts as failed while terminal events are outstanding, and
+	 * a failed one as complete if none are.
 	 */
-	private checkedEnd(
+	private verifyEnd(
 		end: StreamEnd,
 		{ address }: Transport,
 		selection: Selection,
@@ -166,10 +169,10 @@
 		const uids = outstandingJobs(selection, progress)
 		if (uids?.length === 0) return { kind: 'complete' }
 		if (uids === null || end.kind !== 'complete') {
-			progress.earlyEnds = 0
+			progress.earlyCompletions = 0
 			return end
 		}
-		progress.earlyEnds++
+		progress.earlyCompletions++
 		this.onWarning({ kind: 'complete too early', watchId: progress.watchId, address, uids })
 		return COMPLETE_TOO_EARLY
 	}
@@ -184,10 +187,10 @@
 	}
 
 	/**
-	 * The cursor was rejected: the next stream begins with the present state. Once is ordinary after a long absence, so it
-	 * begins at once; a server that goes on rejecting is asked less and less often.
+	 * Handles a rejected cursor: the next stream starts with the current state. A single rejection is normal after a long
+	 * absence, so the next stream starts immediately; consecutive rejections are retried with increasing delays.
 	 */
-	private async beginAnew(
+	private async restart(
 		selection: Selection,
 		progress: WatchProgress,
 		addressCount: number,
@@ -208,10 +211,10 @@
 		call: InterruptibleCall,
 	): AsyncGenerator<JobEvent, StreamEnd> {
 		if (transport.watch === undefined) return this.poll(selection, progress, call)
-		// A stream that breaks before its first event is resumed where it began.
+		// A stream that breaks before its first event resumes where it started.
 		const onStart = (cursor: string) => {
-			progress.begunStreams++
-			if (progress.cursor === '' && !progress.asksForOutstanding) progress.cursor = cursor
+			progress.startedStreams++
+			if (progress.cursor === '' && !progress.requestsOutstandingOnly) progress.cursor = cursor
 		}
 		const request = streamRequest(selection, progress)
 		const events = transport.watch(request, call.signal, onStart)
@@ -229,13 +232,13 @@
 			for (;;) {
 				const step = await events.next()
 				if (step.done) {
-					progress.asksForOutstanding ||= repeated > 0 && delivered === 0 && !progress.resumesAtCursor
+					progress.requestsOutstandingOnly ||= repeated > 0 && delivered === 0 && !progress.resumesAtCursor
 					return step.value
 				}
 				const event = step.value
-				if (!progress.asksForOutstanding) progress.cursor = event.cursor
+				if (!progress.requestsOutstandingOnly) progress.cursor = event.cursor
 				progress.rejectedCursors = 0
-				// The present state includes terminal states that were delivered before.
+				// The current state includes terminal states that were delivered before.
 				if ('uids' in selection && progress.terminalJobs.has(event.uid)) {
 					repeated++
 					continue
@@ -249,7 +252,7 @@
 		}
 	}
 
-	/** Queries each job again and again. */
+	/** Polls the named jobs until all of them are terminal. */
 	private async *poll(
 		selection: Selection,
 		progress: WatchProgress,
@@ -265,7 +268,7 @@
 		}
 	}
 
-	/** Queries each job that is not terminal, and delivers its state if that differs from the last one. */
+	/** Queries each job that is not terminal, and yields its state if it differs from the previous one. */
 	private async *pollOnce(
 		uids: readonly string[],
 		{ terminalJobs, lastStates }: { terminalJobs: Set<string>; lastStates: Map<string, string> },
@@ -283,7 +286,7 @@
 		}
 	}
 
-	/** A job's state; null: it was not submitted yet, or no address answered, so it is queried again later. */
+	/** Returns a job's state; null: the job was not submitted yet or no address answered, so it is queried again later. */
 	private async query(uid: string, signal: AbortSignal): Promise<JobInfo | null> {
 		try {
 			return await this.caller.call(uid, { signal }, (transport, timeoutMs, trySignal) =>
--- a/packages/client/src/retrying-caller.ts
+++ b/packages/client/src/retrying-caller.ts
@@ -1,4 +1,4 @@
-/** Unary calls that are retried until they are answered or their deadline is over. */
+/** Unary calls that are retried until they are answered or their deadline has passed. */
 import { DeadlineOver, type JobError, MalformedJob, NeverRuns, UnknownJob } from './errors.js'
 import { callSignal, delay, throwIfInterrupted } from './interruption.js'
 import { hasTimeForRetry, retryDelayMs } from './retry.js'
@@ -7,17 +7,17 @@
 
 /** Options of one call. */
 export interface CallOptions {
-	/** for the call with all its retries, in ms */
+	/** timeout of the call including all its retries, in ms */
 	deadlineMs?: number
-	/** interrupts the call */
+	/** aborts the call */
 	signal?: AbortSignal
 }
 
-/** Times of calls, in ms. */
+/** Timeouts of calls, in ms. */
 export interface CallTimes {
-	/** for a call with all its retries, if it has no deadline of its own */
+	/** timeout of a call including all its retries, unless its options set one */
 	deadlineMs: number
-	/** for one try */
+	/** timeout of one try */
 	tryMs: number
 }
 
@@ -30,13 +30,13 @@
 	'unknown job': UnknownJob,
 } as const
 
-/** The error for a rejected call. `mayBeAccepted`: an earlier try may have been accepted. */
+/** Creates the error for a rejected call. `mayBeAccepted`: an earlier try may have been accepted. */
 export const rejectionError = (rejection: Rejection, uid: string, mayBeAccepted: boolean): JobError => {
 	const RejectionError = REJECTION_ERRORS[rejection.reason]
 	return new RejectionError(rejection.text, uid, mayBeAccepted)
 }
 
-/** Makes calls at one address after the other. */
+/** Tries calls at one address after the other, with a delay between tries. */
 export class RetryingCaller {
 	constructor(
 		private readonly transports: TransportPool,
@@ -44,7 +44,7 @@
 		private readonly random: () => number,
 	) {}
 
-	/** Errors: those of a rejection, `DeadlineOver`, `Interrupted`. */
+	/** Makes a call that concerns job `uid`. Errors: those of a rejection, `DeadlineOver`, `Interrupted`. */
 	async call(uid: string, options: CallOptions, attempt: CallAttempt): Promise<JobInfo> {
 		const call = { uid, signal: callSignal(options.signal), mayBeAccepted: false }
 		const deadline = performance.now() + (options.deadlineMs ?? this.times.deadlineMs)
@@ -55,7 +55,7 @@
 			const outcome = await attempt(transport, this.tryTimeoutMs(deadline), call.signal)
 			if (outcome.kind === 'job') return outcome.job
 			if (outcome.kind === 'rejected') {
-				// A rejection now does not undo an earlier try; only an unknown job was certainly never accepted.
+				// A rejection does not undo an earlier try that was accepted; only an unknown job was certainly never accepted.
 				throw rejectionError(outcome, uid, call.mayBeAccepted && outcome.reason !== 'unknown job')
 			}
 			call.mayBeAccepted ||= outcome.mayBeAccepted
--- a/packages/client/src/submission.ts
+++ b/packages/client/src/submission.ts
@@ -1,8 +1,8 @@
-/** Submissions of jobs: default values and new ids. */
+/** Job submissions: default values and generated ids. */
 import { randomInt } from 'node:crypto'
 import type { JobSpec } from '@heathroad/wire'
 
-/** A submission; fields that are left out have their default values. */
+/** A job to submit; omitted fields get default values. */
 export type Submission = Pick<JobSpec, 'jobClass' | 'team' | 'image'> & Partial<JobSpec>
 
 const DEFAULTS: Omit<JobSpec, 'uid' | 'jobClass' | 'team' | 'image'> = {
@@ -24,13 +24,13 @@
 	dueS: null,
 }
 
-/** A new id of 18 random digits, drawn in two halves of nine. */
+/** Generates a job id of 18 random digits, drawn in two halves of nine. */
 export const newUid = (): string => {
 	const nineDigits = () => String(randomInt(1_000_000_000)).padStart(9, '0')
 	return `job-${nineDigits()}${nineDigits()}`
 }
 
-/** The whole specification; without an id it gets a new one. */
+/** Completes a submission with default values, and with a new id if it has none. */
 export const toJobSpec = (submission: Submission): JobSpec => ({
 	...DEFAULTS,
 	...submission,
--- a/packages/client/src/transport-pool.ts
+++ b/packages/client/src/transport-pool.ts
@@ -1,4 +1,4 @@
-/** The addresses of an installation, tried in turn. */
+/** The transports to an installation's addresses, tried in turn. */
 import { HttpTransport } from './http.js'
 import type { Transport } from './transport.js'
 
@@ -8,7 +8,7 @@
 	http: readonly string[]
 }
 
-/** The transport for a try, and the number of those that are tried in turn. */
+/** The transport for a try, and the number of transports that are tried in turn. */
 export interface TransportChoice {
 	transport: Transport
 	candidateCount: number
@@ -16,13 +16,13 @@
 
 const canStream = (transport: Transport): boolean => transport.watch !== undefined
 
-/** Those with streams, or all if none has them. */
+/** The transports that support streams, or all if none does. */
 const preferredOf = (transports: readonly Transport[]): readonly Transport[] => {
 	const streaming = transports.filter(canStream)
 	return streaming.length > 0 ? streaming : transports
 }
 
-/** Creates transports at their first use and rotates over them, beginning at a random one. */
+/** Creates the transports on first use and rotates over them, starting at a random one. */
 export class TransportPool {
 	private transports: readonly Transport[] | null = null
 	private nextIndex = 0
@@ -32,7 +32,7 @@
 		private readonly random: () => number,
 	) {}
 
-	/** The present transport. HTTP is used once no gRPC address could be reached, after `failedGrpcTries`. */
+	/** Returns the current transport: an HTTP one after as many `failedGrpcTries` as there are gRPC addresses. */
 	async choose(failedGrpcTries: number): Promise<TransportChoice> {
 		const transports = await this.load()
 		const http = transports.filter((transport) => !canStream(transport))
@@ -49,13 +49,13 @@
 		this.nextIndex++
 	}
 
-	/** Closes all connections; a later call opens new ones. */
+	/** Closes all connections; later calls open new ones. */
 	close(): void {
 		for (const transport of this.transports ?? []) transport.close()
 		this.transports = null
 	}
 
-	/** gRPC transports first; their library is loaded only if there are any. */
+	/** Creates the transports, gRPC ones first; the gRPC library is loaded only if there are any. */
 	private async load(): Promise<readonly Transport[]> {
 		if (this.transports !== null) return this.transports
 		const http = this.addresses.http.map((address) => new HttpTransport(address))
