--- a/packages/proto/src/convert.ts
+++ b/packages/proto/src/convert.ts
@@ -1,4 +1,4 @@
-/** Conversions between messages of the definition and the types and field names of the HTTP protocol. */
+/** Conversions between gRPC messages and the types and field names of the HTTP protocol. */
 import type { JobKind, JobSpec, JobStatus, Priority } from '@heathroad/wire'
 import { encodeSubmission } from '@heathroad/wire'
 import type { Job__Output } from './generated/heathroad/v1/Job.js'
@@ -33,17 +33,17 @@
 const prioritiesByName = invert(PRIORITY_NAMES)
 const statusesByName = invert(STATE_NAMES)
 
-// A value that a later version adds arrives as unspecified, which stands for the default.
+// An enum value added by a later version arrives as unspecified, which means the default.
 const kindOf = (name: KindName): JobKind => kindsByName.get(name) ?? 'sweep'
 const priorityOf = (name: PriorityName): Priority => prioritiesByName.get(name) ?? 'normal'
 
-/** A job status as the definition names it. */
+/** The name of a job status in the gRPC definition. */
 export const stateName = (status: JobStatus): StateName => STATE_NAMES[status]
 
-/** The job status of a state's name; null: this version does not know the state. */
+/** The job status for a state's name in the gRPC definition; null: this version does not know the state. */
 export const stateOf = (name: StateName): JobStatus | null => statusesByName.get(name) ?? null
 
-/** Encodes a job as the request of Submit. */
+/** Converts a job to the request of Submit. */
 export const toSubmitRequest = (job: JobSpec): SubmitRequest => ({
 	uid: job.uid,
 	job_class: job.jobClass,
@@ -67,7 +67,7 @@
 	...(job.dueS === null ? {} : { due_s: job.dueS }),
 })
 
-/** Converts a submission to its form in the HTTP protocol, so that the same code decodes, validates and refuses it. */
+/** Converts a submission to the body of the HTTP protocol, so that the same code decodes, validates and rejects it. */
 export const toHttpSubmission = (request: SubmitRequest__Output): Record<string, unknown> =>
 	encodeSubmission({
 		uid: request.uid,
@@ -92,7 +92,7 @@
 		dueS: request.due_s ?? null,
 	})
 
-/** Field names of the definition by their names in the HTTP protocol, where they differ. */
+/** Field names in the gRPC definition by their names in the HTTP protocol, where they differ. */
 const FIELD_NAMES: Record<string, keyof SubmitRequest> = {
 	jobclass: 'job_class',
 	owner: 'team',
@@ -112,7 +112,7 @@
 	dueS: 'due_s',
 }
 
-/** The name in the definition of a field path of the HTTP protocol; `flavours.0` names one element of a list. */
+/** Converts a field path of the HTTP protocol to the name in the gRPC definition; `flavours.0` is a list element. */
 export const fieldName = (wirePath: string): string => {
 	const [first, ...rest] = wirePath.split('.')
 	return [FIELD_NAMES[first] ?? first, ...rest].join('.')
--- a/packages/proto/src/definition.ts
+++ b/packages/proto/src/definition.ts
@@ -1,4 +1,4 @@
-/** Loads the service definition for servers, clients and reflection. */
+/** Loads the gRPC service definition for servers, clients and reflection. */
 import type { GrpcObject } from '@grpc/grpc-js'
 import { loadPackageDefinition } from '@grpc/grpc-js'
 import { fromJSON, type PackageDefinition } from '@grpc/proto-loader'
@@ -21,15 +21,15 @@
 	})
 }
 
-// The library types a loaded package as a tree of unknown members; the generated types describe this one.
+// The library types a loaded package as a tree of unknown members; `ProtoGrpcType` is the generated type of this one.
 const typedPackage = (definition: PackageDefinition): ProtoGrpcType =>
 	loadPackageDefinition(definition) as GrpcObject as unknown as ProtoGrpcType
 
-/** The service's methods with their serializers, for a server. */
+/** The service's methods with their serializers, as a server needs them. */
 export const jobsService = (definition: PackageDefinition): JobsDefinition =>
 	typedPackage(definition).heathroad.v1.Jobs.service
 
-/** The constructor of the service's client. */
+/** Returns the constructor of the service's client. */
 export const jobsClient = () => typedPackage(jobsPackage()).heathroad.v1.Jobs
 
 /** The service's full name, under which its health is reported. */
--- a/packages/proto/src/index.ts
+++ b/packages/proto/src/index.ts
@@ -1,4 +1,4 @@
-/** The gRPC definition of jobs, its message types, and conversions between them and the types of `wire`. */
+/** The gRPC definition of the job service, its message types, and their conversion to and from the types of `wire`. */
 export * from './convert.js'
 export * from './definition.js'
 export type { Event__Output as EventMessage } from './generated/heathroad/v1/Event.js'
--- a/packages/wire/src/cloud.ts
+++ b/packages/wire/src/cloud.ts
@@ -1,5 +1,5 @@
 /**
- * Messages of the cloud: its catalog (`GET /catalog`), rentals (`POST /hosts`) and returns (`POST /hosts/release`). On
+ * Messages of the cloud API: catalog (`GET /catalog`), rental (`POST /hosts`) and release (`POST /hosts/release`). On
  * the wire a machine type is a `flavour`, a zone a `site`, a spot machine `reclaimable` and a machine a `host`.
  */
 import { isMap } from './codec.js'
@@ -10,13 +10,13 @@
 	cpus: number
 	gpus: number
 	ramGb: number
-	/** room for images, in GB */
+	/** size of the image cache, in GB */
 	cacheGb: number
-	/** rate at which images are fetched, in GB a second */
+	/** rate at which images are fetched, in GB per second */
 	fetchGbPerS: number
-	/** price an hour of an ordinary machine */
+	/** price per hour of a regular (non-spot) machine */
 	price: number
-	/** price an hour of a spot machine */
+	/** price per hour of a spot machine */
 	spotPrice: number
 	/** time from the rental to the first heartbeat, in seconds */
 	bootS: number
@@ -24,7 +24,7 @@
 	zones: string[]
 }
 
-/** Assumed for types whose catalog entry does not say. */
+/** Defaults for types whose catalog entry lacks the value, in GB per second and in seconds. */
 const DEFAULT_FETCH_GB_PER_S = 0.1
 const DEFAULT_BOOT_S = 60
 
@@ -48,7 +48,7 @@
 	}
 }
 
-/** Reads the catalog; null: it is malformed. */
+/** Parses the catalog; null: it is malformed. */
 export const parseMachineTypes = (body: unknown): MachineType[] | null => {
 	if (!isMap(body) || !Array.isArray(body.flavours)) return null
 	const types: MachineType[] = []
@@ -60,7 +60,7 @@
 	return types
 }
 
-/** A request for machines of one type. The same `name` sent again is the same rental. */
+/** A request to rent machines of one type. The `name` makes it idempotent: sent again, it is the same rental. */
 export interface RentalRequest {
 	name: string
 	machineType: string
@@ -69,7 +69,7 @@
 	count: number
 }
 
-/** The body of a rental request. */
+/** Encodes the body of a rental request. */
 export const encodeRentalRequest = (rental: RentalRequest): Record<string, unknown> => ({
 	rental: rental.name,
 	flavour: rental.machineType,
@@ -78,16 +78,16 @@
 	howMany: rental.count,
 })
 
-/** The body of a request that returns machines. */
+/** Encodes the body of a request that releases machines to the cloud. */
 export const encodeReleaseRequest = (machineIds: readonly string[]): Record<string, unknown> => ({
 	hosts: machineIds,
 })
 
-/** Reads the ids of rented machines; null: the response is malformed. */
+/** Parses the ids of rented machines; null: the response is malformed. */
 export const parseMachineIds = (body: unknown): string[] | null => {
 	if (!isMap(body) || !Array.isArray(body.hosts)) return null
 	return body.hosts.filter((id): id is string => typeof id === 'string')
 }
 
-/** Does the body of an error response say that the cloud has no machine of the requested type? */
+/** Returns whether an error response says that the cloud has no machine of the requested type. */
 export const isNoCapacity = (body: unknown): boolean => isMap(body) && body.error === 'no capacity'
--- a/packages/wire/src/commands.ts
+++ b/packages/wire/src/commands.ts
@@ -1,12 +1,13 @@
 /**
  * Commands to a machine's agent, sent in responses to heartbeats (`/checkin`) and in requests of the controller
- * (`POST /commands`), which the agent answers with a heartbeat. On the wire the commands are `orders`, the fencing token `fence`, the agent epoch `tenure`, a task `piece` and its attempt `try`.
+ * (`POST /commands`), which the agent answers with a heartbeat. On the wire the commands are `orders`, the fencing token
+ * `fence`, the agent epoch `tenure`, a task `piece` and its attempt `try`.
  */
 import { toWireInteger, type WireInteger } from './codec.js'
 
 /**
  * A command for one attempt of a task: `start` it, `kill` it after a grace period in which it may save its progress, or
- * `forget` its end, which has been recorded.
+ * `forget` it once its exit has been recorded.
  */
 export type Command =
 	| { verb: 'start'; taskName: string; attempt: WireInteger }
@@ -19,7 +20,7 @@
 	return { verb: command.verb, piece: command.taskName, try: attempt, windDownS: command.gracePeriodS }
 }
 
-/** The message with an owner's commands; `agentEpoch` is left out where the agent knows it. */
+/** Encodes an owner's commands as one message; `agentEpoch` is omitted if the agent knows it. */
 export const encodeCommands = (
 	fencingToken: WireInteger,
 	commands: readonly Command[],
@@ -33,5 +34,5 @@
 	return message
 }
 
-/** Most commands in one response: at some 60 bytes each they stay far below the body limit. */
+/** Maximum number of commands in one response; at about 60 bytes each they stay far below the body limit. */
 export const MAX_COMMANDS_PER_RESPONSE = 400
--- a/packages/wire/src/heartbeats.ts
+++ b/packages/wire/src/heartbeats.ts
@@ -1,7 +1,7 @@
 /**
- * Heartbeat of a machine's agent: the body of `POST /checkin`, and of the response to `POST /commands`. On
- * the wire the agent epoch is `tenure`, the sequence `counter`, the fencing token `fence`, the preemption notice
- * `warningS`, and tasks are `pieces`.
+ * Heartbeats of a machine's agent: the body of `POST /checkin` and of the response to `POST /commands`. On the wire the
+ * agent epoch is `tenure`, the heartbeat sequence `counter`, the fencing token `fence`, the preemption notice `warningS`,
+ * and tasks are `pieces`.
  */
 import { isMap, isWireInteger, type WireInteger } from './codec.js'
 
@@ -9,8 +9,8 @@
 export type TaskState = 'pulling-image' | 'running' | 'checkpointing' | 'exited'
 
 /**
- * Why an attempt exited. The last three are rejected starts: too few free resources, another attempt of the task is on
- * the machine, or the machine finds no description of the job.
+ * Why an attempt exited. The last three are rejected starts: too few free resources, another attempt of the task on the
+ * same machine, or a job whose description the machine cannot find.
  */
 export type ExitReason =
 	| 'completed'
@@ -22,21 +22,21 @@
 
 /** One attempt of a task in a heartbeat. */
 export interface ReportedTask {
-	/** job id and index, `job-000412/4` */
+	/** job id and task index, such as `job-000412/4` */
 	taskName: string
 	/** the job's id */
 	uid: string
 	taskIndex: number
 	attempt: WireInteger
 	state: TaskState
-	/** null: it has not exited, or for a reason that this version does not know */
+	/** null: the attempt has not exited, or its exit reason is unknown to this version */
 	exitReason: ExitReason | null
 }
 
-/** A machine's status. */
+/** A heartbeat: the state of a machine and its tasks. */
 export interface Heartbeat {
 	machineId: string
-	/** where the agent is reached, as IP:PORT */
+	/** address of the agent, as IP:PORT */
 	address: string
 	machineType: string
 	zone: string
@@ -45,7 +45,7 @@
 	sequence: WireInteger
 	/** the largest fencing token that the agent has received */
 	fencingToken: WireInteger
-	/** seconds until the spot machine is taken back; null: no notice */
+	/** seconds until the cloud reclaims the spot machine; null: no preemption notice */
 	preemptionNoticeS: number | null
 	tasks: ReportedTask[]
 }
@@ -79,7 +79,7 @@
 	const slash = entry.piece.lastIndexOf('/')
 	const taskIndex = Number(entry.piece.slice(slash + 1))
 	if (slash < 1 || !Number.isInteger(taskIndex) || taskIndex < 0) return null
-	// A state that a later version adds is taken for `running`, the safe reading: the task is on the machine.
+	// A state added by a later version is read as `running`, the safe assumption: the task is on the machine.
 	const state = TASK_STATES_BY_WIRE_NAME.get(entry.status) ?? 'running'
 	return {
 		taskName: entry.piece,
@@ -103,8 +103,8 @@
 }
 
 /**
- * Reads a heartbeat; null: it is malformed. Checked by hand and not by a schema, for speed: dozens arrive every second
- * on a third of a core.
+ * Parses a heartbeat; null: it is malformed. Validated by hand rather than by a schema, for speed: dozens arrive every
+ * second on a third of a core.
  */
 export const parseHeartbeat = (body: unknown): Heartbeat | null => {
 	if (!isMap(body)) return null
--- a/packages/wire/src/http-client.ts
+++ b/packages/wire/src/http-client.ts
@@ -1,25 +1,25 @@
-/** HTTP client for messages in MessagePack. */
+/** HTTP client for MessagePack messages. */
 import * as http from 'node:http'
 import { Data, Effect } from 'effect'
 import { CONTENT_TYPE, decode, encode } from './codec.js'
 
-/** A request without a usable response. It may have been carried out, or may be carried out later. */
+/** A request got no usable response. It may have been executed, or may be executed later. */
 export class NoResponse extends Data.TaggedError('NoResponse')<{ readonly reason: string }> {}
 
-/** A response with any status. */
+/** A response, with any status. */
 export interface HttpResponse {
 	status: number
-	/** decoded body; null: it was empty */
+	/** decoded body; null: empty */
 	body: unknown
-	/** the header `retry-after`, in seconds; null: absent or not a number */
+	/** value of the header `retry-after`, in seconds; null: absent or not a number */
 	retryAfterS: number | null
 }
 
-/** Sends requests; a fake takes its place in the simulation. */
+/** Sends requests; replaced by a fake in the simulation. */
 export interface HttpClient {
 	/**
-	 * Sends one request and waits for its whole response, at most `timeoutMs`. `address` is IP:PORT; a `body` of
-	 * `undefined` sends none. An interrupted effect closes the connection.
+	 * Sends one request and waits up to `timeoutMs` for its whole response. `address` is IP:PORT; a `body` of `undefined`
+	 * sends none. Interrupting the effect closes the connection.
 	 */
 	request(
 		address: string,
@@ -30,13 +30,13 @@
 	): Effect.Effect<HttpResponse, NoResponse>
 }
 
-/** A client that owns connections. */
+/** A client that owns its connections. */
 export interface ClosableHttpClient extends HttpClient {
 	/** Closes all connections. */
 	close(): void
 }
 
-/** Idle connections that are kept to one address. */
+/** Maximum number of idle keep-alive connections to one address. */
 const MAX_IDLE_SOCKETS = 2
 
 type Outcome = Effect.Effect<HttpResponse, NoResponse>
@@ -48,7 +48,7 @@
 	return Number.isFinite(seconds) ? seconds : null
 }
 
-/** The outcome of a response whose body has arrived. */
+/** The outcome of a request whose response has arrived completely. */
 const decodeResponse = (response: http.IncomingMessage, chunks: readonly Buffer[]): Outcome => {
 	const bytes = chunks.length === 1 ? chunks[0] : Buffer.concat(chunks)
 	let body: unknown = null
@@ -93,11 +93,11 @@
 }
 
 /**
- * Creates a client that keeps connections alive where the same address is called again and again. `sockets` bounds the
- * connections to one address, so that an unresponsive peer cannot use up the process's sockets.
+ * Creates a client, by default with keep-alive connections. `socketsPerAddress` limits the connections to one address,
+ * so that an unresponsive peer cannot exhaust the process's sockets.
  */
-export const createHttpClient = (sockets: number, keepAlive = true): ClosableHttpClient => {
-	const agent = new http.Agent({ keepAlive, maxSockets: sockets, maxFreeSockets: MAX_IDLE_SOCKETS })
+export const createHttpClient = (socketsPerAddress: number, keepAlive = true): ClosableHttpClient => {
+	const agent = new http.Agent({ keepAlive, maxSockets: socketsPerAddress, maxFreeSockets: MAX_IDLE_SOCKETS })
 	return {
 		close: () => agent.destroy(),
 		request: (address, method, path, body, timeoutMs) =>
--- a/packages/wire/src/http-server.ts
+++ b/packages/wire/src/http-server.ts
@@ -1,4 +1,4 @@
-/** Server side of HTTP with messages in MessagePack: reading of requests' bodies and writing of replies. */
+/** Server side of HTTP with MessagePack messages: reads request bodies and writes replies. */
 import * as http from 'node:http'
 import { CONTENT_TYPE, decode, encode, MAX_BODY_BYTES } from './codec.js'
 
@@ -7,7 +7,7 @@
 	status: number
 	/** undefined: an empty map is sent */
 	body?: unknown
-	/** time after which the client should try again, in seconds; sent as a whole number of at least 1 */
+	/** time after which the client should retry, in seconds; sent as a whole number of at least 1 */
 	retryAfterS?: number
 }
 
@@ -26,7 +26,7 @@
 	return { headers, payload }
 }
 
-/** Sends a reply unless one was sent before or the connection is closed. */
+/** Sends a reply, unless one was sent already or the connection is closed. */
 export const sendReply = (response: http.ServerResponse, reply: HttpReply): void => {
 	if (response.headersSent || response.destroyed) return
 	const { headers, payload } = encodeReply(reply)
@@ -34,7 +34,7 @@
 	response.end(payload)
 }
 
-/** The bytes of a reply that closes its connection. */
+/** Serializes a reply with the header `connection: close`. */
 const serializeClosingReply = (reply: HttpReply): Buffer => {
 	const { headers, payload } = encodeReply(reply)
 	const headerLines = Object.entries({ ...headers, connection: 'close' }).map(
@@ -45,9 +45,9 @@
 }
 
 /**
- * Replies to a request whose body is still being received, and closes the connection. Closed with unread bytes, a
- * connection is reset, and the client, which is still writing, never receives the reply: so only our side ends at first,
- * and further bytes are discarded, for `limits.ms` and `limits.bytes` at most.
+ * Replies to a request whose body is still being received, and closes the connection. Closing with unread bytes would
+ * reset the connection, and the client, which is still writing, would never receive the reply. So only the sending side
+ * is closed at first, and further bytes are discarded, for up to `limits.ms` and `limits.bytes`.
  */
 export const sendReplyAndClose = (
 	request: http.IncomingMessage,
@@ -56,7 +56,7 @@
 ): void => {
 	const { socket } = request
 	if (socket.destroyed) return
-	// Not through the response: Node would close the connection as soon as that is written.
+	// Written to the socket: through the response object, Node would close the connection right after the write.
 	socket.end(serializeClosingReply(reply))
 	const close = () => socket.destroy()
 	const timer = setTimeout(close, limits.ms)
@@ -71,12 +71,12 @@
 	request.resume()
 }
 
-/** Why a body was not read. */
+/** Why a request body cannot be read. */
 export type UnreadableBody = 'too long' | 'not MessagePack'
 
 /**
  * Collects and decodes a request's body, then calls `onBody` once: with the body, `undefined` if it is empty, or with
- * the reason why it cannot be read. The rest of a body that exceeds the limit is not waited for.
+ * the reason why it cannot be read. A body that exceeds the limit is reported without waiting for the rest of it.
  */
 export const readBody = (
 	request: http.IncomingMessage,
@@ -96,16 +96,16 @@
 			return
 		}
 		if (tooLong) return
-		// Reported at once: a body that never ends must not hold a socket.
+		// Reported immediately: an endless body must not occupy a socket.
 		tooLong = true
 		chunks.length = 0
 		onBody(null, 'too long')
 	})
 	request.on('end', () => {
 		if (tooLong) return
-		// A cancellation needs no body and may leave it out.
+		// A cancellation needs no body and may omit it.
 		if (receivedBytes === 0) return onBody(undefined, null)
-		// Only the decoding is guarded: an error thrown by the handler is not the client's fault.
+		// Only decoding errors are caught: an error thrown by the handler is not the client's fault.
 		let body: unknown
 		try {
 			body = decode(chunks.length === 1 ? chunks[0] : Buffer.concat(chunks))
--- a/packages/wire/src/index.ts
+++ b/packages/wire/src/index.ts
@@ -1,4 +1,4 @@
-/** Messages of the service's protocols: their form on the wire and the types that they are mapped to. */
+/** Messages of the service's protocols: their wire format and the types that they are mapped to. */
 export * from './cloud.js'
 export * from './codec.js'
 export * from './commands.js'
--- a/packages/wire/src/jobs.ts
+++ b/packages/wire/src/jobs.ts
@@ -1,9 +1,9 @@
-/** Jobs as the service knows them, with the values that their wire form shares. */
+/** Types of jobs inside the service; their string values are the same on the wire. */
 
 /** Priority of a job. */
 export type Priority = 'production' | 'urgent' | 'normal' | 'idle'
 
-/** All priorities, the lowest first. */
+/** All priorities, lowest first. */
 export const PRIORITIES: readonly Priority[] = ['idle', 'normal', 'urgent', 'production']
 
 /**
@@ -12,7 +12,7 @@
  */
 export type JobKind = 'sweep' | 'daemon' | 'gang'
 
-/** Status of a job as users see it; `done` and `aborted` are terminal. */
+/** Status of a job in the HTTP protocol; `done` and `aborted` are terminal. */
 export type JobStatus = 'pending' | 'running' | 'done' | 'aborted'
 
 /** A job as it was submitted. Times are in seconds, sizes in GB. */
@@ -28,43 +28,43 @@
 	cpus: number
 	gpus: number
 	ramGb: number
-	/** machine types that may run it; null: any */
+	/** machine types on which it may run; null: any */
 	types: readonly string[] | null
-	/** zone in which it has to run; null: any */
+	/** zone in which it must run; null: any */
 	zone: string | null
-	/** all tasks run in one zone */
+	/** whether all tasks must run in one zone */
 	samePlace: boolean
-	/** at most half of the tasks, rounded up, run in one zone */
+	/** whether at most half of the tasks, rounded up, may run in one zone */
 	apart: boolean
-	/** it may run on spot machines */
+	/** whether it may run on spot machines */
 	spot: boolean
 	image: string
 	imageGb: number
 	/** expected run time of a task */
 	expectedS: number
-	/** interval of checkpoints; 0: none are saved */
+	/** checkpoint interval; 0: no checkpoints */
 	checkpointS: number
-	/** time that saving a checkpoint takes */
+	/** time needed to save a checkpoint */
 	saveS: number
-	/** time after submission by which the job should be finished; null: no deadline */
+	/** time after its submission by which the job should be finished; null: no deadline */
 	dueS: number | null
 }
 
-/** The form of a job's id (protocol). */
+/** Format of a job id (protocol). */
 export const JOB_ID_PATTERN = /^job-\d{6,20}$/
 
-/** The form in words, for error messages. */
+/** The job id format in words, for error messages. */
 export const JOB_ID_FORMAT = '"job-" followed by 6 to 20 digits'
 
-/** Most tasks of one job (protocol). */
+/** Maximum number of tasks of one job (protocol). */
 export const MAX_TASKS = 100_000
 
-/** The response to a question for a job's status. */
+/** The response to a query for a job's status. */
 export interface JobStatusResponse {
 	uid: string
 	status: JobStatus
-	/** tasks that are done */
+	/** number of done tasks */
 	done?: number
-	/** tasks that are running */
+	/** number of running tasks */
 	running?: number
 }
--- a/packages/wire/src/state.ts
+++ b/packages/wire/src/state.ts
@@ -1,34 +1,34 @@
 /**
- * Messages of the state service, a consensus-backed key-value store: transactions (`/txn`), watches (`/watch`) and ranges
- * of keys. Its revision is called `epoch` on the wire, a key's
- * mod revision `stamp`, and a lease `grant`; the names are mapped here and nowhere else.
+ * Messages of the state service, a consensus-backed key-value store: transactions (`/txn`), watches (`/watch`) and key
+ * ranges. On the wire its revision is `epoch`, a key's mod revision `stamp`, and a lease `grant`; the names are mapped
+ * only here.
  */
 import { isMap } from './codec.js'
 
-/** A transaction applies only while the key still has this mod revision; 0: while the key is absent. */
+/** A precondition of a transaction: the key must have this mod revision; 0: the key must be absent. */
 export interface Condition {
 	key: string
 	modRevision: number
 }
 
-/** A change of one key. A key that is attached to a lease is deleted when the lease expires. */
+/** A change of one key. A key attached to a lease is deleted when the lease expires. */
 export type Mutation = { set: string; data: unknown; leaseId?: number } | { delete: string }
 
 /** A key with its value and the revision of its latest change. */
 export interface KeyValue {
 	key: string
-	/** undefined: the key was deleted */
+	/** value; undefined: the key was deleted */
 	data: unknown
 	modRevision: number
 }
 
-/** Changes after a revision, in the order in which they were applied, up to and including `revision`. */
+/** Changes after the requested revision, in the order of their application, up to and including `revision`. */
 export interface WatchResponse {
 	revision: number
 	log: KeyValue[]
 }
 
-/** A page of keys in their order, as of `revision`. */
+/** A page of keys in key order, as of `revision`. */
 export interface RangeResponse {
 	entries: KeyValue[]
 	/** whether further keys follow the last one */
@@ -36,16 +36,16 @@
 	revision: number
 }
 
-/** A condition as it is sent. */
+/** A condition in its wire format. */
 export interface WireCondition {
 	key: string
 	stamp: number
 }
 
-/** A mutation as it is sent. */
+/** A mutation in its wire format. */
 export type WireMutation = { set: string; data: unknown; grant?: number } | { delete: string }
 
-/** A transaction as it is sent. */
+/** A transaction in its wire format. */
 export interface WireTransaction {
 	if: WireCondition[]
 	apply: WireMutation[]
@@ -57,7 +57,7 @@
 	return leaseId === undefined ? { set, data } : { set, data, grant: leaseId }
 }
 
-/** The body of a transaction request. */
+/** Encodes the body of a transaction request. */
 export const encodeTransaction = (
 	conditions: readonly Condition[],
 	mutations: readonly Mutation[],
@@ -66,7 +66,7 @@
 	apply: mutations.map(encodeMutation),
 })
 
-/** Reads the answer to a watch request; null: it is malformed. */
+/** Parses the response to a watch request; null: it is malformed. */
 export const parseWatchResponse = (body: unknown): WatchResponse | null => {
 	if (!isMap(body) || typeof body.epoch !== 'number' || !Array.isArray(body.log)) return null
 	const log: KeyValue[] = []
@@ -79,7 +79,7 @@
 	return { revision: body.epoch, log }
 }
 
-/** Reads the answer to a range request; null: it is malformed. */
+/** Parses the response to a range request; null: it is malformed. */
 export const parseRangeResponse = (body: unknown): RangeResponse | null => {
 	if (!isMap(body) || typeof body.epoch !== 'number' || !Array.isArray(body.entries)) return null
 	const entries: KeyValue[] = []
--- a/packages/wire/src/submission-encoding.ts
+++ b/packages/wire/src/submission-encoding.ts
@@ -1,7 +1,7 @@
-/** Client side of job submission (`POST /v2/runs`); the server side is in `submission.ts`. */
+/** Client side of a job submission (`POST /v2/runs`); the server side is in `submission.ts`. */
 import type { JobSpec } from './jobs.js'
 
-/** The form in which clients submit a job. */
+/** Encodes the body with which clients submit a job. */
 export const encodeSubmission = (job: JobSpec): Record<string, unknown> => ({
 	uid: job.uid,
 	jobclass: job.jobClass,
--- a/packages/wire/src/submission.ts
+++ b/packages/wire/src/submission.ts
@@ -1,16 +1,16 @@
-/** Server side of a job submission (`POST /v2/runs`): its schema, with the names of the protocol, and its errors. */
+/** Server side of a job submission (`POST /v2/runs`): its schema, in the protocol's field names, and its errors. */
 import { Result, Schema, SchemaIssue } from 'effect'
 import { isMap } from './codec.js'
 import { JOB_ID_FORMAT, JOB_ID_PATTERN, type JobSpec, MAX_TASKS } from './jobs.js'
 
-// `expected` is part of the error messages that users read.
+// The `expected` texts are part of the error messages that users read.
 const nonNegativeNumber = Schema.Finite.check(
 	Schema.isGreaterThanOrEqualTo(0, { expected: 'a number of 0 or more' }),
 )
 const name = Schema.String.check(
 	Schema.isPattern(/^[^\s]{1,120}$/, { expected: 'a name of 1 to 120 characters without spaces' }),
 )
-/** A field that may be null may also be absent (protocol); no other field may. */
+/** An optional field: it may be null or absent (protocol). All other fields must be present and not null. */
 const orNull = <S extends Schema.Top>(schema: S) => Schema.optional(Schema.NullOr(schema))
 
 const Submission = Schema.Struct({
@@ -44,7 +44,7 @@
 const decodeSubmission = Schema.decodeUnknownResult(Submission)
 const formatIssues = SchemaIssue.makeFormatterStandardSchemaV1()
 
-/** Why a submission is malformed: the field by its name in the protocol, null for the whole, and what is wrong. */
+/** Why a submission is malformed: the field's name in the protocol (null: the whole body), and the problem. */
 export class InvalidSubmission {
 	constructor(
 		readonly field: string | null,
@@ -57,7 +57,7 @@
 	}
 }
 
-/** Maps the protocol's names. */
+/** Converts a decoded submission from the protocol's field names. */
 const toJobSpec = (message: Schema.Schema.Type<typeof Submission>): JobSpec => ({
 	uid: message.uid,
 	jobClass: message.jobclass,
@@ -81,7 +81,7 @@
 	dueS: message.dueS ?? null,
 })
 
-/** Reads a submission, or returns why it is malformed. */
+/** Parses a submission, or returns why it is malformed. */
 export const parseSubmission = (body: unknown): JobSpec | InvalidSubmission => {
 	if (!isMap(body)) return new InvalidSubmission(null, 'the body is not a map')
 	const decoded = decodeSubmission(body)
