--- a/tests/gate.test.ts
+++ b/tests/gate.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test'
 import { type JobRecord, markReleased, releasePageKey } from '@heathroad/cluster'
 import { DEFAULT_OPERATOR_SETTINGS, deriveLimits } from '@heathroad/config'
-import { type AdmissionChecks, Shard, type ShardPorts, type Verdict } from '@heathroad/controller'
+import { type AdmissionChecks, Shard, type ShardDependencies, type Verdict } from '@heathroad/controller'
 import { arrayJob, idlePorts, plainSettings } from '@heathroad/testkit'
 
 interface GateHarness {
@@ -40,8 +40,8 @@
 	const checks: AdmissionChecks = {
 		required: () => [],
 		admit: (_spec, done) => done(null, []),
-		terms: () => ({ atMostMs: 600_000, whenUnsure: 'hold', grouped }),
-		ask: (_name, spec, context, done) => {
+		checkSettings: () => ({ maxHoldMs: 600_000, whenUnsure: 'hold', grouped }),
+		requestVerdict: (_name, spec, context, done) => {
 			askedUids.push(spec.uid)
 			done(answer(spec.uid, context.asked))
 		},
@@ -70,7 +70,7 @@
 	})
 	const ports = new Proxy(uncountedPorts, {
 		get: (target, name) => {
-			const port = target[name as keyof ShardPorts]
+			const port = target[name as keyof ShardDependencies]
 			if (typeof port !== 'function') return port
 			return (...args: unknown[]) => {
 				harness.portCallCount++
@@ -165,7 +165,7 @@
 		}
 	}
 	// Room for nine uids of 10 characters, each with quotes and a comma, beside the page's own characters.
-	const limits = { room: 16 + 9 * 13 + 5, ops: 3 }
+	const limits = { maxPageChars: 16 + 9 * 13 + 5, maxPages: 3 }
 	const cases: {
 		name: string
 		pages: ReturnType<typeof page>[]
