--- a/tests/config.test.ts
+++ b/tests/config.test.ts
@@ -35,7 +35,7 @@
 	assert.deepEqual(limits.controllerNames, ['c-0', 'c-1'], 'shards are numbered by the sorted names')
 	assert.ok(
 		limits.controllerLeaseMs + limits.takeoverPromiseMs + limits.agentLeaseMs < limits.cancelMs,
-		'a controller lease, a takeover promise and an agent lease fit into the time of a cancellation',
+		'a controller lease, a takeover promise and an agent lease fit into the cancellation time',
 	)
 	const cases: {
 		name: string
@@ -53,7 +53,7 @@
 			message: /site/,
 		},
 		{
-			name: 'a host name for an address',
+			name: 'a host name instead of an address',
 			change: (settings) => Object.assign(settings, { bind: 'localhost:1' }),
 			message: /bind: Expected an IPv4 address and a port, such as/,
 		},
@@ -87,7 +87,7 @@
 	assert.throws(() => loadConfig(writeFile('text.json', '{')), /is not JSON/)
 })
 
-test('INI: known keys within their bounds are accepted, everything else is an error', () => {
+test('INI: known keys within their bounds are accepted, anything else is an error', () => {
 	const path = writeFile('settings.json', JSON.stringify(validSettings()))
 	const { tuning } = loadConfig(
 		path,
@@ -97,14 +97,14 @@
 	assert.equal(
 		loadConfig(path, writeFile('plain.ini', '[budget]\nmix=0.25\n')).grpc,
 		null,
-		'the gRPC server is off without its section',
+		'the gRPC server is disabled without its section',
 	)
 	const withGrpc = loadConfig(path, writeFile('grpc.ini', '[grpc]\nlisten = 127.0.0.1:9090\nstreams = 7\n'))
 	assert.deepEqual(
 		[withGrpc.grpc?.listen, withGrpc.grpc?.maxStreams, withGrpc.grpc?.maxIdsPerStream],
 		['127.0.0.1:9090', 7, 1000],
 	)
-	// With cancel_s hardly longer than lease_s, cancellations are confirmed late, which streams do not support.
+	// If cancel_s is barely longer than lease_s, cancellations are confirmed late, which streams do not support.
 	const shortCancel = validSettings()
 	shortCancel.deployment.workers.cancel_s = shortCancel.deployment.workers.lease_s + 1
 	const shortCancelPath = writeFile('short-cancel.json', JSON.stringify(shortCancel))
--- a/tests/golden-cli.test.ts
+++ b/tests/golden-cli.test.ts
@@ -1,7 +1,7 @@
 /**
- * The verbs of the command line, run as operators and users run them against a server whose answers are fixed: what
- * they send, print and end with, and which verbs and options there are. Sentences on standard error and in help texts are
- * no form, and not compared. Compared with `tests/fixtures/golden/cli.json`.
+ * Runs the commands of the command line against a server with fixed responses, and compares with
+ * `tests/fixtures/golden/cli.json`: the requests, output, exit code, and the lists of commands and options. Sentences on
+ * standard error and in help texts are not compared.
  */
 import assert from 'node:assert/strict'
 import { spawn } from 'node:child_process'
@@ -14,7 +14,7 @@
 import { plainSettings } from '@heathroad/testkit'
 import type { HttpReply } from '@heathroad/wire'
 import { fixturePath } from './golden/fixtures.js'
-import { NamedFixture } from './golden/named.js'
+import { NamedFixture } from './golden/named-fixture.js'
 
 const MAIN = join('target', 'main.cjs')
 const fixture = new NamedFixture('cli.json')
@@ -33,8 +33,8 @@
 	rollbacks: 6,
 }
 
-/** What is answered, by method and path. */
-const ANSWERS: Readonly<Record<string, HttpReply>> = {
+/** The server's responses, by method and path. */
+const RESPONSES: Readonly<Record<string, HttpReply>> = {
 	'POST /v2/runs': { status: 201, body: { uid: 'job-000412', status: 'pending' } },
 	'GET /v2/runs/job-000412': {
 		status: 200,
@@ -58,17 +58,18 @@
 
 const LIMITS = { idleTimeoutMs: 5000, requestTimeoutMs: 5000, maxSockets: 100 }
 
-/** Runs one verb against such a server; `<server>` in its arguments stands for the address. */
+/** Runs one command against such a server; `<server>` in its arguments stands for the address. */
 const run = async (args: readonly string[]) => {
-	assert.ok(existsSync(MAIN), `${MAIN} is absent: npm run build`)
+	assert.ok(existsSync(MAIN), `${MAIN} is missing: npm run build`)
 	const requests: HttpRequest[] = []
-	const server = await startHttpServer('127.0.0.1:0', LIMITS, (call, reply) => {
-		requests.push(call)
-		reply(ANSWERS[`${call.method} ${call.path}`] ?? { status: 404, body: { error: 'unexpected' } })
+	const server = await startHttpServer('127.0.0.1:0', LIMITS, (request, reply) => {
+		requests.push(request)
+		reply(RESPONSES[`${request.method} ${request.path}`] ?? { status: 404, body: { error: 'unexpected' } })
 	})
 	const address = `127.0.0.1:${(server.address() as AddressInfo).port}`
 	const child = spawn(process.execPath, [MAIN, ...args.map((arg) => (arg === '<server>' ? address : arg))])
-	const masked = (text: string) => text.replaceAll(address, '<server>').replaceAll(directory, '<directory>')
+	const withPlaceholders = (text: string) =>
+		text.replaceAll(address, '<server>').replaceAll(directory, '<directory>')
 	let out = ''
 	let err = ''
 	child.stdout.on('data', (chunk) => {
@@ -81,11 +82,11 @@
 	server.closeAllConnections()
 	server.close()
 	const sent = requests.map(({ method, path, body }) => ({ method, path, body: body ?? null }))
-	return { requests: sent, out: masked(out).split('\n'), complains: err !== '', code }
+	return { requests: sent, out: withPlaceholders(out).split('\n'), complains: err !== '', code }
 }
 
-/** The verbs and options that a help text lists, without what it says of them. */
-const listedIn = (help: readonly string[]): string[] =>
+/** The commands and options that a help text lists, without their descriptions. */
+const listedNames = (help: readonly string[]): string[] =>
 	help.flatMap((line) => /^ {2}(\S.*?)(?: {2,}|$)/.exec(line)?.[1] ?? [])
 
 const JOB = ['job-000412', '--class', 'risk', '--team', 'core', '--image', 'img']
@@ -93,7 +94,7 @@
 	'--image-gb 1.5 --kind gang --priority urgent --tasks 9 --cpus 2 --gpus 1 --ram-gb 4 --types box,g8 --zone a ' +
 	'--same-place --apart --spot --expected-s 30 --checkpoint-s 10 --save-s 2 --due-s 3600'
 
-const VERBS: readonly (readonly string[])[] = [
+const COMMANDS: readonly (readonly string[])[] = [
 	['submit', ...JOB, '--server', '<server>', '--json'],
 	['submit', ...JOB, ...ALL_OPTIONS.split(' '), '--server', '<server>', '--no-json'],
 	['submit', ...JOB, '--server', '<server>', '--json', '--wait'],
@@ -117,7 +118,7 @@
 	['state', 'diff', fixturePath('snapshot-late.jsonl'), fixturePath('snapshot-late.jsonl')],
 ]
 
-const HELPS: readonly string[] = [
+const HELP_COMMANDS: readonly string[] = [
 	'',
 	'serve',
 	'check-config',
@@ -134,23 +135,23 @@
 	'drain',
 ]
 
-for (const args of VERBS)
+for (const args of COMMANDS)
 	test(`heathroad ${args.join(' ')}`, async () => {
-		fixture.same(args.join(' '), await run(args))
+		fixture.assertSame(args.join(' '), await run(args))
 	})
 
-for (const verb of HELPS)
-	test(`heathroad ${verb} --help`, async () => {
-		const { out, code } = await run([...verb.split(' ').filter((word) => word !== ''), '--help'])
-		fixture.same(`help: ${verb}`, { lists: listedIn(out), code })
+for (const command of HELP_COMMANDS)
+	test(`heathroad ${command} --help`, async () => {
+		const { out, code } = await run([...command.split(' ').filter((word) => word !== ''), '--help'])
+		fixture.assertSame(`help: ${command}`, { lists: listedNames(out), code })
 	})
 
 test('heathroad check-config', async () => {
 	const path = join(directory, 'settings.json')
 	writeFileSync(path, JSON.stringify(plainSettings('ctl-0', ['ctl-1', 'ctl-2'])))
-	fixture.same('check-config', await run(['check-config', '--config', path]))
+	fixture.assertSame('check-config', await run(['check-config', '--config', path]))
 	writeFileSync(path, JSON.stringify({ host_name: 'ctl-0' }))
-	fixture.same('check-config: settings that lack much', await run(['check-config', '--config', path]))
+	fixture.assertSame('check-config: settings that lack much', await run(['check-config', '--config', path]))
 })
 
-test('every verb of the fixture was compared', () => fixture.complete())
+test('every command of the fixture was compared', () => fixture.assertComplete())
--- a/tests/golden-forms.test.ts
+++ b/tests/golden-formats.test.ts
@@ -1,6 +1,6 @@
 /**
- * Golden forms: each value of `tests/golden/values.ts` is written as it is stored or sent, compared with the bytes in
- * `tests/fixtures/golden/forms.json`, and read back from those bytes by the code's reader. Renaming must change neither.
+ * Golden formats: each value of `tests/golden/values.ts` is encoded as it is stored or sent, compared with the bytes in
+ * `tests/fixtures/golden/forms.json`, and decoded again from those bytes. A rename in the code must change neither.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -77,62 +77,62 @@
 } from '@heathroad/wire'
 import { Effect } from 'effect'
 import { bodySentBy, requestsOf } from './golden/capture.js'
-import { bytesOf, fixtureText, readFixture, updating, viewOf, writeFixture } from './golden/fixtures.js'
+import { bytesOf, fixtureText, isUpdating, readFixture, viewOf, writeFixture } from './golden/fixtures.js'
 import * as values from './golden/values.js'
 
-interface GoldenForm {
+interface GoldenFormat {
 	bytes: string
 	view: unknown
 }
 
 const FIXTURE = 'forms.json'
-const written: Record<string, GoldenForm> = {}
-const golden: Record<string, GoldenForm> = updating ? {} : JSON.parse(readFixture(FIXTURE))
+const written: Record<string, GoldenFormat> = {}
+const golden: Record<string, GoldenFormat> = isUpdating ? {} : JSON.parse(readFixture(FIXTURE))
 
-/** The value that the bytes of a form hold, once these are proven to be what the code writes today. */
-const proven = (name: string, value: unknown): unknown => {
-	assert.equal(written[name], undefined, `${name} stands twice`)
+/** Asserts that the code encodes the value to the bytes of the fixture, and returns what these bytes decode to. */
+const assertGolden = (name: string, value: unknown): unknown => {
+	assert.equal(written[name], undefined, `${name} occurs twice`)
 	written[name] = { bytes: bytesOf(value), view: viewOf(value) }
-	if (updating) golden[name] = written[name]
+	if (isUpdating) golden[name] = written[name]
 	assert.deepEqual(written[name].view, golden[name]?.view, name)
 	assert.equal(written[name].bytes, golden[name].bytes, name)
 	return decode(Buffer.from(golden[name].bytes, 'hex'))
 }
 
-/** A form with a writer and a reader: the bytes are the same, and mean the same. */
+/** Asserts that a value is encoded to the bytes of the fixture, and that these are decoded to the value. */
 const roundTrip = <Value>(
 	name: string,
 	value: Value,
-	write: (value: Value) => unknown,
-	read: (stored: unknown) => unknown,
+	encodeValue: (value: Value) => unknown,
+	decodeValue: (stored: unknown) => unknown,
 ): void => {
-	const understood = read(proven(name, write(value)))
-	assert.deepEqual(understood, value, `${name}: read`)
-	assert.equal(bytesOf(write(understood as Value)), golden[name].bytes, `${name}: written again`)
+	const decoded = decodeValue(assertGolden(name, encodeValue(value)))
+	assert.deepEqual(decoded, value, `${name}: decoded`)
+	assert.equal(bytesOf(encodeValue(decoded as Value)), golden[name].bytes, `${name}: encoded again`)
 }
 
-/** For a type that is stored or sent as it is; an explicit codec takes this one's place. */
-const asItIs = <Value>(value: Value): unknown => value
+/** The codec of a type that is stored or sent unchanged. */
+const unchanged = <Value>(value: Value): unknown => value
 
-/** The name on the wire of a value in the code; null: it has none. */
+/** The wire name of a value in the code, or null. */
 const wireName = (names: ReadonlyMap<unknown, unknown>, value: unknown): unknown =>
 	[...names].find(([, known]) => known === value)?.[0] ?? null
 
-test('records of the state', () => {
-	roundTrip('part, last', values.partRecord, encodeShardOwner, decodeShardOwner)
-	roundTrip('fleet', values.fleetRecord, encodeMachineGroup, decodeMachineGroup)
-	roundTrip('fleet: a rental under way', values.rentalRecord, encodeMachineGroup, decodeMachineGroup)
+test('records of the state service', () => {
+	roundTrip('part, last', values.shardOwnerRecord, encodeShardOwner, decodeShardOwner)
+	roundTrip('fleet', values.machineGroupRecord, encodeMachineGroup, decodeMachineGroup)
+	roundTrip('fleet: a rental under way', values.scaleOutRecord, encodeMachineGroup, decodeMachineGroup)
 	roundTrip('job: moved', values.checkedJob, encodeJobRecord, decodeJobRecord)
 	roundTrip('job: started', values.startedJob, encodeJobRecord, decodeJobRecord)
 	roundTrip('job: done, first form', values.doneJob, encodeJobRecord, decodeJobRecord)
 	roundTrip('job: cancelled, first form', values.cancelledJob, encodeJobRecord, decodeJobRecord)
 	roundTrip('history', values.historyRecord, encodeHistoryRecord, decodeHistoryRecord)
-	roundTrip('over', values.page, encodeTerminalPage, decodeTerminalPage)
-	roundTrip('catalog', values.machineTypes, asItIs, asItIs)
+	roundTrip('over', values.terminalPage, encodeTerminalPage, decodeTerminalPage)
+	roundTrip('catalog', values.machineTypes, unchanged, unchanged)
 	roundTrip(
 		'intake',
 		[values.acceptedJob, values.checkedJob, { ...values.acceptedJob, spec: values.gangSpec }],
-		(jobs) => acceptJobs(known({}), 'intake/one', jobs).mutations.map(dataOf)[0],
+		(jobs) => acceptJobs(recordReader({}), 'intake/one', jobs).mutations.map(dataOf)[0],
 		decodeAcceptedBatch,
 	)
 	roundTrip('released', ['job-000412', 'job-000413'], (uids) => ({ uids }), decodeReleasePage)
@@ -141,72 +141,79 @@
 test('records of the archive', () => {
 	roundTrip(
 		'archive: packed',
-		values.pastJobs,
+		values.archivedJobs,
 		(jobs) => packJobs(jobs),
 		(packed) => unpackJobs(String(packed)),
 	)
-	const key = archivePageKey(2, values.emptiedLeaf.to)
+	const key = archivePageKey(2, values.emptiedArchivePage.to)
 	roundTrip(
 		'archive: leaf',
-		{ ...values.emptiedLeaf, packed: packJobs(values.pastJobs) },
+		{ ...values.emptiedArchivePage, packed: packJobs(values.archivedJobs) },
 		encodeArchivePage,
-		(stored) => decodeArchivePage(2, key, stored, values.emptiedLeaf.modRevision),
+		(stored) => decodeArchivePage(2, key, stored, values.emptiedArchivePage.modRevision),
 	)
-	proven('archive: key of a leaf', key)
+	assertGolden('archive: key of a leaf', key)
 })
 
-/** Records as a write finds them. */
-const known = (entries: Record<string, ReturnType<RecordReader['get']>>): RecordReader => ({
+/** The stored records that a write reads. */
+const recordReader = (entries: Record<string, ReturnType<RecordReader['get']>>): RecordReader => ({
 	get: (key) => entries[key],
 	modRevision: (key) => entries[key]?.modRevision ?? 0,
 })
 
 const dataOf = (change: Mutation): unknown => ('set' in change ? change.data : null)
 
-const storeClient = (caller: HttpClient): StoreClient => createStoreClient(caller, 'state:1', 1000, () => {})
+const storeClient = (httpClient: HttpClient): StoreClient =>
+	createStoreClient(httpClient, 'state:1', 1000, () => {})
 
-/** The body of the transaction that carries out a write. */
+/** The body of the transaction of a write. */
 const transaction = ({ conditions, mutations: changes }: TransactionContent): Promise<unknown> =>
-	bodySentBy((caller) => storeClient(caller).transact(conditions, changes))
+	bodySentBy((httpClient) => storeClient(httpClient).transact(conditions, changes))
 
 test('transactions', async () => {
-	const room: PageLimits = { maxValueChars: 4000, maxJobs: 2 }
-	const over: TerminalJob[] = values.page.batches.flatMap((batch) => batch.jobs)
-	const first: TerminalJob = { ...over[0], uid: 'job-000009' }
-	const entries = known({
+	const pageLimits: PageLimits = { maxValueChars: 4000, maxJobs: 2 }
+	const terminalJobs: TerminalJob[] = values.terminalPage.batches.flatMap((batch) => batch.jobs)
+	const first: TerminalJob = { ...terminalJobs[0], uid: 'job-000009' }
+	const entries = recordReader({
 		history: { data: encodeHistoryRecord(values.historyRecord), modRevision: 40 },
-		'part/1': { data: encodeShardOwner(values.partRecord), modRevision: 9 },
-		'over/1': { data: encodeTerminalPage(values.page), modRevision: 50 },
+		'part/1': { data: encodeShardOwner(values.shardOwnerRecord), modRevision: 9 },
+		'over/1': { data: encodeTerminalPage(values.terminalPage), modRevision: 50 },
 		'released/1/0': { data: { uids: ['job-000001'] }, modRevision: 60 },
 	})
-	const owning: Condition = { key: 'heathroad/part/1', modRevision: 9 }
+	const ownerCondition: Condition = { key: 'heathroad/part/1', modRevision: 9 }
 	const uid = values.jobSpec.uid
 	const writes: Record<string, TransactionContent> = {
 		acceptance: acceptJobs(entries, 'intake/two', [values.acceptedJob, values.checkedJob], 3),
 		'own record': putJobRecord(entries, uid, 12, values.startedJob, [
 			{ set: `heathroad/done/${uid}/1`, data: [1024, 1100] },
 		]),
-		relocation: moveJobToShard(entries, owning, uid, { record: values.startedJob, modRevision: 12 }, 2),
-		'final states: the page is full': recordTerminalJobs(entries, 1, [first], room).content,
-		'final states: a new page': recordTerminalJobs(entries, 0, over, room).content,
-		migration: migrateTerminalRecords(entries, 0, [{ job: first, modRevision: 33 }], room).content,
+		relocation: moveJobToShard(
+			entries,
+			ownerCondition,
+			uid,
+			{ record: values.startedJob, modRevision: 12 },
+			2,
+		),
+		'final states: the page is full': recordTerminalJobs(entries, 1, [first], pageLimits).content,
+		'final states: a new page': recordTerminalJobs(entries, 0, terminalJobs, pageLimits).content,
+		migration: migrateTerminalRecords(entries, 0, [{ job: first, modRevision: 33 }], pageLimits).content,
 		'pages leave': deletePages(entries, 1, ['over/1/50']),
 		'next turn': advanceArchivalEpoch(entries, { ...values.historyRecord, archivalEpoch: 8 }),
 		release: markReleased(entries, 1, ['job-000412'], () => true, { maxPageChars: 4000, maxPages: 4 })
 			.content,
 		'with a lease': {
-			conditions: [owning],
-			mutations: [{ set: 'heathroad/part/1', data: encodeShardOwner(values.partRecord), leaseId: 7 }],
+			conditions: [ownerCondition],
+			mutations: [{ set: 'heathroad/part/1', data: encodeShardOwner(values.shardOwnerRecord), leaseId: 7 }],
 		},
 	}
 	for (const [name, content] of Object.entries(writes))
-		proven(`transaction: ${name}`, await transaction(content))
-	proven('job: an ended one as a record', encodeJobRecord(terminalJobRecord(1, over[1])))
+		assertGolden(`transaction: ${name}`, await transaction(content))
+	assertGolden('job: an ended one as a record', encodeJobRecord(terminalJobRecord(1, terminalJobs[1])))
 })
 
-test('requests to the state, and its answers', async () => {
-	const requests = await requestsOf({ status: 200, body: { epoch: 1 } }, (caller) => {
-		const client = storeClient(caller)
+test('requests to the state service, and its responses', async () => {
+	const requests = await requestsOf({ status: 200, body: { epoch: 1 } }, (httpClient) => {
+		const client = storeClient(httpClient)
 		const calls: Effect.Effect<unknown, unknown>[] = [
 			client.list('heathroad/', null, 1000),
 			client.list('heathroad/', 'heathroad/job/job-000412', 200),
@@ -218,7 +225,7 @@
 		]
 		return Effect.forEach(calls, (call) => Effect.ignore(call))
 	})
-	proven('state: requests', requests)
+	assertGolden('state: requests', requests)
 	const log = {
 		epoch: 9,
 		log: [
@@ -226,7 +233,7 @@
 			{ delete: 'heathroad/part/1', stamp: 9 },
 		],
 	}
-	assert.deepEqual(parseWatchResponse(proven('state: a watch answer', log)), {
+	assert.deepEqual(parseWatchResponse(assertGolden('state: a watch answer', log)), {
 		revision: 9,
 		log: [
 			{ key: 'heathroad/part/0', data: { a: 1 }, modRevision: 8 },
@@ -234,20 +241,20 @@
 		],
 	})
 	const range = { entries: [{ key: 'heathroad/part/0', data: 1, stamp: 8 }], truncated: true, epoch: 9 }
-	assert.deepEqual(parseRangeResponse(proven('state: a range answer', range)), {
+	assert.deepEqual(parseRangeResponse(assertGolden('state: a range answer', range)), {
 		entries: [{ key: 'heathroad/part/0', data: 1, modRevision: 8 }],
 		more: true,
 		revision: 9,
 	})
 })
 
-test('requests to the cloud, and its answers', async () => {
+test('requests to the cloud, and its responses', async () => {
 	const rental: RentalRequest = { name: 'r1-9-1', machineType: 'box', zone: 'a', spot: true, count: 3 }
-	const requests = await requestsOf({ status: 200, body: {} }, (caller) => {
-		const cloud = new CloudClient(caller, 'cloud:1', 1000, 1000, () => 0)
+	const requests = await requestsOf({ status: 200, body: {} }, (httpClient) => {
+		const cloud = new CloudClient(httpClient, 'cloud:1', 1000, 1000, () => 0)
 		return Effect.all([cloud.fetchMachineTypes(), cloud.rent(rental), cloud.returnMachines(['i-000001'])])
 	})
-	proven('cloud: requests', requests)
+	assertGolden('cloud: requests', requests)
 	const [type] = values.machineTypes
 	const flavour = {
 		label: type.name,
@@ -261,13 +268,13 @@
 		bootS: type.bootS,
 		sites: type.zones,
 	}
-	const catalog = proven('cloud: the catalog', { flavours: [flavour] })
+	const catalog = assertGolden('cloud: the catalog', { flavours: [flavour] })
 	assert.deepEqual(parseMachineTypes(catalog), values.machineTypes)
-	assert.deepEqual(parseMachineIds(proven('cloud: hosts', { hosts: ['i-000001'] })), ['i-000001'])
+	assert.deepEqual(parseMachineIds(assertGolden('cloud: hosts', { hosts: ['i-000001'] })), ['i-000001'])
 })
 
-/** Member c-1 of three, which has heard nothing of the state for long. */
-const member = async (): Promise<Membership> => {
+/** Member c-1 of three, which has had no response from the state service for a minute. */
+const createMembership = async (): Promise<Membership> => {
 	let nowMs = 0
 	const events: MembershipEvents = {
 		onShardAcquired: () => {},
@@ -275,16 +282,16 @@
 		isQuiescent: () => true,
 		unreachableMachines: () => 0,
 		localStatus: () => {
-			const { news } = values
+			const { peerStatus } = values
 			return {
-				runningTasks: news.runningTasks,
-				quarantinedJobs: news.quarantinedJobs,
-				ownerLookups: news.ownerLookups,
-				partitionedShards: news.partitionedShards,
-				teamUsage: news.teamUsage,
-				ready: news.ready,
-				exhaustedOffers: news.exhaustedOffers,
-				supportsArchive: news.supportsArchive,
+				runningTasks: peerStatus.runningTasks,
+				quarantinedJobs: peerStatus.quarantinedJobs,
+				ownerLookups: peerStatus.ownerLookups,
+				partitionedShards: peerStatus.partitionedShards,
+				teamUsage: peerStatus.teamUsage,
+				ready: peerStatus.ready,
+				exhaustedOffers: peerStatus.exhaustedOffers,
+				supportsArchive: peerStatus.supportsArchive,
 			}
 		},
 		onPeerStatus: () => {},
@@ -292,76 +299,85 @@
 		applyCancellations: () => {},
 		log: () => {},
 	}
-	const mirror = new WatchCache(
+	const watchCache = new WatchCache(
 		() => {},
 		1,
 		() => nowMs,
 	)
-	mirror.applyOwnWrite('part/0', encodeShardOwner({ ...values.partRecord, owner: 'c-0' }), 9)
-	const silent: HttpClient = { request: () => Effect.never }
-	const derived = deriveLimits(plainSettings('c-1', ['c-0', 'c-2']))
-	const made: Membership[] = []
-	// Its incarnation is made of the time and of chance: both are the seeded clock's while this runs.
+	watchCache.applyOwnWrite('part/0', encodeShardOwner({ ...values.shardOwnerRecord, owner: 'c-0' }), 9)
+	const unresponsiveClient: HttpClient = { request: () => Effect.never }
+	const limits = deriveLimits(plainSettings('c-1', ['c-0', 'c-2']))
+	const created: Membership[] = []
+	// Its incarnation consists of the time and a random number; the seeded clock provides both here.
 	await new VirtualClock(5).run(0, () => {
-		made.push(new Membership(derived, mirror, storeClient(silent), silent, () => nowMs, events))
+		created.push(
+			new Membership(
+				limits,
+				watchCache,
+				storeClient(unresponsiveClient),
+				unresponsiveClient,
+				() => nowMs,
+				events,
+			),
+		)
 	})
-	for (; nowMs < 60_000; nowMs += 250) made[0].detectStandstill()
-	return made[0]
+	for (; nowMs < 60_000; nowMs += 250) created[0].detectStandstill()
+	return created[0]
 }
 
 test('messages between controllers', async () => {
-	const one = await member()
-	const told = proven('news', encodePeerStatus(values.news))
-	proven('news: the answer', one.handlePeerRequest('/peer/news', told))
-	assert.deepEqual(one.peers.find((peer) => peer.name === 'c-0')?.status, values.news)
-	// Taken from the message itself: these are its names on the wire.
-	const { stranded: _, history: __, ...older } = told as Record<string, unknown>
-	one.handlePeerRequest('/peer/news', proven('news: of an older version', older))
-	const understood = { ...values.news, partitionedShards: [], supportsArchive: false }
-	assert.deepEqual(one.peers.find((peer) => peer.name === 'c-0')?.status, understood)
+	const membership = await createMembership()
+	const statusMessage = assertGolden('news', encodePeerStatus(values.peerStatus))
+	assertGolden('news: the answer', membership.handlePeerRequest('/peer/news', statusMessage))
+	assert.deepEqual(membership.peers.find((peer) => peer.name === 'c-0')?.status, values.peerStatus)
+	// Removed from the message itself, by their wire names.
+	const { stranded: _, history: __, ...olderMessage } = statusMessage as Record<string, unknown>
+	membership.handlePeerRequest('/peer/news', assertGolden('news: of an older version', olderMessage))
+	const decoded = { ...values.peerStatus, partitionedShards: [], supportsArchive: false }
+	assert.deepEqual(membership.peers.find((peer) => peer.name === 'c-0')?.status, decoded)
 	roundTrip(
 		'promise: the question',
-		values.promiseQuestion,
-		(question) => ({
-			name: question.member,
-			owned: Object.fromEntries(question.ownedShards),
-			epoch: question.revision,
+		values.takeoverPromiseRequest,
+		(promiseRequest) => ({
+			name: promiseRequest.member,
+			owned: Object.fromEntries(promiseRequest.ownedShards),
+			epoch: promiseRequest.revision,
 		}),
 		decodePromiseRequest,
 	)
-	const question = decode(Buffer.from(golden['promise: the question'].bytes, 'hex'))
-	proven('promise: given', one.handlePeerRequest('/peer/promise', question))
-	proven('promise: refused', one.handlePeerRequest('/peer/promise', null))
+	const promiseRequest = decode(Buffer.from(golden['promise: the question'].bytes, 'hex'))
+	assertGolden('promise: given', membership.handlePeerRequest('/peer/promise', promiseRequest))
+	assertGolden('promise: refused', membership.handlePeerRequest('/peer/promise', null))
 	roundTrip('promise: cancellations', values.cancellations, encodeCancellations, decodeCancellations)
 })
 
 test('messages of workers and users', () => {
-	proven('orders: in a report’s answer', encodeCommands(5, values.orders))
-	proven('orders: direct', encodeCommands(2 ** 33, values.orders, 2n ** 60n))
-	const { report } = values
-	const body = proven('report', {
-		host: report.machineId,
-		addr: report.address,
-		flavour: report.machineType,
-		site: report.zone,
-		reclaimable: report.spot,
-		tenure: report.agentEpoch,
-		counter: report.sequence,
-		fence: report.fencingToken,
-		warningS: report.preemptionNoticeS,
-		pieces: report.tasks.map((task) => ({
+	assertGolden('orders: in a report’s answer', encodeCommands(5, values.commands))
+	assertGolden('orders: direct', encodeCommands(2 ** 33, values.commands, 2n ** 60n))
+	const { heartbeat } = values
+	const body = assertGolden('report', {
+		host: heartbeat.machineId,
+		addr: heartbeat.address,
+		flavour: heartbeat.machineType,
+		site: heartbeat.zone,
+		reclaimable: heartbeat.spot,
+		tenure: heartbeat.agentEpoch,
+		counter: heartbeat.sequence,
+		fence: heartbeat.fencingToken,
+		warningS: heartbeat.preemptionNoticeS,
+		pieces: heartbeat.tasks.map((task) => ({
 			piece: task.taskName,
 			try: task.attempt,
 			status: wireName(TASK_STATES_BY_WIRE_NAME, task.state),
 			cause: wireName(EXIT_REASONS_BY_WIRE_NAME, task.exitReason),
 		})),
 	})
-	assert.deepEqual(parseHeartbeat(body), values.report)
+	assert.deepEqual(parseHeartbeat(body), values.heartbeat)
 	roundTrip('submission', values.jobSpec, encodeSubmission, parseSubmission)
 	roundTrip('submission: all that may be null', values.plainSpec, encodeSubmission, parseSubmission)
 	roundTrip('submission: a gang', values.gangSpec, encodeSubmission, parseSubmission)
 	const answer: JobStatusResponse = { uid: 'job-000412', status: 'aborted', done: 3, running: 0 }
-	proven('answer to a user', answer)
+	assertGolden('answer to a user', answer)
 })
 
 test('gRPC: messages and cursors', () => {
@@ -371,37 +387,43 @@
 		assert.equal(stateOf(name), status)
 		return name
 	})
-	proven('gRPC: states', states)
+	assertGolden('gRPC: states', states)
 	for (const spec of [values.jobSpec, values.plainSpec, values.gangSpec]) {
 		const request = Submit.requestSerialize(toSubmitRequest(spec))
-		proven(`gRPC: submission of ${spec.uid}`, request.toString('hex'))
+		assertGolden(`gRPC: submission of ${spec.uid}`, request.toString('hex'))
 		const received = Submit.requestDeserialize(request)
 		assert.deepEqual(toHttpSubmission(received), encodeSubmission(spec))
 	}
 	const [uid, counts] = ['job-000412', { done: 3, running: 2, tasks: 9 }]
-	proven('gRPC: a job', Get.responseSerialize({ uid, state: 'STATE_RUNNING', ...counts }).toString('hex'))
+	assertGolden(
+		'gRPC: a job',
+		Get.responseSerialize({ uid, state: 'STATE_RUNNING', ...counts }).toString('hex'),
+	)
 	const event = Watch.responseSerialize({ uid, state: 'STATE_CANCELLED', ...counts, cursor: 'c' })
-	proven('gRPC: an event', event.toString('hex'))
+	assertGolden('gRPC: an event', event.toString('hex'))
 	const fields = Object.keys(encodeSubmission(values.jobSpec))
-	proven('gRPC: names of the fields', Object.fromEntries(fields.map((field) => [field, fieldName(field)])))
-	const places: StreamPosition[] = [
+	assertGolden(
+		'gRPC: names of the fields',
+		Object.fromEntries(fields.map((field) => [field, fieldName(field)])),
+	)
+	const positions: StreamPosition[] = [
 		{ phase: 'present', revision: 118, uid: 'job-000412' },
 		{ phase: 'live', revision: 2 ** 33, uid: '~' },
 	]
 	const selections: Selection[] = [{ team: 'core' }, { uids: ['job-000413', 'job-000412'] }]
 	for (const [number, selection] of selections.entries()) {
 		const cursors = new CursorCodec('an installation', selection)
-		for (const place of places)
+		for (const position of positions)
 			roundTrip(
-				`cursor: ${place.phase} of selection ${number}`,
-				place,
+				`cursor: ${position.phase} of selection ${number}`,
+				position,
 				(one) => cursors.encode(one),
 				(text) => cursors.decode(String(text)),
 			)
 	}
 })
 
-test('plug-ins: what they are told and may answer', () => {
+test('plug-ins: arguments and return values', () => {
 	roundTrip(
 		'plug-in: arguments of a release',
 		[values.jobSpec, values.facts],
@@ -410,9 +432,10 @@
 	)
 	const admissions: Admission[] = [{ pass: true }, { refuse: 'no budget' }]
 	for (const answer of admissions)
-		roundTrip(`plug-in: ${JSON.stringify(answer)}`, answer, asItIs, readAdmission)
+		roundTrip(`plug-in: ${JSON.stringify(answer)}`, answer, unchanged, readAdmission)
 	const releases: Release[] = [{ release: true }, { hold: 'not yet', againS: 30 }]
-	for (const answer of releases) roundTrip(`plug-in: ${JSON.stringify(answer)}`, answer, asItIs, readRelease)
+	for (const answer of releases)
+		roundTrip(`plug-in: ${JSON.stringify(answer)}`, answer, unchanged, readRelease)
 	const manifest = {
 		name: 'budget',
 		version: '1.2.0',
@@ -425,10 +448,10 @@
 		ask: 'class',
 		needs: ['node', 'team-jobs'],
 	}
-	roundTrip('plug-in: a manifest', manifest, asItIs, (stored) => readManifest(JSON.stringify(stored)))
+	roundTrip('plug-in: a manifest', manifest, unchanged, (stored) => readManifest(JSON.stringify(stored)))
 })
 
-test('every form of the fixture was written', () => {
-	if (updating) writeFixture(FIXTURE, fixtureText(written))
+test('every format of the fixture was compared', () => {
+	if (isUpdating) writeFixture(FIXTURE, fixtureText(written))
 	assert.deepEqual(Object.keys(written).sort(), Object.keys(JSON.parse(readFixture(FIXTURE))).sort())
 })
--- a/tests/golden-faces.test.ts
+++ b/tests/golden-interfaces.test.ts
@@ -1,6 +1,6 @@
 /**
- * What a running controller tells over real sockets: the page of its metrics, HTTP answers, admin calls, and jobs and
- * events over gRPC as bytes. Compared with `tests/fixtures/golden/faces.json`.
+ * What a running controller serves over real sockets: the metrics page, HTTP responses, admin calls, and jobs and events
+ * over gRPC as bytes. Compared with `tests/fixtures/golden/faces.json`.
  */
 import assert from 'node:assert/strict'
 import type { AddressInfo } from 'node:net'
@@ -17,7 +17,7 @@
 import { type Service, startHttpServer } from '@heathroad/server'
 import { type FakeResponse, PLUGIN, RealClock, Simulation } from '@heathroad/testkit'
 import { replyFailure } from '../packages/grpc/src/status.js'
-import { NamedFixture } from './golden/named.js'
+import { NamedFixture } from './golden/named-fixture.js'
 
 const fixture = new NamedFixture('faces.json')
 
@@ -33,8 +33,8 @@
 	rollbacks: 16,
 }
 
-/** Each figure is another number, so that none can stand in another's place. */
-const figures: ReturnType<Service['operatorStats']> = {
+/** Every statistic has a different value, so that no two can be confused. */
+const operatorStats: ReturnType<Service['operatorStats']> = {
 	parts: 2,
 	openJobs: 3,
 	ownJobs: 4,
@@ -49,14 +49,14 @@
 
 test('metrics: the page of a controller', async () => {
 	const { port, close } = await serveMetrics('127.0.0.1:0', {
-		stats: () => figures,
+		stats: () => operatorStats,
 		plugins: () => [plugin],
 	})
 	const page = await (await fetch(`http://127.0.0.1:${port}/metrics`)).text()
 	close()
-	// What is said of a figure is no form.
+	// Help texts are not compared.
 	const lines = page.split('\n').filter((line) => !line.startsWith('# HELP'))
-	fixture.same(
+	fixture.assertSame(
 		'metrics',
 		lines.map((line) => line.replace(/^(heathroad_memory_bytes) \d+/, '$1 <bytes>')),
 	)
@@ -66,22 +66,22 @@
 const DONE = 'job-000001'
 const CANCELLED = 'job-000002'
 
-/** One controller in real time, whose archive holds two jobs. */
-const archivingWorld = (clock: RealClock): Simulation => {
+/** A simulation in real time of one controller with two archived jobs. */
+const simulationWithArchive = (clock: RealClock): Simulation => {
 	const day = { seed: 1, untilS: 0, jobs: [], faults: [], controllers: 1, up: 4, capacity: 0 }
-	const world = new Simulation({ ...day, report: { reportS: 0.5, leaseS: 6, cancelS: 14 } }, clock)
-	world.state.put('heathroad/installation', INSTALLATION)
-	world.state.put('heathroad/history', { form: 2, turn: 1, legacy: false })
+	const simulation = new Simulation({ ...day, report: { reportS: 0.5, leaseS: 6, cancelS: 14 } }, clock)
+	simulation.state.put('heathroad/installation', INSTALLATION)
+	simulation.state.put('heathroad/history', { form: 2, turn: 1, legacy: false })
 	const packed = packJobs([
 		{ ordinal: ordinalOf(DONE), aborted: false, taskCount: 4, doneCount: 4, revision: 1 },
 		{ ordinal: ordinalOf(CANCELLED), aborted: true, taskCount: 9, doneCount: 3, revision: 1 },
 	])
 	const leaf = { from: '', to: '~', depth: 0, deeper: false, packed, modRevision: 0 }
-	world.state.put(archivePageKey(1, leaf.to), encodeArchivePage(leaf))
-	return world
+	simulation.state.put(archivePageKey(1, leaf.to), encodeArchivePage(leaf))
+	return simulation
 }
 
-/** A client that neither writes nor reads messages: it passes bytes on. */
+/** A gRPC client that passes messages as bytes, without encoding or decoding them. */
 const bytesClient = (address: string) => {
 	const bytes = (value: Buffer) => value
 	const methods = Object.entries(jobsService(jobsPackage())).map(([name, method]) => [
@@ -92,28 +92,31 @@
 	return new Client(address, credentials.createInsecure())
 }
 
-interface Watched {
+interface WatchResult {
 	messages: Buffer[]
 	metadata: string[]
 }
 
-/** All events of a stream that ends by itself; null: the controller cannot tell yet. */
-const watched = (client: ReturnType<typeof bytesClient>, uids: string[]): Promise<Watched | null> =>
+/** All events of a stream that completes; null: the controller cannot serve it yet. */
+const watchUntilComplete = (
+	client: ReturnType<typeof bytesClient>,
+	uids: string[],
+): Promise<WatchResult | null> =>
 	new Promise((resolve) => {
-		const seen: Watched = { messages: [], metadata: [] }
+		const result: WatchResult = { messages: [], metadata: [] }
 		const { Watch } = jobsService(jobsPackage())
 		const request = Watch.requestSerialize({ uids, team: '', cursor: '' })
 		const call = client.Watch(request)
 		call.on('metadata', (metadata: Metadata) => {
-			seen.metadata = Object.keys(metadata.getMap())
+			result.metadata = Object.keys(metadata.getMap())
 		})
-		call.on('data', (message: Buffer) => seen.messages.push(message))
+		call.on('data', (message: Buffer) => result.messages.push(message))
 		call.on('error', () => resolve(null))
-		call.on('end', () => resolve(seen))
+		call.on('end', () => resolve(result))
 	})
 
-/** What operators' calls are answered by a daemon whose only plug-in is missing. */
-const compareAdminAnswers = async (node: Service): Promise<void> => {
+/** Compares the responses to operators' calls of a daemon whose only plug-in is missing. */
+const compareAdminResponses = async (node: Service): Promise<void> => {
 	const drain = new Drain(node, node.config.daemon, node.log)
 	const host = new PluginHost(
 		{ directory: '/plugins', scanIntervalS: 1, plugins: { budget: PLUGIN } },
@@ -141,83 +144,92 @@
 		['/admin/drain', {}],
 		['/admin/unknown', {}],
 	]
-	const answers = []
+	const responses = []
 	for (const [path, body] of calls)
-		answers.push({ path, answer: await new Promise((done) => handleAdminRequest(daemon, path, body, done)) })
-	fixture.same('admin calls', answers)
+		responses.push({
+			path,
+			answer: await new Promise((done) => handleAdminRequest(daemon, path, body, done)),
+		})
+	fixture.assertSame('admin calls', responses)
 }
 
-test('gRPC and admin calls: what a running controller answers', async () => {
+test('gRPC and admin calls: responses of a running controller', async () => {
 	const clock = new RealClock()
-	const world = archivingWorld(clock)
-	const faces: GrpcServer[] = []
+	const simulation = simulationWithArchive(clock)
+	const grpcServers: GrpcServer[] = []
 	const nodes: Service[] = []
 	let listening: Promise<number> = Promise.resolve(0)
-	world.started = (_, node) => {
+	simulation.started = (_, node) => {
 		nodes.push(node)
-		const face = new GrpcServer(node, { ...defaultGrpcSettings('127.0.0.1:0'), minUpdateIntervalS: 0.1 })
-		faces.push(face)
-		listening = face.start()
+		const grpcServer = new GrpcServer(node, {
+			...defaultGrpcSettings('127.0.0.1:0'),
+			minUpdateIntervalS: 0.1,
+		})
+		grpcServers.push(grpcServer)
+		listening = grpcServer.start()
 	}
-	world.begin()
+	simulation.begin()
 	const client = bytesClient(`127.0.0.1:${await listening}`)
 	try {
 		const uids = [DONE, CANCELLED]
-		let seen: Watched | null = null
-		for (let tries = 0; tries < 100 && seen === null; tries++) {
-			seen = await watched(client, uids)
-			if (seen === null) await new Promise((done) => setTimeout(done, 50))
+		let result: WatchResult | null = null
+		for (let attempts = 0; attempts < 100 && result === null; attempts++) {
+			result = await watchUntilComplete(client, uids)
+			if (result === null) await new Promise((done) => setTimeout(done, 50))
 		}
-		assert.ok(seen !== null, 'the controller tells')
-		fixture.same('gRPC: metadata of a stream', seen.metadata.filter((name) => name !== 'date').sort())
+		assert.ok(result !== null, 'the controller serves the stream')
+		fixture.assertSame('gRPC: metadata of a stream', result.metadata.filter((name) => name !== 'date').sort())
 		const { Watch } = jobsService(jobsPackage())
 		const cursors = new CursorCodec(INSTALLATION, { uids })
-		const events = seen.messages.map((message) => {
+		const events = result.messages.map((message) => {
 			const event = Watch.responseDeserialize(message)
-			// It depends on the epoch at which the stream began; all else is the same whenever it is told.
-			const place = cursors.decode(event.cursor)
-			assert.deepEqual([place?.phase, place?.uid], ['present', event.uid])
+			// The cursor depends on the revision at which the stream started; the other fields do not.
+			const position = cursors.decode(event.cursor)
+			assert.deepEqual([position?.phase, position?.uid], ['present', event.uid])
 			const masked = { ...event, cursor: '<cursor>' }
 			return { event: masked, bytes: Watch.responseSerialize(masked).toString('hex') }
 		})
-		fixture.same('gRPC: events', events)
+		fixture.assertSame('gRPC: events', events)
 		for (const uid of uids) {
 			const { Get } = jobsService(jobsPackage())
 			const request = Get.requestSerialize({ uid })
 			const answer = await new Promise<Buffer>((resolve, reject) =>
-				client.Get(request, (error: Error | null, told: Buffer) =>
-					error === null ? resolve(told) : reject(error),
+				client.Get(request, (error: Error | null, received: Buffer) =>
+					error === null ? resolve(received) : reject(error),
 				),
 			)
-			fixture.same(`gRPC: ${uid}`, { job: Get.responseDeserialize(answer), bytes: answer.toString('hex') })
+			fixture.assertSame(`gRPC: ${uid}`, {
+				job: Get.responseDeserialize(answer),
+				bytes: answer.toString('hex'),
+			})
 		}
-		await compareAdminAnswers(nodes[0])
-		fixture.same(
+		await compareAdminResponses(nodes[0])
+		fixture.assertSame(
 			'health',
-			await healthOnceReachable(() => world.sendRequest(0, 'GET', '/healthz', undefined)),
+			await healthOnceReachable(() => simulation.sendRequest(0, 'GET', '/healthz', undefined)),
 		)
 	} finally {
 		client.close()
-		for (const face of faces) await face.stop(0)
+		for (const grpcServer of grpcServers) await grpcServer.stop(0)
 		clock.stop()
-		await world.end()
+		await simulation.end()
 	}
 })
 
 /**
- * The answer to a health check. In real time, on a busy machine, a controller may not have heard of the state service for
- * a moment and answers 503: then it is asked again, for some seconds.
+ * The response to a health check. In real time, on a busy machine, a controller may have had no recent response from the
+ * state service and responses 503: then the check is repeated, for up to 10 s.
  */
-async function healthOnceReachable(ask: () => Promise<FakeResponse | null>): Promise<FakeResponse | null> {
-	let health = await ask()
-	for (let tries = 0; health?.status === 503 && tries < 100; tries++) {
+async function healthOnceReachable(check: () => Promise<FakeResponse | null>): Promise<FakeResponse | null> {
+	let health = await check()
+	for (let attempts = 0; health?.status === 503 && attempts < 100; attempts++) {
 		await new Promise((done) => setTimeout(done, 100))
-		health = await ask()
+		health = await check()
 	}
 	return health
 }
 
-test('gRPC: how a call fails', () => {
+test('gRPC: failures of calls', () => {
 	for (const reply of [
 		{ status: 400, body: {} },
 		{ status: 404, body: {} },
@@ -230,11 +242,15 @@
 			name,
 			typeof value === 'string' ? value : value.toString('hex'),
 		])
-		fixture.same(`gRPC: failure of ${reply.status}`, { code: failed.code, details: failed.details, trailers })
+		fixture.assertSame(`gRPC: failure of ${reply.status}`, {
+			code: failed.code,
+			details: failed.details,
+			trailers,
+		})
 	}
 })
 
-test('HTTP: an answer as it goes over a socket', async () => {
+test('HTTP: a response as sent over a socket', async () => {
 	const limits = { idleTimeoutMs: 5000, requestTimeoutMs: 5000, maxSockets: 100 }
 	const server = await startHttpServer('127.0.0.1:0', limits, (_call, reply) =>
 		reply({ status: 503, body: { error: 'come back later' }, retryAfterS: 1.2 }),
@@ -245,7 +261,7 @@
 	const body = Buffer.from(await answer.arrayBuffer()).toString('hex')
 	server.closeAllConnections()
 	server.close()
-	fixture.same('HTTP: an answer', { status: answer.status, headers, body })
+	fixture.assertSame('HTTP: an answer', { status: answer.status, headers, body })
 })
 
-test('every face of the fixture was compared', () => fixture.complete())
+test('every entry of the fixture was compared', () => fixture.assertComplete())
--- a/tests/golden/days.ts
+++ b/tests/golden/days.ts
@@ -1,6 +1,6 @@
 /**
- * The fixed days whose traffic is recorded: short, on fixed seeds, and made so that every kind of record and message
- * appears on one of them.
+ * The simulated days whose traffic is recorded: short, with fixed seeds, and chosen so that every kind of record and
+ * message occurs on at least one of them.
  */
 import type { PluginHost } from '@heathroad/plugins'
 import {
@@ -14,18 +14,18 @@
 import type { JobSpec } from '@heathroad/wire'
 import type { Recorder } from './recorder.js'
 
-/** One fixed day. */
+/** A simulated day with a fixed seed. */
 export interface GoldenDay {
 	/** the name of its fixture */
 	name: string
-	play(recorder: Recorder): Promise<Simulation>
+	run(recorder: Recorder): Promise<Simulation>
 }
 
 const uidOf = (number: number): string => `job-${String(number).padStart(6, '0')}`
 
-/** Jobs of every kind, priority and wish, of which some are cancelled. */
+/** Jobs of every kind and priority and with every constraint; some are cancelled. */
 const variedJobs = (): SimulatedDay['jobs'] => {
-	const wishes: Partial<JobSpec>[] = [
+	const variants: Partial<JobSpec>[] = [
 		{},
 		{ priority: 'urgent', spot: false },
 		{ zone: 'a', priority: 'idle' },
@@ -38,8 +38,8 @@
 		{ team: 'team-unknown' },
 	]
 	return Array.from({ length: 70 }, (_, number) => {
-		const wish = wishes[number % wishes.length]
-		const long = (wish.expectedS ?? 0) >= 300
+		const variant = variants[number % variants.length]
+		const isLong = (variant.expectedS ?? 0) >= 300
 		const atS = 1 + number * 1.2
 		return {
 			atS,
@@ -47,21 +47,21 @@
 				tasks: 2 + (number % 7),
 				expectedS: 5 + (number % 4) * 3,
 				image: `img-${number % 3}`,
-				...wish,
+				...variant,
 			}),
-			...(long || number % 11 === 4 ? { cancelAtS: atS + 25 } : {}),
+			...(isLong || number % 11 === 4 ? { cancelAtS: atS + 25 } : {}),
 		}
 	})
 }
 
-/** An array so wide that its progress has keys of its own. */
+/** An array with so many tasks that its progress is stored under separate keys. */
 const wideJob: SimulatedDay['jobs'][number] = {
 	atS: 3,
 	spec: arrayJob('job-00000000000000000007', { tasks: 2500, cpus: 0.05, ramGb: 0.1, expectedS: 25 }),
 }
 
-/** Final states under keys of their own, as the first form of the records had them. */
-const FIRST_FORM_KEYS: Readonly<Record<string, unknown>> = {
+/** Terminal states under separate keys, as in the first record format. */
+const FIRST_FORMAT_RECORDS: Readonly<Record<string, unknown>> = {
 	'heathroad/job/job-500001': {
 		part: 0,
 		final: 'done',
@@ -77,21 +77,21 @@
 	},
 }
 
-const playRecorded = async (
+const runRecorded = async (
 	day: SimulatedDay,
 	recorder: Recorder,
-	prepare: (world: Simulation) => void = () => {},
+	prepare: (simulation: Simulation) => void = () => {},
 ) => {
-	const world = new Simulation(day)
-	prepare(world)
-	recorder.attach(world)
-	await world.play()
-	return world
+	const simulation = new Simulation(day)
+	prepare(simulation)
+	recorder.attach(simulation)
+	await simulation.play()
+	return simulation
 }
 
-/** Everything at once, with final states on pages, the archive, and the move from the first form. */
-export const playArchivedDay = (recorder: Recorder, seed: number): Promise<Simulation> =>
-	playRecorded(
+/** Many faults at once, with terminal-state pages, the archive, and the migration from the first format. */
+export const runArchivedDay = (recorder: Recorder, seed: number): Promise<Simulation> =>
+	runRecorded(
 		{
 			seed,
 			untilS: 420,
@@ -115,8 +115,8 @@
 			balanced: true,
 		},
 		recorder,
-		(world) => {
-			for (const [key, data] of Object.entries(FIRST_FORM_KEYS)) world.state.put(key, data)
+		(simulation) => {
+			for (const [key, data] of Object.entries(FIRST_FORMAT_RECORDS)) simulation.state.put(key, data)
 		},
 	)
 
@@ -124,14 +124,14 @@
 
 const archivedDay: GoldenDay = {
 	name: 'archived',
-	play: (recorder) => playArchivedDay(recorder, ARCHIVED_DAY_SEED),
+	run: (recorder) => runArchivedDay(recorder, ARCHIVED_DAY_SEED),
 }
 
-/** Records stay of the first form: final states under keys of their own. */
-const firstFormDay: GoldenDay = {
+/** Records stay in the first format: terminal states under separate keys. */
+const firstFormatDay: GoldenDay = {
 	name: 'first-form',
-	play: (recorder) =>
-		playRecorded(
+	run: (recorder) =>
+		runRecorded(
 			{
 				seed: 12,
 				untilS: 120,
@@ -143,10 +143,10 @@
 		),
 }
 
-/** Jobs that plug-ins hold for a while, asked about one by one or by class. */
+/** Jobs that plug-ins hold for some time, queried one by one or by class. */
 const pluginsDay: GoldenDay = {
 	name: 'plugins',
-	play: async (recorder) => {
+	run: async (recorder) => {
 		const directory: FakeDirectory = {
 			single: {
 				version: '1',
@@ -155,7 +155,7 @@
 				hooks: ['admit', 'release'],
 				behave: (call) => {
 					const args = call.hook === 'admit' ? [call.job] : [call.job, call.facts]
-					recorder.noteJson(`plug-in call ${call.hook}`, call.hook, JSON.stringify(args))
+					recorder.recordJson(`plug-in call ${call.hook}`, call.hook, JSON.stringify(args))
 					if (call.hook === 'admit') return call.answer({ pass: true })
 					call.answer(call.facts.waitedS < 4 ? { hold: 'not yet', againS: 2 } : { release: true })
 				},
@@ -165,7 +165,7 @@
 				ask: 'class',
 				classes: ['grouped'],
 				behave: (call) => {
-					recorder.noteJson('plug-in call release', call.hook, JSON.stringify([call.job, call.facts]))
+					recorder.recordJson('plug-in call release', call.hook, JSON.stringify([call.job, call.facts]))
 					call.answer(call.facts.waitedS < 6 ? { hold: 'not yet' } : { release: true })
 				},
 			},
@@ -176,17 +176,21 @@
 			spec: arrayJob(uidOf(number), { tasks: 2, expectedS: 5, jobClass: classes[number % 3] }),
 		}))
 		const hosts: PluginHost[] = []
-		const world = await playRecorded({ seed: 13, untilS: 120, jobs, faults: [] }, recorder, (world) => {
-			world.started = (index, node) => {
-				const settings = { single: PLUGIN, grouped: PLUGIN }
-				const host = fakePlugins(world.clock, index, node, directory, settings)
-				hosts.push(host)
-				node.checks = host
-			}
-		})
+		const simulation = await runRecorded(
+			{ seed: 13, untilS: 120, jobs, faults: [] },
+			recorder,
+			(simulation) => {
+				simulation.started = (index, node) => {
+					const settings = { single: PLUGIN, grouped: PLUGIN }
+					const host = fakePlugins(simulation.clock, index, node, directory, settings)
+					hosts.push(host)
+					node.checks = host
+				}
+			},
+		)
 		for (const host of hosts) host.stop()
-		return world
+		return simulation
 	},
 }
 
-export const GOLDEN_DAYS: readonly GoldenDay[] = [archivedDay, firstFormDay, pluginsDay]
+export const GOLDEN_DAYS: readonly GoldenDay[] = [archivedDay, firstFormatDay, pluginsDay]
--- a/tests/golden/values.ts
+++ b/tests/golden/values.ts
@@ -1,6 +1,6 @@
 /**
- * One value of each kind that is stored or sent, in the code's own types. The fixtures hold their bytes: when a type
- * or a field is renamed here, the bytes must stay.
+ * One value of each kind that is stored or sent, in the types of the code. The fixtures hold their bytes, which must
+ * stay the same when a type or a field is renamed here.
  */
 import type {
 	AcceptedJobRecord,
@@ -40,7 +40,7 @@
 	dueS: 3600,
 }
 
-/** All that may be null is. */
+/** With null in every nullable field. */
 export const plainSpec: JobSpec = {
 	...jobSpec,
 	uid: 'job-00000000000000000007',
@@ -54,9 +54,9 @@
 
 export const gangSpec: JobSpec = { ...plainSpec, uid: 'job-000413', kind: 'gang', priority: 'production' }
 
-export const partRecord: ShardOwnerRecord = { owner: 'ctl-0', incarnation: 'ctl-0:loyw3v64emflas' }
+export const shardOwnerRecord: ShardOwnerRecord = { owner: 'ctl-0', incarnation: 'ctl-0:loyw3v64emflas' }
 
-export const fleetRecord: MachineGroupRecord = {
+export const machineGroupRecord: MachineGroupRecord = {
 	shardId: 1,
 	machineType: 'box',
 	zone: 'a',
@@ -65,7 +65,7 @@
 	addresses: { 'i-000001': null, 'i-000002': 'i-000002:1' },
 }
 
-export const rentalRecord: MachineGroupRecord = {
+export const scaleOutRecord: MachineGroupRecord = {
 	shardId: 2,
 	machineType: 'g8',
 	zone: 'b',
@@ -85,7 +85,7 @@
 
 export const startedJob: JobRecord = { ...acceptedJob, doneRanges: [0, 17, 20, 1024] }
 
-/** Of the first form: the final state under the job's own key. */
+/** In the first format: the terminal state under the job's own key. */
 export const doneJob: JobRecord = {
 	shardId: 0,
 	finalState: 'done',
@@ -103,7 +103,7 @@
 
 export const historyRecord: HistoryRecord = { format: 2, archivalEpoch: 7, legacy: false }
 
-export const page: TerminalPage = {
+export const terminalPage: TerminalPage = {
 	shardId: 1,
 	batches: [
 		{
@@ -148,13 +148,13 @@
 	},
 ]
 
-export const pastJobs: ArchivedJob[] = [
+export const archivedJobs: ArchivedJob[] = [
 	{ ordinal: '06000001', aborted: false, taskCount: 4, doneCount: 4, revision: 118 },
 	{ ordinal: '06000002', aborted: true, taskCount: 9, doneCount: 3, revision: 240 },
 	{ ordinal: '2000000000000000000007', aborted: false, taskCount: 2500, doneCount: 2500, revision: 119 },
 ]
 
-export const emptiedLeaf: Omit<ArchivePage, 'packed'> = {
+export const emptiedArchivePage: Omit<ArchivePage, 'packed'> = {
 	from: '06000000',
 	to: '~',
 	depth: 3,
@@ -162,7 +162,7 @@
 	modRevision: 31,
 }
 
-export const news: PeerStatus = {
+export const peerStatus: PeerStatus = {
 	name: 'c-0',
 	incarnation: 'c-0:loyw3v64emflas',
 	leaseId: 4,
@@ -178,7 +178,7 @@
 	supportsArchive: true,
 }
 
-export const promiseQuestion: TakeoverPromiseRequest = {
+export const takeoverPromiseRequest: TakeoverPromiseRequest = {
 	member: 'c-0',
 	ownedShards: new Map([[0, 9]]),
 	revision: 118,
@@ -189,7 +189,7 @@
 	{ uid: 'job-000413', revision: 121 },
 ]
 
-export const report: Heartbeat = {
+export const heartbeat: Heartbeat = {
 	machineId: 'i-000001',
 	address: 'i-000001:1',
 	machineType: 'box',
@@ -219,7 +219,7 @@
 	],
 }
 
-export const orders: Command[] = [
+export const commands: Command[] = [
 	{ verb: 'start', taskName: 'job-000412/4', attempt: 5_242_881 },
 	{ verb: 'kill', taskName: 'job-000412/5', attempt: 2 ** 33, gracePeriodS: 4.5 },
 	{ verb: 'forget', taskName: 'job-000412/6', attempt: 2n ** 60n },
--- a/tests/http.test.ts
+++ b/tests/http.test.ts
@@ -1,4 +1,4 @@
-/** The HTTP server: replies while the state service is out of reach, limits on bodies, and sockets kept for machines. */
+/** The HTTP server: replies while the state service is unreachable, limits on bodies, and sockets reserved for machines. */
 import assert from 'node:assert/strict'
 import * as http from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -11,12 +11,12 @@
 import { Effect } from 'effect'
 
 const MIB = 1024 * 1024
-/** For one answer; a longer one fails with an `AbortError`. */
-const ANSWER_MS = 30_000
+/** Timeout of a response, in ms; a later one fails with an `AbortError`. */
+const RESPONSE_TIMEOUT_MS = 30_000
 
 const portOf = (server: http.Server): number => (server.address() as AddressInfo).port
 
-test('answers over HTTP while the state service cannot be reached', async () => {
+test('responses over HTTP while the state service is unreachable', async () => {
 	const settings = plainSettings('c-0')
 	const config = {
 		settings,
@@ -24,17 +24,17 @@
 		limits: deriveLimits(settings),
 	}
 	const service = new Service(config, () => {}, undefined, {
-		request: () => Effect.fail(new NoResponse({ reason: 'nobody there' })),
+		request: () => Effect.fail(new NoResponse({ reason: 'connection refused' })),
 	})
 	const limits = { idleTimeoutMs: 1000, requestTimeoutMs: 1000, maxSockets: 50 }
 	const server = await startHttpServer('127.0.0.1:0', limits, (request, respond) =>
 		service.handleRequest(request, respond),
 	)
 	const port = portOf(server)
-	const ask = (method: string, path: string, body?: Buffer): Promise<http.IncomingMessage> =>
+	const sendRequest = (method: string, path: string, body?: Buffer): Promise<http.IncomingMessage> =>
 		new Promise((resolve, reject) => {
 			const request = http.request(
-				{ port, method, path, agent: false, signal: AbortSignal.timeout(ANSWER_MS) },
+				{ port, method, path, agent: false, signal: AbortSignal.timeout(RESPONSE_TIMEOUT_MS) },
 				(response) => resolve(response.resume()),
 			)
 			request.on('error', reject)
@@ -43,12 +43,12 @@
 	const job = encode(encodeSubmission(arrayJob('job-000412')))
 	const cases: [name: string, method: string, path: string, body: Buffer | undefined, status: number][] = [
 		['an unknown path', 'GET', '/v3/runs', undefined, 404],
-		['a path too long', 'GET', '/v2/runs/job-000001/withdraw/now', undefined, 404],
-		['a wrong method', 'PUT', '/v2/runs', job, 405],
+		['a path with an extra segment', 'GET', '/v2/runs/job-000001/withdraw/now', undefined, 404],
+		['an unsupported method', 'PUT', '/v2/runs', job, 405],
 		['a heartbeat by GET', 'GET', '/checkin', undefined, 405],
-		['no MessagePack', 'POST', '/v2/runs', Buffer.from([0xc1]), 400],
-		['cut short', 'POST', '/v2/runs', job.subarray(0, 20), 400],
-		['over 64 KiB', 'POST', '/v2/runs', Buffer.alloc(70_000, 1), 400],
+		['a body that is not MessagePack', 'POST', '/v2/runs', Buffer.from([0xc1]), 400],
+		['a truncated body', 'POST', '/v2/runs', job.subarray(0, 20), 400],
+		['a body over 64 KiB', 'POST', '/v2/runs', Buffer.alloc(70_000, 1), 400],
 		['a job before the first full read', 'POST', '/v2/runs', job, 503],
 		['a status without a linearizable read', 'GET', '/v2/runs/job-000412', undefined, 503],
 		['a cancellation without a linearizable read', 'POST', '/v2/runs/job-000412/withdraw', undefined, 503],
@@ -56,7 +56,7 @@
 	]
 	try {
 		for (const [name, method, path, body, status] of cases) {
-			const response = await ask(method, path, body)
+			const response = await sendRequest(method, path, body)
 			assert.equal(response.statusCode, status, name)
 			if (status === 503)
 				assert.ok(Number(response.headers['retry-after']) >= 1, `${name}: says when to retry`)
@@ -74,10 +74,14 @@
 	error: string | null
 }
 
-/** Writes a POST with a body of `bytes` in pieces, reading all the while, until the connection is closed. */
+/** Sends a POST with a body of `bytes` in pieces while reading, until the connection closes. */
 const postRaw = (port: number, path: string, headers: string, bytes: number): Promise<RawReply> =>
 	new Promise((resolve) => {
-		const socket = net.connect({ port, allowHalfOpen: true, signal: AbortSignal.timeout(ANSWER_MS) })
+		const socket = net.connect({
+			port,
+			allowHalfOpen: true,
+			signal: AbortSignal.timeout(RESPONSE_TIMEOUT_MS),
+		})
 		let text = ''
 		let error: string | null = null
 		let bytesLeft = bytes
@@ -102,7 +106,7 @@
 		writeBody()
 	})
 
-test('a body that is too long gets its 400 while the client still writes', async () => {
+test('a body over the limit gets its 400 while the client is still writing', async () => {
 	const limits = { idleTimeoutMs: 1000, requestTimeoutMs: 1000, maxSockets: 50 }
 	const server = await startHttpServer('127.0.0.1:0', limits, (_, respond) =>
 		respond({ status: 200, body: {} }),
@@ -110,9 +114,9 @@
 	const port = portOf(server)
 	const cases: [name: string, path: string, headers: string, bytes: number][] = [
 		['a length just over the limit', '/v2/runs', 'content-length: 65537', 65_537],
-		['a long one on a path that does not exist', '/nowhere', `content-length: ${MIB}`, MIB],
-		['a long one on the path of heartbeats', '/checkin', `content-length: ${3 * MIB}`, 3 * MIB],
-		['pieces without a length', '/v2/runs', 'transfer-encoding: chunked', MIB],
+		['a long body on a path that does not exist', '/nowhere', `content-length: ${MIB}`, MIB],
+		['a long body on the path of heartbeats', '/checkin', `content-length: ${3 * MIB}`, 3 * MIB],
+		['a chunked body without a length', '/v2/runs', 'transfer-encoding: chunked', MIB],
 	]
 	try {
 		for (const [name, path, headers, bytes] of cases)
@@ -123,12 +127,12 @@
 				assert.match(text, /connection: close/, name)
 				assert.match(text, /longer than 64 KiB/, name)
 			}
-		// A body without an end does not keep its connection open, whether its sender goes on writing or is silent.
+		// An incomplete body does not keep its connection open, whether its sender continues to write or stops.
 		const startedAt = Date.now()
 		const endless = await postRaw(port, '/v2/runs', `content-length: ${64 * MIB}`, 64 * MIB)
 		assert.match(endless.text, /^HTTP\/1\.1 400 /, 'answered first')
 		const silent = await postRaw(port, '/v2/runs', `content-length: ${MIB}`, 0)
-		assert.match(silent.text, /^HTTP\/1\.1 400 /, 'answered though nothing of the body came')
+		assert.match(silent.text, /^HTTP\/1\.1 400 /, 'answered though no part of the body arrived')
 		assert.ok(Date.now() - startedAt < limits.requestTimeoutMs * 4, 'and closed in time')
 	} finally {
 		server.closeAllConnections()
@@ -149,30 +153,33 @@
 	)
 	const port = portOf(server)
 	const agents: http.Agent[] = []
-	const ask = (path: string): Promise<string> => {
+	const sendGet = (path: string): Promise<string> => {
 		const agent = new http.Agent({ keepAlive: true })
 		agents.push(agent)
 		return new Promise((resolve) => {
-			const request = http.get({ port, path, agent, signal: AbortSignal.timeout(ANSWER_MS) }, (response) => {
-				response.resume().on('end', () => resolve(String(response.headers.connection)))
-			})
+			const request = http.get(
+				{ port, path, agent, signal: AbortSignal.timeout(RESPONSE_TIMEOUT_MS) },
+				(response) => {
+					response.resume().on('end', () => resolve(String(response.headers.connection)))
+				},
+			)
 			request.on('error', () => resolve('refused'))
 		})
 	}
 	const halfOpen: net.Socket[] = []
 	try {
 		const workers = []
-		for (let i = 0; i < 10; i++) workers.push(await ask('/worker'))
+		for (let i = 0; i < 10; i++) workers.push(await sendGet('/worker'))
 		const users = []
-		for (let i = 0; i < 30; i++) users.push(await ask('/user'))
-		assert.deepEqual(new Set(workers), new Set(['keep-alive']), 'workers stay')
-		assert.ok(!users.includes('refused'), 'every user is answered')
-		assert.equal(users[0], 'keep-alive', 'while there is room users stay too')
-		assert.equal(users[29], 'close', 'then they are answered and disconnected')
-		// Connections without any request take all that is left, but not for long.
+		for (let i = 0; i < 30; i++) users.push(await sendGet('/user'))
+		assert.deepEqual(new Set(workers), new Set(['keep-alive']), 'worker connections are kept alive')
+		assert.ok(!users.includes('refused'), 'every user gets a response')
+		assert.equal(users[0], 'keep-alive', 'user connections are kept alive while sockets are available')
+		assert.equal(users[29], 'close', 'after that, they are closed after the response')
+		// Connections without a request occupy all remaining sockets until the request timeout.
 		for (let i = 0; i < sockets; i++) halfOpen.push(net.connect(port).on('error', () => {}))
 		await new Promise((done) => setTimeout(done, limits.requestTimeoutMs * 3))
-		assert.equal(await ask('/worker'), 'keep-alive', 'a worker gets in')
+		assert.equal(await sendGet('/worker'), 'keep-alive', 'a worker can connect')
 	} finally {
 		for (const agent of agents) agent.destroy()
 		for (const socket of halfOpen) socket.destroy()
--- a/tests/inspect.test.ts
+++ b/tests/inspect.test.ts
@@ -1,4 +1,4 @@
-/** The operators' tools: check, export, import and diff, against a fake state service. */
+/** The logic of `heathroad state`: check, export, import and diff, against a fake state service. */
 
 import assert from 'node:assert/strict'
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs'
@@ -84,7 +84,8 @@
 	let postsLeft = Number.POSITIVE_INFINITY
 	const httpClient: HttpClient = {
 		request: (_, method, path, body) => {
-			if (method === 'POST' && --postsLeft < 0) return Effect.fail(new NoResponse({ reason: 'cut' }))
+			if (method === 'POST' && --postsLeft < 0)
+				return Effect.fail(new NoResponse({ reason: 'connection broken' }))
 			let response: HttpResponse = { status: 0, body: null, retryAfterS: null }
 			state.handle(
 				method,
@@ -131,11 +132,11 @@
 const firstPage = archivePageKey(1, MIDDLE)
 const lastPage = archivePageKey(1, '~')
 
-/** What is changed in the consistent state, and the findings it leads to. */
+/** Changes to the consistent state, and the findings that each leads to. */
 const CHANGES = [
-	['all is consistent', {}, []],
+	['a consistent state', {}, []],
 	[
-		'a state in the middle of a move down is in two places',
+		'a terminal state that is being moved down is on two levels',
 		{
 			[archivePageKey(2, '~')]: archivePage('', '~', [archivedJob('job-100000')]),
 			[firstPage]: archivePage(
@@ -163,24 +164,24 @@
 		[/job-700000, which is not of its range/],
 	],
 	[
-		'on a level where no look-up reaches it',
+		'on a level where no lookup reaches it',
 		{ [archivePageKey(2, '~')]: archivePage('', '~', [archivedJob('job-100001')]) },
 		[/job-100001, which nobody looks for/],
 	],
 	[
-		'a state in the middle of the first move down of its page is in two places',
+		'a terminal state is on two levels while its page moves states down for the first time',
 		{ [archivePageKey(2, '~')]: archivePage('', '~', [archivedJob('job-100000')]) },
 		[],
 	],
 	[
-		'in the middle of the first move down, beside one that no look-up reaches',
+		'during the first move down of its page, beside a terminal state that no lookup reaches',
 		{
 			[archivePageKey(2, '~')]: archivePage('', '~', [archivedJob('job-100000'), archivedJob('job-100001')]),
 		},
 		[/2\/~: holds job-100001, which nobody looks for/],
 	],
 	[
-		'in the middle of the first move down, with another terminal state',
+		'during the first move down of its page, with a different terminal state',
 		{ [archivePageKey(2, '~')]: archivePage('', '~', [archivedJob('job-100000', { doneCount: 3 })]) },
 		[/2\/~: job-100000 ended another way/],
 	],
@@ -251,7 +252,7 @@
 	}
 })
 
-test('a set tells ids of every width apart', async () => {
+test('an id set distinguishes ids of every width', async () => {
 	const ids = await IdSet.make()
 	const all = [
 		'job-000001',
@@ -284,7 +285,7 @@
 	),
 })
 
-test('an export is of one revision: keys that change meanwhile are as of its end', async () => {
+test('an export is consistent: keys that change during it have their values of its last revision', async () => {
 	const { client, state } = serveState(largeState(450))
 	let pages = 0
 	const changingClient: StoreClient = {
@@ -294,7 +295,7 @@
 				Effect.tap(() =>
 					Effect.sync(() => {
 						if (++pages !== 1) return
-						// Both a key that was read and one that was not yet.
+						// Changes a key that was read already, and keys that were not read yet.
 						const apply = [
 							{ set: `${KEY_PREFIX}fleet/r0`, data: 'new' },
 							{ delete: `${KEY_PREFIX}intake/m0440` },
@@ -318,22 +319,22 @@
 	assert.equal(exported.size, Object.keys(largeState(450)).length)
 })
 
-test('invalid snapshots are rejected with their cause, and nothing is written', async () => {
+test('invalid snapshots are rejected with the reason, and nothing is written', async () => {
 	const path = await saveSnapshot('good', largeState(30))
 	const text = readFileSync(path, 'utf8')
 	const withFlippedBit = Buffer.from(text)
 	withFlippedBit[text.indexOf('"hosts"') + 10] ^= 1
 	for (const [name, content, pattern] of [
-		['cut short', text.slice(0, text.length / 2).replace(/[^\n]*$/, ''), /is cut short/],
-		['cut in a line', text.slice(0, 900), /cannot be read/],
+		['truncated', text.slice(0, text.length / 2).replace(/[^\n]*$/, ''), /is cut short/],
+		['truncated within a line', text.slice(0, 900), /cannot be read/],
 		[
 			'of another version',
 			text.replace('"version":1', '"version":9'),
 			/is of version 9; this program reads version 1/,
 		],
 		['with a flipped bit', withFlippedBit, /checksum does not fit|cannot be read/],
-		['with a line too many', text.replace('\n{"end"', '\n{"key":"x","data":1}\n{"end"'), /lines, not/],
-		['of something else', '{"a":1}\n', /is no snapshot/],
+		['with an extra line', text.replace('\n{"end"', '\n{"key":"x","data":1}\n{"end"'), /lines, not/],
+		['of another kind of file', '{"a":1}\n', /is no snapshot/],
 		['empty', '', /is cut short/],
 	] as const) {
 		const invalidPath = join(directory, 'bad')
@@ -350,11 +351,11 @@
 	assert.equal(inUse.state.count(''), 1)
 })
 
-test('a stopped import continues where it was, however often; the imported state is consistent and equivalent', async () => {
+test('an interrupted import resumes where it stopped, any number of times; the imported state is consistent and equivalent', async () => {
 	const path = await saveSnapshot('whole', largeState(60))
 	const snapshot = await openSnapshot(path)
 	const target = serveState({})
-	let stops = 0
+	let interruptions = 0
 	for (;;) {
 		target.failAfter(3)
 		try {
@@ -362,17 +363,17 @@
 			break
 		} catch (error) {
 			assert.ok(error instanceof ServiceUnavailable, String(error))
-			stops++
+			interruptions++
 		}
 		const other = await openSnapshot(await saveSnapshot('other', consistentState()))
-		if (stops === 1)
+		if (interruptions === 1)
 			await assert.rejects(importState(target.client, other, IMPORT_LIMITS), /of another snapshot/)
 	}
-	assert.ok(stops >= 2, `${stops} stops`)
+	assert.ok(interruptions >= 2, `${interruptions} interruptions`)
 	const exportedAgain = join(directory, 'back')
 	await Effect.runPromise(exportState(target.client, exportedAgain, LIMITS))
 	const differences = await diffStates(snapshot, await openSnapshot(exportedAgain))
-	// Revisions begin anew; owners and the installation's name are left out.
+	// Revisions start over; owners and the installation's name are not imported.
 	assert.deepEqual(differences, [
 		`~ ${archivePageKey(1, MIDDLE)}`,
 		`~ ${archivePageKey(1, '~')}`,
@@ -385,7 +386,7 @@
 	assert.deepEqual(await findingsIn(restored), [])
 })
 
-/** A cloud that lists machines in pages of 500; `refuses`: which calls it answers with 429, the first is 1. */
+/** A cloud that lists machines in pages of 500; `refuses`: the calls, counted from 1, that it answers with 429. */
 const createCloud = (machines: readonly { uid: string }[], refuses: (call: number) => boolean) => {
 	let calls = 0
 	const httpClient: HttpClient = {
@@ -406,7 +407,7 @@
 
 const REQUEST = { address: 'cloud:1', callsPerS: 10_000, timeoutMs: 100 }
 
-test("the cloud's list: pages, refusals and lag; only what two lists agree on is reported", async () => {
+test("the cloud's list of machines: pages, refusals and lag; only differences in both of two lists are reported", async () => {
 	const machines = Array.from({ length: 1200 }, (_, i) => ({
 		uid: `i-${String(i).padStart(6, '0')}`,
 		status: i === 7 ? 'failed' : 'running',
@@ -433,7 +434,7 @@
 	await assert.rejects(Effect.runPromise(listMachines(unavailable, REQUEST)), /cloud does not answer/)
 })
 
-test('a long list of machines is read to its end though more calls are refused than one page may have', async () => {
+test('a long list of machines is read completely though more calls are refused than the limit for one page', async () => {
 	const machines = Array.from({ length: 4000 }, (_, i) => ({
 		uid: `i-${String(i).padStart(6, '0')}`,
 		status: 'running',
--- a/tests/proof-of-absence.test.ts
+++ b/tests/proof-of-absence.test.ts
@@ -1,11 +1,10 @@
 /**
- * Jobs that were finished and yet answered as unknown, because their terminal states moved while they were looked for.
+ * Guards against finished jobs that are reported as unknown because their terminal states move during the lookup.
  *
- * A terminal state may be in memory (on a page, or under a key of its own), under its own key in the store only (of the
- * first record format, which full reads leave out of memory), or in a level of the archive. The migration of the first
- * format moves states from their own keys to pages, which are in memory: against the order in which a question looks for
- * them. A controller that looked at memory before the move and at the own key after it found the state in neither, and
- * took that for a proof that the job never was.
+ * A terminal state may be in memory (on a page, or under its own key), only in the store under its own key (first record
+ * format, which full reads leave out of memory), or in an archive level. A lookup checks memory first; the migration of
+ * the first format moves states the other way, from their own keys to pages in memory. A controller that checked memory
+ * before the move and the own key after it found neither, and took that as proof that the job never existed.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -23,63 +22,69 @@
 import { RetryingCaller } from '../packages/client/src/retrying-caller.js'
 import type { TransportPool } from '../packages/client/src/transport-pool.js'
 import { UnaryCalls } from '../packages/grpc/src/unary-calls.js'
-import { ACCEPTANCE_ORDERS, FINISHED, MovingWorld, ORDERS, type Order } from './absence-orders.js'
+import {
+	ACCEPTANCE_INTERLEAVINGS,
+	FINISHED,
+	INTERLEAVINGS,
+	type Interleaving,
+	MovingStateScenario,
+} from './absence-interleavings.js'
 import { crashDay } from './crash-days.js'
 
 /**
- * On seed 2025, job-302508 is done at 5.5 s. At 71.46 s a user asks a controller that has restarted since and left the
- * state out. In memory at revision 157 there is none; the read of the own key, at revision 158, meets the move to a page.
+ * On seed 2025, job-302508 is done at 5.5 s. At 71.46 s a user queries a controller that has restarted since, without
+ * the state in memory. Memory at revision 157 has no state; the own key, read at revision 158, has just moved to a page.
  */
-test('a day of crashes and a migration on which a job is asked for while its state moves', async () => {
+test('a job is queried while its state moves, on a simulated day of crashes and a migration', async () => {
 	const simulation = crashDay(2025)
 	await simulation.play()
 	assert.deepEqual(simulation.invariants.violations, [])
 })
 
 const STATUS_PATH = `/v2/runs/${FINISHED}`
-/** A user who gets one of these knows the truth, or asks again. */
-const TRUE_ANSWERS = ['200 done', '503']
-/** When a question has long been answered and all changes are known, in ms after it. */
+/** Correct answers over HTTP, or one after which the user retries. */
+const ALLOWED_ANSWERS = ['200 done', '503']
+/** Time after a request by which it is answered and all changes are known, in ms. */
 const SETTLED_MS = 3000
 
-for (const order of ORDERS)
-	test(`a finished job is not answered as unknown: ${order.name}`, async () => {
-		const world = new MovingWorld(order)
-		const later: string[] = []
-		await world.play(() => {
-			world.request('GET', STATUS_PATH)
-			world.simulation.clock.after(SETTLED_MS, () =>
-				world.request('GET', STATUS_PATH, undefined, (answer) => void later.push(answer)),
+for (const interleaving of INTERLEAVINGS)
+	test(`a finished job is not answered as unknown: ${interleaving.name}`, async () => {
+		const scenario = new MovingStateScenario(interleaving)
+		const laterAnswers: string[] = []
+		await scenario.run(() => {
+			scenario.request('GET', STATUS_PATH)
+			scenario.simulation.clock.after(SETTLED_MS, () =>
+				scenario.request('GET', STATUS_PATH, undefined, (answer) => void laterAnswers.push(answer)),
 			)
 		})
-		assert.ok(world.isPlayed, 'the order was played')
-		assert.deepEqual(later, ['200 done'], 'once nothing moves')
-		assert.equal(world.answers.length, 1)
-		assert.ok(TRUE_ANSWERS.includes(world.answers[0]), world.answers[0])
+		assert.ok(scenario.isKeyRead, 'the key was read')
+		assert.deepEqual(laterAnswers, ['200 done'], 'after the moves')
+		assert.equal(scenario.answers.length, 1)
+		assert.ok(ALLOWED_ANSWERS.includes(scenario.answers[0]), scenario.answers[0])
 	})
 
 type UnaryName = 'submit' | 'get' | 'cancel'
 
-/** Asks over gRPC, without the network; the answer is the state, or the code of the failure. */
-const callUnary = (world: MovingWorld, name: UnaryName, request: object): void => {
-	const calls = new UnaryCalls(world.node, () => false)
+/** Makes a gRPC call without the network; the answer is the state, or the status code of the failure. */
+const callUnary = (scenario: MovingStateScenario, name: UnaryName, request: object): void => {
+	const calls = new UnaryCalls(scenario.node, () => false)
 	calls[name]({ request } as never, (error, message) =>
-		world.answers.push(
+		scenario.answers.push(
 			error === null ? String((message as JobMessage).state) : status[error.code ?? status.UNKNOWN],
 		),
 	)
 }
 
-/** The finished job as it was submitted, and once more in a form that is refused. */
+/** The finished job as it was submitted, and the same with resources that no machine has. */
 const SPEC = arrayJob(FINISHED, { tasks: 4 })
-const TOO_WIDE = { ...SPEC, cpus: 1000 }
+const UNPLACEABLE_SPEC = { ...SPEC, cpus: 1000 }
 const JOBS_PATH = '/v2/runs'
-const TRUE_MESSAGES = ['STATE_DONE', 'UNAVAILABLE']
+const ALLOWED_GRPC_ANSWERS = ['STATE_DONE', 'UNAVAILABLE']
 
-/** Asks through the client library, whose calls reach the controller without the network; one try. */
-const callClient = (world: MovingWorld): void => {
+/** Queries through the client library, without the network and with one attempt. */
+const callClient = (scenario: MovingStateScenario): void => {
 	const request: HttpClient['request'] = (_, method, path, body) =>
-		Effect.promise(() => world.simulation.sendRequest(0, method, path, body)).pipe(
+		Effect.promise(() => scenario.simulation.sendRequest(0, method, path, body)).pipe(
 			Effect.map((response) => ({ status: response?.status ?? 0, body: response?.body, retryAfterS: null })),
 		)
 	const transport = Object.assign(new HttpTransport('10.0.0.1:8080'), { httpClient: { request } })
@@ -87,146 +92,152 @@
 	new RetryingCaller(pool as unknown as TransportPool, { deadlineMs: 1, tryMs: 1 }, () => 0)
 		.call(FINISHED, {}, (chosen, timeoutMs, signal) => chosen.get(FINISHED, timeoutMs, signal))
 		.then(
-			({ state }) => world.answers.push(state),
-			(error: Error) => world.answers.push(error.constructor.name),
+			({ state }) => scenario.answers.push(state),
+			(error: Error) => scenario.answers.push(error.constructor.name),
 		)
 }
 
 interface Caller {
 	name: string
-	ask(world: MovingWorld): void
-	/** a user who gets one of these knows the truth, or asks again */
+	send(scenario: MovingStateScenario): void
+	/** correct answers, or those after which the user retries */
 	allowed: readonly string[]
 }
 
-/** Who else asks whether a job is known. */
+/** Other calls that depend on whether a job is known. */
 const CALLERS: readonly Caller[] = [
-	{ name: 'status by the client library', ask: callClient, allowed: ['done', 'DeadlineOver'] },
+	{ name: 'status by the client library', send: callClient, allowed: ['done', 'DeadlineOver'] },
 	{
 		name: 'status over gRPC',
-		ask: (world) => callUnary(world, 'get', { uid: FINISHED }),
-		allowed: TRUE_MESSAGES,
+		send: (scenario) => callUnary(scenario, 'get', { uid: FINISHED }),
+		allowed: ALLOWED_GRPC_ANSWERS,
 	},
 	{
 		name: 'cancellation over HTTP',
-		ask: (world) => world.request('POST', `${STATUS_PATH}/withdraw`, {}),
-		allowed: TRUE_ANSWERS,
+		send: (scenario) => scenario.request('POST', `${STATUS_PATH}/withdraw`, {}),
+		allowed: ALLOWED_ANSWERS,
 	},
 	{
 		name: 'cancellation over gRPC',
-		ask: (world) => callUnary(world, 'cancel', { uid: FINISHED }),
-		allowed: TRUE_MESSAGES,
+		send: (scenario) => callUnary(scenario, 'cancel', { uid: FINISHED }),
+		allowed: ALLOWED_GRPC_ANSWERS,
 	},
 	{
 		name: 'a submission that can never run',
-		ask: (world) => world.request('POST', JOBS_PATH, encodeSubmission(TOO_WIDE)),
-		allowed: TRUE_ANSWERS,
+		send: (scenario) => scenario.request('POST', JOBS_PATH, encodeSubmission(UNPLACEABLE_SPEC)),
+		allowed: ALLOWED_ANSWERS,
 	},
 	{
 		name: 'a submission that a plug-in refuses',
-		ask: (world) => {
-			world.node.checks = { ...NO_CHECKS, admit: (_, done) => done('not today', []) }
-			world.request('POST', JOBS_PATH, encodeSubmission(SPEC))
+		send: (scenario) => {
+			scenario.node.checks = { ...NO_CHECKS, admit: (_, done) => done('not today', []) }
+			scenario.request('POST', JOBS_PATH, encodeSubmission(SPEC))
 		},
-		allowed: TRUE_ANSWERS,
+		allowed: ALLOWED_ANSWERS,
 	},
 ]
 
-/** The one answer to the question. */
-const theAnswer = ({ answers }: MovingWorld): string =>
+/** The only answer to the request. */
+const onlyAnswer = ({ answers }: MovingStateScenario): string =>
 	answers.length === 1 ? answers[0] : `${answers.length} answers`
 
-/** Plays every order and returns the wrong answers, with the order of each. */
-const wrongAnswers = async (orders: readonly Order[], { ask, allowed }: Caller): Promise<string[]> => {
+/** Runs every interleaving and returns the wrong answers, each with the name of its interleaving. */
+const wrongAnswers = async (
+	interleavings: readonly Interleaving[],
+	{ send, allowed }: Caller,
+): Promise<string[]> => {
 	const wrong: string[] = []
-	for (const order of orders) {
-		const world = new MovingWorld(order)
-		await world.play(ask)
-		assert.ok(world.isPlayed, order.name)
-		const answer = theAnswer(world)
-		if (!allowed.includes(answer)) wrong.push(`${answer}: ${order.name}`)
+	for (const interleaving of interleavings) {
+		const scenario = new MovingStateScenario(interleaving)
+		await scenario.run(send)
+		assert.ok(scenario.isKeyRead, interleaving.name)
+		const answer = onlyAnswer(scenario)
+		if (!allowed.includes(answer)) wrong.push(`${answer}: ${interleaving.name}`)
 	}
 	return wrong
 }
 
 for (const caller of CALLERS)
 	test(`a finished job is known while its state moves: ${caller.name}`, async () => {
-		assert.deepEqual(await wrongAnswers(ORDERS, caller), [])
+		assert.deepEqual(await wrongAnswers(INTERLEAVINGS, caller), [])
 	})
 
-/** Until then a job that is accepted anew has run, in s. */
-const RUN_AGAIN_UNTIL_S = 45
+/** By then, a job that is accepted again has run, in s. */
+const RERUN_UNTIL_S = 45
 
 const SUBMISSIONS: readonly Caller[] = [
 	{
 		name: 'over HTTP',
-		ask: (world) => world.request('POST', JOBS_PATH, encodeSubmission(SPEC)),
-		allowed: [...TRUE_ANSWERS, '429'],
+		send: (scenario) => scenario.request('POST', JOBS_PATH, encodeSubmission(SPEC)),
+		allowed: [...ALLOWED_ANSWERS, '429'],
 	},
 	{
 		name: 'over gRPC',
-		ask: (world) => callUnary(world, 'submit', toSubmitRequest(SPEC)),
-		allowed: [...TRUE_MESSAGES, 'RESOURCE_EXHAUSTED'],
+		send: (scenario) => callUnary(scenario, 'submit', toSubmitRequest(SPEC)),
+		allowed: [...ALLOWED_GRPC_ANSWERS, 'RESOURCE_EXHAUSTED'],
 	},
 ]
 
-/** A second controller, which follows the changes one by one, may hold a job for open that the first one does not. */
-const REPEATED = [1, 2].flatMap((controllers) => ACCEPTANCE_ORDERS.map((order) => ({ order, controllers })))
+/** A second controller, which applies the changes one by one, may consider a job open that the first one does not. */
+const REPEATED_SUBMISSIONS = [1, 2].flatMap((controllers) =>
+	ACCEPTANCE_INTERLEAVINGS.map((interleaving) => ({ interleaving, controllers })),
+)
 
-for (const { name, ask, allowed } of SUBMISSIONS)
+for (const { name, send, allowed } of SUBMISSIONS)
 	test(`a finished job that is submitted again while its state moves is not accepted: ${name}`, async () => {
 		const wrong: string[] = []
-		for (const { order, controllers } of REPEATED) {
-			const world = new MovingWorld(order, { untilS: RUN_AGAIN_UNTIL_S, controllers })
-			await world.play(ask)
-			assert.ok(world.isPlayed, order.name)
+		for (const { interleaving, controllers } of REPEATED_SUBMISSIONS) {
+			const scenario = new MovingStateScenario(interleaving, { untilS: RERUN_UNTIL_S, controllers })
+			await scenario.run(send)
+			assert.ok(scenario.isKeyRead, interleaving.name)
 			const events = ['accepted', 'terminal'].filter((event) =>
-				world.log.some((line) => line.includes(`job ${event} `) && line.includes(FINISHED)),
+				scenario.log.some((line) => line.includes(`job ${event} `) && line.includes(FINISHED)),
 			)
 			const runs = [
-				...(world.wasOpenAgain ? ['open again'] : []),
-				...(world.hasRunAgain ? ['runs again'] : []),
+				...(scenario.wasOpenAgain ? ['open again'] : []),
+				...(scenario.hasRunAgain ? ['runs again'] : []),
 			]
-			const answers = allowed.includes(theAnswer(world)) ? [] : [theAnswer(world)]
+			const answers = allowed.includes(onlyAnswer(scenario)) ? [] : [onlyAnswer(scenario)]
 			const faults = [...answers, ...events, ...runs]
-			if (faults.length > 0) wrong.push(`${faults.join(', ')}: ${order.name}; ${controllers} controllers`)
+			if (faults.length > 0)
+				wrong.push(`${faults.join(', ')}: ${interleaving.name}; ${controllers} controllers`)
 		}
 		assert.deepEqual(wrong, [])
 	})
 
-/** How often a reader looks for events and a hub for changes, in ms. */
-const STREAM_STEP_MS = 100
+/** Interval at which a reader polls for events and its hub for changes, in ms. */
+const STREAM_POLL_INTERVAL_MS = 100
 const INSTALLATION = 'here'
 const TEAM = { team: 'core' }
-/** So few terminal states are kept for streams that the finished job's is not among them. */
+/** Terminal states kept for streams: so few that the finished job's is not among them. */
 const FEW_STATES = 2
 const ALL_STATES = 1000
 
-/** A reader at the asked controller, over one stream after the other until one begins; the hub runs as behind the gRPC face. */
+/** Reads events from the queried controller, retrying until a stream starts; uses the hub as the gRPC server does. */
 class EventReader {
-	readonly heard: string[] = []
-	/** how the latest stream stands */
-	outcome = 'not begun'
+	readonly received: string[] = []
+	/** state of the latest stream */
+	streamState = 'not started'
 	private readonly records: ServiceRecords
 	private readonly hub: EventHub
 	private subscription: Subscription | null = null
 
 	/** `retained`: terminal states that the controller keeps for streams. */
 	constructor(
-		private readonly world: MovingWorld,
+		private readonly scenario: MovingStateScenario,
 		private readonly node: Service,
 		retained: number,
 	) {
 		this.records = new ServiceRecords(node, retained)
-		this.hub = new EventHub(this.records, INSTALLATION, STREAM_STEP_MS, node.now)
+		this.hub = new EventHub(this.records, INSTALLATION, STREAM_POLL_INTERVAL_MS, node.now)
 		this.records.hub = this.hub
 	}
 
-	/** Begins a stream, and again a while later if that fails. */
+	/** Starts a stream; retries after a poll interval if that fails. */
 	open(selection: Selection, cursor = ''): void {
 		const onPrepared = (isComplete: boolean) => {
 			if (isComplete) this.subscribe(selection, cursor)
-			else this.world.simulation.clock.after(STREAM_STEP_MS, () => this.open(selection, cursor))
+			else this.scenario.simulation.clock.after(STREAM_POLL_INTERVAL_MS, () => this.open(selection, cursor))
 		}
 		this.node.afterLinearizableRead((isFresh) => {
 			if (isFresh) this.records.prepare(selection, onPrepared)
@@ -238,120 +249,129 @@
 		const listener = { onEventsAvailable: () => {}, onEnd: () => {} }
 		const opened = this.hub.subscribe(selection, cursor, listener)
 		if (typeof opened === 'string') {
-			this.outcome = opened
+			this.streamState = opened
 			return
 		}
 		this.subscription = opened
-		this.step()
+		this.poll()
 	}
 
-	private step(): void {
+	private poll(): void {
 		this.hub.publishChanges()
 		for (let event = this.subscription?.next(); event; event = this.subscription?.next())
-			if (event.uid === FINISHED) this.heard.push(event.state)
-		this.outcome = this.subscription?.isComplete === true ? 'complete' : 'open'
-		this.world.simulation.clock.after(STREAM_STEP_MS, () => this.step())
+			if (event.uid === FINISHED) this.received.push(event.state)
+		this.streamState = this.subscription?.isComplete === true ? 'complete' : 'open'
+		this.scenario.simulation.clock.after(STREAM_POLL_INTERVAL_MS, () => this.poll())
 	}
 }
 
-/** Plays every order with a reader, and returns what it heard in each and how its stream stood in the end. */
-const hearOrders = async (
+/** Runs every interleaving with a reader; returns the states it received in each, and the final state of its stream. */
+const observeInterleavings = async (
 	retained: number,
-	ask: (world: MovingWorld, reader: EventReader) => void,
-): Promise<{ order: string; told: string }[]> => {
-	const told: { order: string; told: string }[] = []
-	for (const order of ORDERS) {
+	send: (scenario: MovingStateScenario, reader: EventReader) => void,
+): Promise<{ interleaving: string; outcome: string }[]> => {
+	const outcomes: { interleaving: string; outcome: string }[] = []
+	for (const interleaving of INTERLEAVINGS) {
 		const readers: EventReader[] = []
-		const world = new MovingWorld(order, {
+		const scenario = new MovingStateScenario(interleaving, {
 			onStarted: (started, node) => void readers.push(new EventReader(started, node, retained)),
 		})
-		const [reader] = await world.play(() => ask(world, readers[0])).then(() => readers)
-		assert.ok(world.isPlayed, order.name)
-		told.push({ order: order.name, told: [...reader.heard, reader.outcome].join(', ') })
+		const [reader] = await scenario.run(() => send(scenario, readers[0])).then(() => readers)
+		assert.ok(scenario.isKeyRead, interleaving.name)
+		outcomes.push({
+			interleaving: interleaving.name,
+			outcome: [...reader.received, reader.streamState].join(', '),
+		})
 	}
-	return told
+	return outcomes
 }
 
-const expectTold = (results: { order: string; told: string }[], allowed: readonly string[]): void => {
-	const wrong = results.filter(({ told }) => !allowed.includes(told))
+const assertOutcomes = (
+	results: { interleaving: string; outcome: string }[],
+	allowed: readonly string[],
+): void => {
+	const wrong = results.filter(({ outcome }) => !allowed.includes(outcome))
 	assert.deepEqual(
-		wrong.map(({ order, told }) => `${told}: ${order}`),
+		wrong.map(({ interleaving, outcome }) => `${outcome}: ${interleaving}`),
 		[],
 	)
 }
 
-test('a stream of a finished job tells its terminal state and ends, though the state moves while it begins', async () => {
-	const told = await hearOrders(FEW_STATES, (_, reader) => reader.open({ uids: [FINISHED] }))
-	expectTold(told, ['done, complete'])
+test('a stream of a finished job delivers its terminal state and completes, though the state moves while it starts', async () => {
+	const outcomes = await observeInterleavings(FEW_STATES, (_, reader) => reader.open({ uids: [FINISHED] }))
+	assertOutcomes(outcomes, ['done, complete'])
 })
 
-/** Streams of a team ask for no single job, so a status does, at the same time. */
-const openTeamStream = (world: MovingWorld, reader: EventReader, cursor: string): void => {
+/** A team stream looks up no single job, so a status request does at the same time. */
+const openTeamStream = (scenario: MovingStateScenario, reader: EventReader, cursor: string): void => {
 	reader.open(TEAM, cursor)
-	world.request('GET', STATUS_PATH)
+	scenario.request('GET', STATUS_PATH)
 }
 
-test('a stream of a team that resumes from before a job was done tells it once, or that it is out of range', async () => {
+test('a team stream that resumes from before a job was done delivers its state once, or reports out of range', async () => {
 	const cursor = new CursorCodec(INSTALLATION, TEAM).encode({ phase: 'live', revision: 0, uid: '' })
 	for (const retained of [FEW_STATES, ALL_STATES])
-		expectTold(await hearOrders(retained, (world, reader) => openTeamStream(world, reader, cursor)), [
-			'done, open',
-			'out of range',
-		])
+		assertOutcomes(
+			await observeInterleavings(retained, (scenario, reader) => openTeamStream(scenario, reader, cursor)),
+			['done, open', 'out of range'],
+		)
 })
 
-test('a stream of a team from the present is not told of a state that only moves', async () => {
+test('a team stream that starts at the current state delivers nothing when a state only moves', async () => {
 	for (const retained of [FEW_STATES, ALL_STATES])
-		expectTold(await hearOrders(retained, (world, reader) => openTeamStream(world, reader, '')), ['open'])
+		assertOutcomes(
+			await observeInterleavings(retained, (scenario, reader) => openTeamStream(scenario, reader, '')),
+			['open'],
+		)
 })
 
-/** A job that nobody submitted before. */
+/** A job that was never submitted before. */
 const NEW_JOB = 'job-000002'
 
 /**
- * A proof of absence from before an archival epoch does not count after it. The submission then waited for a write that
- * nobody asked for: its user had no answer, and neither had whoever repeated it at the same controller.
+ * A proof of absence is invalid once a new archival epoch starts. The submission then waited for a write that was never
+ * requested: neither its user nor anyone who repeated it at the same controller got an answer.
  */
-test('a submission is answered though an archival epoch begins during its look-up', async () => {
-	const order: Order = {
-		name: 'an archival epoch begins',
-		onKeyRead: (world, read) => {
-			const revision = world.beginEpoch()
+test('a submission is answered though an archival epoch starts during its lookup', async () => {
+	const interleaving: Interleaving = {
+		name: 'an archival epoch starts',
+		onKeyRead: (scenario, read) => {
+			const revision = scenario.startEpoch()
 			read.serve((response) =>
-				world.once(
-					() => world.node.archive.archivalEpoch() === revision,
+				scenario.once(
+					() => scenario.node.archive.archivalEpoch() === revision,
 					() => read.reply(response),
 				),
 			)
 		},
 	}
-	const world = new MovingWorld(order, { uid: NEW_JOB })
-	await world.play(() => world.request('POST', JOBS_PATH, encodeSubmission({ ...SPEC, uid: NEW_JOB })))
-	assert.ok(world.isPlayed)
-	assert.ok(['201 pending', '503', '429'].includes(theAnswer(world)), theAnswer(world))
+	const scenario = new MovingStateScenario(interleaving, { uid: NEW_JOB })
+	await scenario.run(() => scenario.request('POST', JOBS_PATH, encodeSubmission({ ...SPEC, uid: NEW_JOB })))
+	assert.ok(scenario.isKeyRead)
+	assert.ok(['201 pending', '503', '429'].includes(onlyAnswer(scenario)), onlyAnswer(scenario))
 })
 
-/** When states are moved that have long been elsewhere when they are asked for, in ms. */
+/** Time at which states are moved, long before they are requested, in ms. */
 const PREPARED_AT_MS = 3000
 const UNKNOWN_JOB = 'job-000003'
-const ALREADY_MOVED: Order = { name: 'nothing moves', onKeyRead: (_, read) => read.serve() }
+const NO_MOVE: Interleaving = { name: 'nothing moves', onKeyRead: (_, read) => read.serve() }
 
-/** Answers in the ordinary case, and the reads of the state service that each takes. */
-const COSTS: readonly {
+/** Answers when nothing moves during the lookup, and the reads of the state service that each needs. */
+const STATUS_READ_COSTS: readonly {
 	name: string
 	uid?: string
 	isCold?: boolean
-	prepare?: (world: MovingWorld) => void
+	prepare?: (scenario: MovingStateScenario) => void
 	answer: string
 	reads: number
 }[] = [
 	{ name: 'under its own key', answer: '200 done', reads: 2 },
-	{ name: 'on a page', prepare: (world) => world.move(), answer: '200 done', reads: 0 },
+	{ name: 'on a page', prepare: (scenario) => scenario.move(), answer: '200 done', reads: 0 },
 	{
 		name: 'in the archive, during the migration',
-		prepare: (world) => {
-			world.move()
-			world.archive()
+		prepare: (scenario) => {
+			scenario.move()
+			scenario.archive()
 		},
 		answer: '200 done',
 		reads: 0,
@@ -359,23 +379,23 @@
 	{
 		name: 'in the archive, during the migration, with no page in memory',
 		isCold: true,
-		prepare: (world) => {
-			world.move()
-			world.archive()
+		prepare: (scenario) => {
+			scenario.move()
+			scenario.archive()
 		},
 		answer: '200 done',
 		reads: 3,
 	},
 	{
 		name: 'in the archive',
-		prepare: (world) => world.completeMigration(),
+		prepare: (scenario) => scenario.completeMigration(),
 		answer: '200 done',
 		reads: 0,
 	},
 	{
 		name: 'in the archive, with no page in memory',
 		isCold: true,
-		prepare: (world) => world.completeMigration(),
+		prepare: (scenario) => scenario.completeMigration(),
 		answer: '200 done',
 		reads: 2,
 	},
@@ -390,7 +410,7 @@
 	{
 		name: 'unknown',
 		uid: UNKNOWN_JOB,
-		prepare: (world) => world.completeMigration(),
+		prepare: (scenario) => scenario.completeMigration(),
 		answer: '404',
 		reads: 1,
 	},
@@ -398,45 +418,52 @@
 		name: 'unknown, with no page in memory',
 		uid: UNKNOWN_JOB,
 		isCold: true,
-		prepare: (world) => world.completeMigration(),
+		prepare: (scenario) => scenario.completeMigration(),
 		answer: '404',
 		reads: 2,
 	},
 ]
 
-test('a status costs no more reads of the state service than before states could move during its look-up', async () => {
+test('a status needs no more reads of the state service than before lookups allowed for moving states', async () => {
 	const costs: string[] = []
-	for (const { name, uid = FINISHED, isCold = false, prepare = () => {} } of COSTS) {
-		const world = new MovingWorld({ ...ALREADY_MOVED, isCold }, { uid })
-		world.simulation.clock.after(PREPARED_AT_MS, () => prepare(world))
-		await world.play(() => {
-			const before = world.reads.length
-			world.request('GET', `${JOBS_PATH}/${uid}`, undefined, (answer) => {
-				costs.push(`${name}: ${answer}, ${world.reads.length - before} reads`)
+	for (const { name, uid = FINISHED, isCold = false, prepare = () => {} } of STATUS_READ_COSTS) {
+		const scenario = new MovingStateScenario({ ...NO_MOVE, isCold }, { uid })
+		scenario.simulation.clock.after(PREPARED_AT_MS, () => prepare(scenario))
+		await scenario.run(() => {
+			const before = scenario.reads.length
+			scenario.request('GET', `${JOBS_PATH}/${uid}`, undefined, (answer) => {
+				costs.push(`${name}: ${answer}, ${scenario.reads.length - before} reads`)
 			})
 		})
 	}
 	assert.deepEqual(
 		costs,
-		COSTS.map(({ name, answer, reads }) => `${name}: ${answer}, ${reads} reads`),
+		STATUS_READ_COSTS.map(({ name, answer, reads }) => `${name}: ${answer}, ${reads} reads`),
 	)
 })
 
-/** States of the first format on a day with the real migration, and who asks for those that are about to move. */
-const MIGRATION = { states: 150, fromS: 8, untilS: 170, questionEveryMs: 60, front: 6, submittedShare: 0.2 }
+/** Terminal states of the first format, and the rate of requests for those that the real migration is about to move. */
+const MIGRATION_LOAD = {
+	states: 150,
+	fromS: 8,
+	untilS: 170,
+	requestIntervalMs: 60,
+	nextStates: 6,
+	submittedShare: 0.2,
+}
 
-/** Plays a day of migration and archival on which users ask for the next states to move; returns the wrong answers. */
-const askAtTheFront = async (seed: number) => {
+/** Runs a day of migration and archival while users query the next states to move; returns the wrong answers. */
+const queryStatesAboutToMove = async (seed: number) => {
 	const simulation = new Simulation({
 		seed,
-		untilS: MIGRATION.untilS,
+		untilS: MIGRATION_LOAD.untilS,
 		jobs: [],
 		faults: [],
 		up: 4,
 		capacity: 0,
 	})
 	const { clock, state } = simulation
-	const uids = Array.from({ length: MIGRATION.states }, (_, index) => `job-${700_000 + index}`)
+	const uids = Array.from({ length: MIGRATION_LOAD.states }, (_, index) => `job-${700_000 + index}`)
 	const need = { team: 'core', cpus: 1, gpus: 0, ramGb: 1 }
 	for (const [index, uid] of uids.entries())
 		state.put(`${KEY_PREFIX}job/${uid}`, { part: index % 3, final: 'done', tasks: 4, need })
@@ -447,14 +474,14 @@
 	simulation.tell = (line) => void log.push(line)
 	const wrong: string[] = []
 	let answers = 0
-	const ask = () => {
-		const front = [...unmoved].slice(0, MIGRATION.front)
-		if (front.length === 0) return
-		const uid = front[Math.floor(clock.random() * front.length)]
-		const isSubmitted = clock.random() < MIGRATION.submittedShare
+	const sendNext = () => {
+		const nextStates = [...unmoved].slice(0, MIGRATION_LOAD.nextStates)
+		if (nextStates.length === 0) return
+		const uid = nextStates[Math.floor(clock.random() * nextStates.length)]
+		const isSubmitted = clock.random() < MIGRATION_LOAD.submittedShare
 		const spec = encodeSubmission(arrayJob(uid, { tasks: 4 }))
 		const controller = Math.floor(clock.random() * 3)
-		const askedAt = Math.round(clock.nowMs)
+		const sentAt = Math.round(clock.nowMs)
 		const answer = isSubmitted
 			? simulation.sendRequest(controller, 'POST', JOBS_PATH, spec)
 			: simulation.sendRequest(controller, 'GET', `${JOBS_PATH}/${uid}`, undefined)
@@ -464,26 +491,32 @@
 			if (isKnown) answers++
 			else if (reply?.status !== 503 && reply?.status !== 429)
 				wrong.push(
-					`${isSubmitted ? 'submitted' : 'asked'} at ${askedAt}: ${reply?.status} ${jobStatus ?? ''}`,
+					`${isSubmitted ? 'submitted' : 'queried'} at ${sentAt}: ${reply?.status} ${jobStatus ?? ''}`,
 				)
 		})
-		clock.after(MIGRATION.questionEveryMs, ask)
+		clock.after(MIGRATION_LOAD.requestIntervalMs, sendNext)
 	}
-	clock.after(MIGRATION.fromS * 1000, ask)
+	clock.after(MIGRATION_LOAD.fromS * 1000, sendNext)
 	await simulation.play()
-	const again = log.filter((line) => / job (accepted|terminal) /.test(line))
-	return { wrong, again, answers, left: unmoved.size, violations: simulation.invariants.violations }
+	const repeatedEvents = log.filter((line) => / job (accepted|terminal) /.test(line))
+	return {
+		wrong,
+		repeatedEvents,
+		answers,
+		unmovedCount: unmoved.size,
+		violations: simulation.invariants.violations,
+	}
 }
 
-test('no state is missed by users who ask for those that the migration is about to move', async () => {
+test('every state that the migration is about to move is found by users who query it', async () => {
 	const faults: string[] = []
 	for (const seed of [2101, 2102, 2103]) {
-		const { wrong, again, answers, left, violations } = await askAtTheFront(seed)
-		assert.equal(left, 0, `seed ${seed}: all are moved`)
+		const { wrong, repeatedEvents, answers, unmovedCount, violations } = await queryStatesAboutToMove(seed)
+		assert.equal(unmovedCount, 0, `seed ${seed}: all states have moved`)
 		assert.ok(answers > 300, `seed ${seed}: ${answers} answers`)
 		if (wrong.length > 0)
-			faults.push(`seed ${seed}: ${wrong.length} beside ${answers} right answers, ${wrong[0]}`)
-		for (const fault of [...again, ...violations]) faults.push(`seed ${seed}: ${fault}`)
+			faults.push(`seed ${seed}: ${wrong.length} wrong and ${answers} correct answers, ${wrong[0]}`)
+		for (const fault of [...repeatedEvents, ...violations]) faults.push(`seed ${seed}: ${fault}`)
 	}
 	assert.deepEqual(faults, [])
 })
--- a/tests/server-lifecycle.test.ts
+++ b/tests/server-lifecycle.test.ts
@@ -1,6 +1,6 @@
 /**
- * What controllers left behind in their process: listeners and timers that outlived a start that failed, or a stop. Each
- * keeps a process from ending by itself, or reports to nobody.
+ * Guards against listeners and timers that outlive a failed start or a stop of a controller: they keep the process from
+ * exiting, or their errors go unreported.
  */
 import assert from 'node:assert/strict'
 import * as net from 'node:net'
@@ -10,7 +10,7 @@
 import { plainSettings } from '@heathroad/testkit'
 import { Connections } from '../packages/grpc/src/connections.js'
 
-/** Listens at a free port of the loopback. */
+/** Listens on a free port of the loopback interface. */
 const occupyPort = async (): Promise<{ address: string; server: net.Server }> => {
 	const server = net.createServer()
 	await new Promise<void>((done) => server.listen(0, '127.0.0.1', done))
@@ -30,7 +30,7 @@
 	return isListening
 }
 
-test('a controller that cannot listen at its second address leaves its first one free', async () => {
+test('a controller that cannot listen on its second address releases its first one', async () => {
 	const first = await occupyPort()
 	await closed(first.server)
 	const second = await occupyPort()
@@ -42,7 +42,7 @@
 	await closed(second.server)
 })
 
-test('an error of the gRPC listener after its start is reported, and so is the next', async () => {
+test('errors of the gRPC listener after its start are reported, not only the first', async () => {
 	const errors: string[] = []
 	const connections = new Connections(
 		{ maxConnections: 1, prefaceTimeoutMs: 1000, onError: (error) => errors.push(error.message) },
@@ -56,13 +56,13 @@
 	connections.destroy()
 })
 
-test('a controller that stopped has no timers left', async () => {
+test('a stopped controller has no timers left', async () => {
 	const settings = plainSettings('a')
 	const config = { settings, ...DEFAULT_OPERATOR_SETTINGS, limits: deriveLimits(settings) }
 	const timersBefore = process.getActiveResourcesInfo().filter((name) => name === 'Timeout').length
 	const service = new Service(config, () => {})
 	service.begin()
-	// Whoever waits for a revision that never comes is told so at the stop.
+	// A pending wait for a revision that never arrives fails at the stop.
 	const outcomes: boolean[] = []
 	service.waitForRevision(1000, (isKnown) => outcomes.push(isKnown))
 	await service.stop()
--- a/tests/state-tools-moves.test.ts
+++ b/tests/state-cli-moves.test.ts
@@ -1,7 +1,7 @@
 /**
  * `heathroad state` while terminal states move. `check` and `export` read all keys in several requests, the archive
  * before the other records. A state that moves from its own key to a page, from a page to the archive or down a level
- * between two of them must not be reported as wrong, and must be in the export.
+ * between two requests must not be reported as a finding, and must be in the export.
  */
 import assert from 'node:assert/strict'
 import { mkdtempSync, rmSync } from 'node:fs'
@@ -30,13 +30,13 @@
 const IMPORT_LIMITS = { ...LIMITS, changesPerS: 1e6, maxOperations: 8, maxTransactionBytes: 48 * 1024 }
 const SHARDS = 3
 const SHARD = 0
-/** Finished jobs under keys of their own, and one on the first level of the archive. */
+/** Finished jobs under their own keys, and one on the first level of the archive. */
 const FINISHED = ['job-400001', 'job-400002', 'job-400003']
 const ARCHIVED = 'job-900001'
-/** Open jobs, of keys between those of the archive and of finished jobs: more than one request reads. */
+/** Open jobs with keys between those of the archive and of the finished jobs: more than fit in one response. */
 const OPEN_JOBS = Array.from({ length: 450 }, (_, index) => `job-${300_000 + index}`)
-/** Pages of the second level, more than one request reads; they belong to the first of two pages of the first level. */
-const ENDS = Array.from({ length: 250 }, (_, index) => ordinalOf(`job-${100_000 + index}`))
+/** Ends of second-level pages, more than fit in one response; all are below the first of two first-level pages. */
+const PAGE_ENDS = Array.from({ length: 250 }, (_, index) => ordinalOf(`job-${100_000 + index}`))
 const MIDDLE = ordinalOf('job-800000')
 const NEED = { team: 'core', cpus: 1, gpus: 0, ramGb: 1 }
 
@@ -51,22 +51,22 @@
 const archivePage = (from: string, jobs: ArchivedJob[], deeper: boolean): unknown =>
 	encodeArchivePage({ from, to: '', depth: 1, deeper, packed: packJobs(jobs), modRevision: 0 })
 
-/** A state with finished jobs under own keys and in the archive, which more than three requests read. */
+/** A state with finished jobs under their own keys and in the archive; reading it takes more than three requests. */
 const makeState = () => {
 	const state = new FakeStateStore(new VirtualClock(1))
 	state.put(archivePageKey(1, MIDDLE), archivePage('', [], true))
 	state.put(archivePageKey(1, ORDINAL_END), archivePage(MIDDLE, [archivedJob], false))
-	for (const [index, to] of [...ENDS, ORDINAL_END].entries())
-		state.put(archivePageKey(2, to), archivePage(ENDS[index - 1] ?? '', [], false))
+	for (const [index, to] of [...PAGE_ENDS, ORDINAL_END].entries())
+		state.put(archivePageKey(2, to), archivePage(PAGE_ENDS[index - 1] ?? '', [], false))
 	state.put(`${KEY_PREFIX}history`, { form: 2, turn: 1, legacy: true })
 	for (const uid of OPEN_JOBS)
 		state.put(`${KEY_PREFIX}job/${uid}`, { part: SHARD, spec: arrayJob(uid), at: 0 })
 	for (const uid of FINISHED)
 		state.put(`${KEY_PREFIX}job/${uid}`, { part: SHARD, final: 'done', tasks: 4, need: NEED })
-	return { state, others: new OtherController(state.handle.bind(state), SHARD) }
+	return { state, otherController: new OtherController(state.handle.bind(state), SHARD) }
 }
 
-/** A client that calls back before each request for keys is carried out, with its number. */
+/** A client that calls `beforeList` with the number of each request for keys before executing it. */
 const clientOf = (state: FakeStateStore, beforeList: (request: number) => void = () => {}): StoreClient => {
 	const httpClient: HttpClient = {
 		request: (_, method, path, body) =>
@@ -91,28 +91,28 @@
 	}
 }
 
-type Step = (others: OtherController) => void
+type Step = (otherController: OtherController) => void
 
 const set =
 	(key: string, data: unknown): Step =>
-	(others) => {
-		others.write({ conditions: [], mutations: [{ set: key, data }] })
+	(otherController) => {
+		otherController.write({ conditions: [], mutations: [{ set: key, data }] })
 	}
 const moveToPage =
 	(uid: string): Step =>
-	(others) =>
-		others.moveToPage(uid)
-const archivePages: Step = (others) => {
-	others.archivePages()
+	(otherController) =>
+		otherController.moveToPage(uid)
+const archivePages: Step = (otherController) => {
+	otherController.archivePages()
 }
-/** As the archiver empties a full page: it is written below before it is removed above. */
-const HAND_DOWN: readonly Step[] = [
-	set(archivePageKey(2, ORDINAL_END), archivePage(ENDS[ENDS.length - 1], [archivedJob], false)),
+/** How the archiver moves a full page down: it writes the lower level before it empties the upper one. */
+const MOVE_DOWN: readonly Step[] = [
+	set(archivePageKey(2, ORDINAL_END), archivePage(PAGE_ENDS[PAGE_ENDS.length - 1], [archivedJob], false)),
 	set(archivePageKey(1, ORDINAL_END), archivePage(MIDDLE, [], true)),
 ]
 const [FIRST, SECOND, THIRD] = FINISHED
 
-/** What moves while keys are read. */
+/** The moves that take place while keys are read. */
 const MOVES: readonly { name: string; before?: readonly Step[]; steps: readonly Step[] }[] = [
 	{ name: 'own key to page', steps: [moveToPage(FIRST), moveToPage(SECOND)] },
 	{
@@ -125,10 +125,10 @@
 		before: [moveToPage(FIRST)],
 		steps: [moveToPage(SECOND), moveToPage(THIRD), archivePages],
 	},
-	{ name: 'level to the next one, for the first time', steps: HAND_DOWN },
-	{ name: 'level to the next one, all the time in the middle', before: [HAND_DOWN[0]], steps: [] },
+	{ name: 'level to the next one, for the first time', steps: MOVE_DOWN },
+	{ name: 'level to the next one, half done throughout', before: [MOVE_DOWN[0]], steps: [] },
 ]
-/** Before which request for keys the moves begin; with a step before each request, or all steps before it. */
+/** The request for keys before which the moves start; `isSpread`: one step per request, else all steps at once. */
 const TIMINGS = [1, 2, 3, 4].flatMap((request) =>
 	[true, false].map((isSpread) => ({
 		request,
@@ -137,17 +137,17 @@
 	})),
 )
 
-/** A state whose client makes the moves at their time. */
+/** A state, and a client that makes the moves before the given requests. */
 const movingState = (
 	{ before = [], steps }: (typeof MOVES)[number],
 	{ request, isSpread }: (typeof TIMINGS)[number],
 ) => {
-	const { state, others } = makeState()
-	for (const step of before) step(others)
+	const { state, otherController } = makeState()
+	for (const step of before) step(otherController)
 	let done = 0
 	const client = clientOf(state, (number) => {
 		const due = isSpread ? number - request + 1 : steps.length
-		while (number >= request && done < Math.min(due, steps.length)) steps[done++](others)
+		while (number >= request && done < Math.min(due, steps.length)) steps[done++](otherController)
 	})
 	return { state, client }
 }
@@ -167,7 +167,7 @@
 }
 
 for (const move of MOVES)
-	test(`check finds nothing wrong while a state moves: ${move.name}`, async () => {
+	test(`check has no findings while a state moves: ${move.name}`, async () => {
 		const findings: string[] = []
 		for (const timing of TIMINGS)
 			for (const finding of await findingsOf(movingState(move, timing).client))
@@ -175,7 +175,7 @@
 		assert.deepEqual(findings, [])
 	})
 
-/** All keys with their data. */
+/** All keys and their data. */
 const contentOf = (state: FakeStateStore): Promise<Map<string, unknown>> => {
 	const content = new Map<string, unknown>()
 	const collect = walk(clientOf(state), LIMITS, (entries) => {
@@ -185,7 +185,7 @@
 }
 
 for (const move of MOVES)
-	test(`an export holds every state while one moves, and its import too: ${move.name}`, async () => {
+	test(`an export contains every state while one moves, and so does its import: ${move.name}`, async () => {
 		for (const timing of TIMINGS) {
 			const { state, client } = movingState(move, timing)
 			const path = join(directory, 'moving')
--- a/tests/statecli.test.ts
+++ b/tests/state-cli.test.ts
@@ -1,4 +1,4 @@
-/** The commands below `heathroad state`, run as processes against fake services over sockets. */
+/** The subcommands of `heathroad state`, run as processes against fake services over sockets. */
 
 import assert from 'node:assert/strict'
 import { spawn } from 'node:child_process'
@@ -18,7 +18,7 @@
 	rmSync(directory, { recursive: true })
 })
 
-/** Runs a command below `state` as operators do; what it printed, and its exit code. */
+/** Runs a subcommand of `heathroad state`; returns its output and its exit code. */
 const runState = (...args: string[]): Promise<{ code: number | null; out: string; err: string }> =>
 	new Promise((done) => {
 		const child = spawn(process.execPath, [MAIN, 'state', ...args])
@@ -49,8 +49,8 @@
 	return path
 }
 
-test('check, export, import and diff from the command line, over sockets', async (t) => {
-	if (!existsSync(MAIN)) return t.skip('there is no build')
+test('check, export, import and diff on the command line, over sockets', async (t) => {
+	if (!existsSync(MAIN)) return t.skip('main.cjs is not built')
 	const [full, empty] = [new FakeStateStore(clock), new FakeStateStore(clock)]
 	putArchive(full, 20_000, 8192, 3, 1000)
 	full.put(`${KEY_PREFIX}fleet/r0`, {
@@ -92,12 +92,12 @@
 	const importedTwice = await runState('import', snapshot, '--config', emptyConfig)
 	assert.equal(importedTwice.code, 2)
 	assert.match(importedTwice.err, /is not empty \(.*\): nothing was written/)
-	const consistentToo = await runState('check', '--config', emptyConfig)
-	assert.equal(consistentToo.code, 0, consistentToo.out)
+	const checkedImport = await runState('check', '--config', emptyConfig)
+	assert.equal(checkedImport.code, 0, checkedImport.out)
 	const exportedAgain = join(directory, 'back')
 	await runState('export', exportedAgain, '--config', emptyConfig)
-	const same = await runState('diff', exportedAgain, exportedAgain)
-	assert.deepEqual([same.code, same.out], [0, ''])
+	const unchanged = await runState('diff', exportedAgain, exportedAgain)
+	assert.deepEqual([unchanged.code, unchanged.out], [0, ''])
 	// Only the revisions in the archive's records differ.
 	const differs = await runState('diff', snapshot, exportedAgain)
 	assert.equal(differs.code, 1)
@@ -122,7 +122,7 @@
 	assert.equal(found.out, `${KEY_PREFIX}over/0: does not parse\n`)
 	full.down = true
 	const delayed = runState('export', join(directory, 'never'), '--config', fullConfig)
-	// It repeats its request for a while, and writes nothing under the file's name meanwhile.
+	// It retries its request for a while, and does not create the file meanwhile.
 	const earlyResult = await Promise.race([delayed, new Promise((done) => setTimeout(done, 1500))])
 	assert.equal(earlyResult, undefined)
 	full.recover()
--- a/tests/wire.test.ts
+++ b/tests/wire.test.ts
@@ -31,15 +31,11 @@
 			if (nullable.includes(field)) assert.deepEqual(parsed, arrayJob('job-000412'), `${field} ${variant}`)
 			else assert.equal(parsed instanceof InvalidSubmission && parsed.field, field, `${field} ${variant}`)
 		}
-	// The message that a user reads: the field by its name in the protocol, and what is expected.
+	// The message for the user: the name of the field in the protocol, and what is expected.
 	const invalid: [name: string, body: unknown, message: string][] = [
 		['not a map', [1], 'the body is not a map'],
 		['no uid', submissionBody({ uid: undefined }), 'uid: Expected string'],
-		[
-			'a uid of another form',
-			submissionBody({ uid: 'job-x' }),
-			'uid: Expected "job-" followed by 6 to 20 digits',
-		],
+		['a malformed uid', submissionBody({ uid: 'job-x' }), 'uid: Expected "job-" followed by 6 to 20 digits'],
 		['no tasks', submissionBody({ pieces: 0 }), 'pieces: Expected a whole number from 1 to 100000'],
 		[
 			'too many tasks',
@@ -55,8 +51,8 @@
 		],
 		['an unknown shape', submissionBody({ shape: 'heap' }), 'shape: Expected "sweep" | "daemon" | "gang"'],
 		['an unknown urgency', submissionBody({ urgency: 'very' }), 'urgency: Expected'],
-		['types that are no list', submissionBody({ flavours: 'g8' }), 'flavours: Expected array'],
-		['a flag that is none', submissionBody({ reclaimable: 'yes' }), 'reclaimable: Expected boolean'],
+		['types that are not a list', submissionBody({ flavours: 'g8' }), 'flavours: Expected array'],
+		['a flag that is not a boolean', submissionBody({ reclaimable: 'yes' }), 'reclaimable: Expected boolean'],
 		[
 			'a name with a space',
 			submissionBody({ owner: 'a b' }),
@@ -70,7 +66,7 @@
 	}
 })
 
-test('integers up to 2^64 are kept exactly, and only plain MessagePack is sent', () => {
+test('integers below 2^64 are exact, and only standard MessagePack types are sent', () => {
 	const large = 2n ** 64n - 1n
 	const heartbeat = parseHeartbeat(
 		decode(
@@ -103,9 +99,9 @@
 	const valid = { host: 'i-1', addr: 'x:1', flavour: 'g', site: 'a', tenure: 1, counter: 1, fence: 0 }
 	assert.ok(parseHeartbeat(valid))
 	const invalid: [name: string, body: unknown][] = [
-		['no machine', { ...valid, host: undefined }],
+		['no machine id', { ...valid, host: undefined }],
 		['a negative counter', { ...valid, counter: -1 }],
-		['tasks that are no list', { ...valid, pieces: {} }],
+		['tasks that are not a list', { ...valid, pieces: {} }],
 		['a task without an attempt', { ...valid, pieces: [{ piece: 'job-000001/1', status: 'running' }] }],
 		['a task without a number', { ...valid, pieces: [{ piece: 'job-000001', try: 1, status: 'running' }] }],
 	]
