--- a/packages/cli/src/state-tools.ts
+++ b/packages/cli/src/state-tools.ts
@@ -105,7 +105,7 @@
 	{ httpClient, client, limits }: Connection,
 	withCloud: boolean,
 ): Promise<{ findings: Finding[]; keyCount: number }> => {
-	const checker = new Checker(config.limits.controllerNames.length, await IdSet.make())
+	const checker = new Checker(config.limits.controllerNames.length, await IdSet.create())
 	await run(
 		walk(client, limits, (entries) =>
 			entries.forEach((entry) => {
@@ -118,7 +118,7 @@
 		await run(
 			walk(client, limits, (entries) =>
 				entries.forEach((entry) => {
-					checker.secondEntry(entry)
+					checker.compareEntry(entry)
 				}),
 			),
 		)
--- a/packages/inspect/src/archive-checker.ts
+++ b/packages/inspect/src/archive-checker.ts
@@ -1,4 +1,4 @@
-/** Checks the archive's pages: their ranges, levels and jobs. */
+/** Checks the pages of the archive: their ranges, levels and jobs. */
 
 import {
 	ARCHIVE_PREFIX,
@@ -14,33 +14,33 @@
 } from '@heathroad/history'
 import type { KeyValue } from '@heathroad/wire'
 import type { Report } from './finding.js'
-import { archivedOccurrence, type TerminalStates } from './terminal-states.js'
+import { archivedOccurrence, type JobOccurrences } from './job-occurrences.js'
 
-/** The level before the first page and after the last one. */
-const NO_LEVEL = 0
+/** Level number before the first archive page and after the last one. */
+const LEVEL_OUTSIDE_ARCHIVE = 0
 
 /** The level that an archive key belongs to. */
 export const levelOfKey = (key: string): number => Number(key.slice(ARCHIVE_PREFIX.length).split('/')[0])
 
 /**
- * Does the page hold the job's state? A page that is handed down for the first time says so only once its states are
- * written below: a move that stopped in between leaves them on both levels, and look-ups find them on the upper one.
+ * Returns whether the page contains the job. When a page first moves its jobs to the level below, it is marked `deeper`
+ * only once they are written there: an interrupted move leaves them on both levels, and lookups find the upper copy.
  */
-const holds = ({ packed }: ArchivePage, ordinal: string): boolean =>
+const containsJob = ({ packed }: ArchivePage, ordinal: string): boolean =>
 	findInPacked(packed, ordinal) !== undefined
 
 /** Checks pages in the order of their keys: level by level, and by range within a level. */
 export class ArchiveChecker {
-	private level = NO_LEVEL
+	private level = LEVEL_OUTSIDE_ARCHIVE
 	/** end of the range of the level's last page so far */
 	private end = ''
-	/** pages of the level above that handed nothing down */
-	private withoutDeeperAbove: ArchivePage[] = []
-	/** pages of this level that handed nothing down */
-	private withoutDeeper: ArchivePage[] = []
+	/** pages of the level above that have moved no jobs to the level below them */
+	private bottomPagesAbove: ArchivePage[] = []
+	/** pages of this level that have moved no jobs to the level below them */
+	private bottomPages: ArchivePage[] = []
 
 	constructor(
-		private readonly terminalStates: TerminalStates,
+		private readonly jobOccurrences: JobOccurrences,
 		private readonly report: Report,
 	) {}
 
@@ -69,17 +69,17 @@
 		}
 		if (page.depth > maxDepth(level))
 			this.report(key, `was split ${page.depth} times, at most ${maxDepth(level)} on its level`)
-		if (!page.deeper) this.withoutDeeper.push(page)
+		if (!page.deeper) this.bottomPages.push(page)
 		for (const job of jobs) this.checkJob(key, page, job)
 	}
 
 	/** Ends the current level, if any: no further page of it follows. */
 	closeLevel(): void {
-		if (this.level > NO_LEVEL && this.end !== ORDINAL_END)
+		if (this.level > LEVEL_OUTSIDE_ARCHIVE && this.end !== ORDINAL_END)
 			this.report(`${ARCHIVE_PREFIX}${this.level}/`, 'its last record is missing')
-		this.withoutDeeperAbove = this.withoutDeeper
-		this.withoutDeeper = []
-		this.level = NO_LEVEL
+		this.bottomPagesAbove = this.bottomPages
+		this.bottomPages = []
+		this.level = LEVEL_OUTSIDE_ARCHIVE
 	}
 
 	private checkRange(key: string, page: ArchivePage): void {
@@ -91,8 +91,8 @@
 	private checkJob(key: string, page: ArchivePage, job: ArchivedJob): void {
 		const uid = jobIdOf(job.ordinal)
 		if (!covers(page, job.ordinal)) this.report(key, `holds ${uid}, which is not of its range`)
-		if (this.withoutDeeperAbove.some((above) => covers(above, job.ordinal) && !holds(above, job.ordinal)))
+		if (this.bottomPagesAbove.some((above) => covers(above, job.ordinal) && !containsJob(above, job.ordinal)))
 			this.report(key, `holds ${uid}, which nobody looks for here: the record above handed nothing down`)
-		this.terminalStates.add(uid, archivedOccurrence(key, job))
+		this.jobOccurrences.add(uid, archivedOccurrence(key, job))
 	}
 }
--- a/packages/inspect/src/checker.ts
+++ b/packages/inspect/src/checker.ts
@@ -1,4 +1,4 @@
-/** Checks whether everything in the state service is consistent. */
+/** Checks the records in the state service for inconsistencies. */
 
 import {
 	ARCHIVE_PREFIX,
@@ -12,10 +12,10 @@
 import { ArchiveChecker, levelOfKey } from './archive-checker.js'
 import type { Finding, Report } from './finding.js'
 import type { IdSet } from './id-set.js'
+import { JobOccurrences } from './job-occurrences.js'
 import { RecordChecker } from './record-checker.js'
-import { TerminalStates } from './terminal-states.js'
 
-/** An archive page and its jobs; null: it is invalid, which the first walk reports. */
+/** Decodes an archive page and its jobs; null if it is invalid, which the first walk reports. */
 const readPage = ({
 	key,
 	data,
@@ -30,24 +30,24 @@
 }
 
 /**
- * Checks keys in their order, the archive before the rest. A temporary condition, such as a state in two places in the
- * middle of a move, is no finding; two places that disagree are. The state is in use meanwhile, so a finding that
- * depends on two keys compares what both held in one walk, and may be gone by the next.
+ * Checks all entries in key order, which puts the archive first. Temporary conditions are not findings: a job may be in
+ * two records while it is moved, but the two must agree. The state may change during a walk, so findings that depend on
+ * two keys compare what both held in the same walk, and may have disappeared by the next one.
  */
 export class Checker {
 	readonly findings: Finding[] = []
-	/** keys read in the first walk */
+	/** number of keys read in the first walk */
 	keyCount = 0
-	private readonly terminalStates: TerminalStates
+	private readonly jobOccurrences: JobOccurrences
 	private readonly archive: ArchiveChecker
 	private readonly records: RecordChecker
 	private readonly report: Report = (key, what) => void this.findings.push({ key, what })
 
-	/** @param ids an empty set, which the checker fills */
+	/** @param ids an empty set, to which the checker adds the ids of all jobs */
 	constructor(shardCount: number, ids: IdSet) {
-		this.terminalStates = new TerminalStates(ids)
-		this.archive = new ArchiveChecker(this.terminalStates, this.report)
-		this.records = new RecordChecker(shardCount, this.terminalStates, this.report)
+		this.jobOccurrences = new JobOccurrences(ids)
+		this.archive = new ArchiveChecker(this.jobOccurrences, this.report)
+		this.records = new RecordChecker(shardCount, this.jobOccurrences, this.report)
 	}
 
 	/** Checks one entry of the first walk. */
@@ -65,25 +65,25 @@
 		this.records.check(entry)
 	}
 
-	/** Ends the first walk. */
+	/** Ends the first walk and checks what depends on several records. */
 	finish(): void {
 		this.archive.closeLevel()
 		this.records.finish()
 	}
 
-	/** Is a second walk needed, since jobs occurred more than once? */
+	/** Whether a second walk is needed, because jobs occurred more than once. */
 	get needsSecondWalk(): boolean {
-		return this.terminalStates.hasDuplicates
+		return this.jobOccurrences.hasDuplicates
 	}
 
-	/** Checks one entry of the second walk: compares archive pages with other records of the same jobs. */
-	secondEntry(entry: KeyValue): void {
+	/** Checks one entry of the second walk: compares an archive page with other records of the same jobs. */
+	compareEntry(entry: KeyValue): void {
 		if (!entry.key.startsWith(ARCHIVE_PREFIX)) return
 		const content = readPage(entry)
-		if (content !== null) this.terminalStates.compareWith(entry.key, content.page, content.jobs, this.report)
+		if (content !== null) this.jobOccurrences.compareWith(entry.key, content.page, content.jobs, this.report)
 	}
 
-	/** Machines that records name, and the key of the machine group of each. */
+	/** Keys of machine groups by the id of each machine that they contain. */
 	get recordedMachines(): ReadonlyMap<string, string> {
 		return this.records.machines
 	}
--- a/packages/inspect/src/cloud-machines.ts
+++ b/packages/inspect/src/cloud-machines.ts
@@ -1,34 +1,34 @@
-/** Compares the machines that the cloud lists with those that records name. */
+/** Compares the machines that the cloud lists with those in the state service's records. */
 
 import { type HttpClient, isMap } from '@heathroad/wire'
 import { Effect } from 'effect'
 import type { Finding } from './finding.js'
 import { ServiceUnavailable } from './walk.js'
 
-/** A machine that the cloud lists. */
+/** An entry of the cloud's list of machines. */
 export interface ListedMachine {
 	id: string
 	status: string
-	/** seconds since it was requested */
+	/** seconds since the machine was requested */
 	heldS: number
 }
 
-/** How to read the cloud's list. */
+/** Parameters for reading the cloud's list of machines. */
 export interface MachineListRequest {
-	/** of the cloud's API, as HOST:PORT */
+	/** HOST:PORT of the cloud's API */
 	address: string
 	callsPerS: number
 	timeoutMs: number
 }
 
-/** Machines on one page of the list. */
+/** Maximum number of machines on one page of the list. */
 const MACHINES_PER_PAGE = 500
-/** Failed calls in a row after which reading the list fails; with the machines grows the number of its pages. */
-const MAX_FAILURES = 5
-/** A machine is young for this many times the lag of the list: its record may be missing meanwhile. */
-const YOUNG_LAGS = 4
+/** Consecutive failed calls after which reading fails; not a total, as more machines take more pages and calls. */
+const MAX_CONSECUTIVE_FAILURES = 5
+/** A machine is new for this multiple of the list's lag: until then its record may be missing. */
+const NEW_MACHINE_LAG_FACTOR = 4
 
-/** Reads the cloud's list of machines page by page, within a rate of calls. */
+/** Reads the cloud's list of machines page by page, at a limited rate of calls. */
 export const listMachines = (
 	httpClient: HttpClient,
 	{ address, callsPerS, timeoutMs }: MachineListRequest,
@@ -44,7 +44,7 @@
 				.pipe(Effect.catch(() => Effect.succeed(null)))
 			const body = reply?.status === 200 && isMap(reply.body) ? reply.body : null
 			if (body === null || !Array.isArray(body.hosts)) {
-				if (++failures >= MAX_FAILURES)
+				if (++failures >= MAX_CONSECUTIVE_FAILURES)
 					return yield* Effect.fail(new ServiceUnavailable('the cloud does not answer'))
 				continue
 			}
@@ -63,9 +63,9 @@
 	new Map(machines.map((machine) => [machine.id, machine]))
 
 /**
- * Finds machines that are charged and that no record names, and records of machines that are gone. The list lags: a
- * machine counts as unrecorded only if it is not young, and only what two lists, read some time apart, agree on is
- * reported. `recorded`: machines and the key of the record of each; `lagS`: seconds by which the list may lag.
+ * Finds machines that are charged but not recorded, and records of machines that no longer exist. As the list lags, new
+ * machines are not reported as unrecorded, and a difference is reported only if two lists, read some time apart, agree
+ * on it. `recorded`: keys of records by machine id; `lagS`: seconds by which the list may lag.
  */
 export const compareMachines = (
 	lists: readonly [readonly ListedMachine[], readonly ListedMachine[]],
@@ -76,7 +76,7 @@
 	const second = byId(lists[1])
 	const findings: Finding[] = []
 	for (const [id, { status, heldS }] of second) {
-		const isUnrecorded = first.has(id) && !recorded.has(id) && heldS > lagS * YOUNG_LAGS
+		const isUnrecorded = first.has(id) && !recorded.has(id) && heldS > lagS * NEW_MACHINE_LAG_FACTOR
 		if (status !== 'failed' && isUnrecorded)
 			findings.push({ key: id, what: `is charged since ${Math.round(heldS)} s, and no record knows it` })
 	}
--- a/packages/inspect/src/finding.ts
+++ b/packages/inspect/src/finding.ts
@@ -1,9 +1,10 @@
-/** What the inspection of the state reports. */
+/** Findings of the state check. */
 
-/** An inconsistency, as it is printed. */
+/** An inconsistency, printed as `key: what`. */
 export interface Finding {
-	/** the key of the record, or the id of a machine without one */
+	/** key of the record, or id of a machine without a record */
 	key: string
+	/** description of the inconsistency */
 	what: string
 }
 
--- a/packages/inspect/src/id-set.ts
+++ b/packages/inspect/src/id-set.ts
@@ -1,30 +1,30 @@
-/** A compact set of job ids, for checks of states with millions of jobs. */
+/** A compact set of job ids, for checking states with millions of jobs. */
 
 import { ORDINAL_WIDTH_CHARS, ordinalOf } from '@heathroad/history'
 import { RoaringBitmap32, roaringLibraryInitialize } from 'roaring-wasm'
 
-/** Lowest digits of an id that one bitmap holds: all numbers of nine digits are below 2^32. */
+/** Number of low-order digits of an id that a bitmap stores: all numbers of nine digits are below 2^32. */
 const BITMAP_DIGITS = 9
 
 /**
- * A set of job ids, exact for every width: one compressed bitmap for each width and the digits above the lowest nine.
- * Ten million ids take some tens of megabytes; as strings they would take a gigabyte.
+ * An exact set of job ids of any width: one compressed bitmap for each combination of width and digits above the lowest
+ * nine. Ten million ids take some tens of megabytes; as strings they would take a gigabyte.
  */
 export class IdSet {
 	private readonly bitmaps = new Map<string, RoaringBitmap32>()
-	/** distinct ids */
+	/** number of ids in the set */
 	size = 0
 
-	/** Makes an empty set, once the bitmap library, which is WebAssembly, is loaded. */
-	static async make(): Promise<IdSet> {
+	/** Loads the bitmap library, which is WebAssembly, and creates an empty set. */
+	static async create(): Promise<IdSet> {
 		await roaringLibraryInitialize()
 		return new IdSet()
 	}
 
-	/** Adds an id; false: the set has it already. */
+	/** Adds an id; returns false if the set already contains it. */
 	add(uid: string): boolean {
 		const ordinal = ordinalOf(uid)
-		// Ids of few digits have nothing but their width before the lowest digits.
+		// In ids of up to nine digits, only the width precedes the lowest digits.
 		const splitAt = Math.max(ORDINAL_WIDTH_CHARS, ordinal.length - BITMAP_DIGITS)
 		const added = this.bitmapFor(ordinal.slice(0, splitAt)).tryAdd(Number(ordinal.slice(splitAt)))
 		if (added) this.size++
--- a/packages/inspect/src/index.ts
+++ b/packages/inspect/src/index.ts
@@ -1,4 +1,4 @@
-/** Offline tools for operators: check, export, import and compare the service's state. */
+/** Operators' tools that check, export, import and compare the state in the state service. */
 
 export * from './checker.js'
 export * from './cloud-machines.js'
--- a/packages/inspect/src/terminal-states.ts
+++ b/packages/inspect/src/job-occurrences.ts
@@ -1,4 +1,4 @@
-/** Occurrences of jobs in several records, which a second walk compares. */
+/** Tracks jobs that occur in several records, which a second walk compares. */
 
 import {
 	type ArchivedJob,
@@ -11,12 +11,12 @@
 import type { Report } from './finding.js'
 import type { IdSet } from './id-set.js'
 
-/** A job in one record: open, or with a terminal state. */
+/** A job as it occurs in one record: open, or with a terminal state. */
 export type Occurrence =
 	| { kind: 'open'; key: string }
 	| { kind: 'terminal'; key: string; aborted: boolean; doneCount: number }
 
-/** The occurrence of an archived job in the page of this key. */
+/** Returns the occurrence of an archived job in the page with this key. */
 export const archivedOccurrence = (key: string, { aborted, doneCount }: ArchivedJob): Occurrence => ({
 	kind: 'terminal',
 	key,
@@ -25,28 +25,28 @@
 })
 
 /**
- * Ids of all jobs with a terminal state. Only the ids are held, not the states: ids that occur again are noted with
- * what was read then, and the second walk compares that with the archive.
+ * Ids of all jobs that were read, without their states. The second and further occurrences of an id are kept, and the
+ * second walk compares them with the archive.
  */
-export class TerminalStates {
-	private readonly occurrencesById = new Map<string, Occurrence[]>()
+export class JobOccurrences {
+	private readonly duplicatesById = new Map<string, Occurrence[]>()
 
 	constructor(private readonly ids: IdSet) {}
 
-	/** Are there ids that occurred more than once? */
+	/** Whether some ids occurred more than once. */
 	get hasDuplicates(): boolean {
-		return this.occurrencesById.size > 0
+		return this.duplicatesById.size > 0
 	}
 
-	/** Adds an id; notes the occurrence if the id is in the set already. */
+	/** Adds an id; keeps the occurrence if the id occurred before. */
 	add(uid: string, occurrence: Occurrence): void {
 		if (this.ids.add(uid)) return
-		this.occurrencesById.set(uid, [...(this.occurrencesById.get(uid) ?? []), occurrence])
+		this.duplicatesById.set(uid, [...(this.duplicatesById.get(uid) ?? []), occurrence])
 	}
 
-	/** Reports noted occurrences that contradict an archive page. */
+	/** Reports kept occurrences that contradict an archive page. */
 	compareWith(key: string, page: ArchivePage, jobs: readonly ArchivedJob[], report: Report): void {
-		for (const [uid, occurrences] of this.occurrencesById) {
+		for (const [uid, occurrences] of this.duplicatesById) {
 			const ordinal = ordinalOf(uid)
 			const archived = covers(page, ordinal) ? findByOrdinal(jobs, ordinal) : undefined
 			if (archived === undefined) continue
--- a/packages/inspect/src/record-checker.ts
+++ b/packages/inspect/src/record-checker.ts
@@ -1,4 +1,4 @@
-/** Checks the service's own records, outside the archive. */
+/** Checks the controllers' records outside the archive. */
 
 import {
 	decodeAcceptedBatch,
@@ -14,27 +14,28 @@
 import { KEY_PREFIX } from '@heathroad/store'
 import type { KeyValue } from '@heathroad/wire'
 import type { Report } from './finding.js'
-import type { TerminalStates } from './terminal-states.js'
+import type { JobOccurrences } from './job-occurrences.js'
 
-const MALFORMED = 'does not parse'
+const MALFORMED_RECORD = 'does not parse'
 
-/** Checks records one by one, and at the end what depends on several of them. */
+/** Checks each record, and finally what depends on several of them. */
 export class RecordChecker {
-	/** open jobs, and the last key that named each */
+	/** last key that contains each open job, by job id */
 	private readonly openJobs = new Map<string, string>()
-	/** jobs with a terminal state outside the archive */
+	/** ids of jobs with a terminal state outside the archive */
 	private readonly terminalJobs = new Set<string>()
-	/** machines, and the machine group that holds each */
+	/** key of the machine group of each machine, by machine id */
 	private readonly groupOfMachine = new Map<string, string>()
+	/** keys of progress records of open jobs */
 	private readonly progressKeys: string[] = []
 
 	constructor(
 		private readonly shardCount: number,
-		private readonly terminalStates: TerminalStates,
+		private readonly jobOccurrences: JobOccurrences,
 		private readonly report: Report,
 	) {}
 
-	/** Machines that records name, and the key of the machine group of each. */
+	/** Keys of machine groups by the id of each machine that they contain. */
 	get machines(): ReadonlyMap<string, string> {
 		return this.groupOfMachine
 	}
@@ -71,43 +72,43 @@
 		else if (name !== 'catalog' && name !== 'installation') this.report(key, 'is of no kind that is known')
 	}
 
-	/** Checks what depends on several records, once all of them were read; open jobs may be in the archive. */
+	/** Checks what depends on several records, after all of them were read; open jobs may be in the archive too. */
 	finish(): void {
 		for (const key of this.progressKeys) {
 			const uid = key.slice(`${KEY_PREFIX}done/`.length).split('/')[0]
 			if (!this.openJobs.has(uid)) this.report(key, 'is progress of a job that is over or unknown')
 		}
-		// The other records of a job on a terminal page are removed in a while: it is not reported as open.
+		// The other records of a job on a terminal page are removed later, so it does not count as open.
 		for (const [uid, key] of this.openJobs)
-			if (!this.terminalJobs.has(uid)) this.terminalStates.add(uid, { kind: 'open', key })
+			if (!this.terminalJobs.has(uid)) this.jobOccurrences.add(uid, { kind: 'open', key })
 	}
 
 	private isShard(shardId: number): boolean {
 		return shardId < this.shardCount
 	}
 
-	/** A record of one shard, whose key names the shard. */
+	/** Checks a record of one shard, whose id is part of the key. */
 	private checkShardRecord(key: string, shardId: string, wellFormed: boolean): void {
-		if (!wellFormed) this.report(key, MALFORMED)
+		if (!wellFormed) this.report(key, MALFORMED_RECORD)
 		else if (!this.isShard(Number(shardId))) this.report(key, `there are ${this.shardCount} parts`)
 	}
 
 	private checkHistoryRecord(key: string, data: unknown): void {
 		const record = decodeHistoryRecord(data)
-		if (record === null) this.report(key, MALFORMED)
+		if (record === null) this.report(key, MALFORMED_RECORD)
 		else if (record.format > RECORD_FORMAT)
 			this.report(key, `is of form ${record.format}; this program knows ${RECORD_FORMAT}`)
 	}
 
 	private checkProgress(key: string, data: unknown): void {
 		this.progressKeys.push(key)
-		if (!Array.isArray(data)) this.report(key, MALFORMED)
+		if (!Array.isArray(data)) this.report(key, MALFORMED_RECORD)
 	}
 
 	private checkMachineGroup(key: string, data: unknown): void {
 		const group = decodeMachineGroup(data)
 		if (group === null) {
-			this.report(key, MALFORMED)
+			this.report(key, MALFORMED_RECORD)
 			return
 		}
 		if (!(group.shardId >= 0 && this.isShard(group.shardId)))
@@ -123,7 +124,7 @@
 	private checkAcceptedBatch(key: string, data: unknown): void {
 		const jobs = decodeAcceptedBatch(data)
 		if (jobs === null) {
-			this.report(key, MALFORMED)
+			this.report(key, MALFORMED_RECORD)
 			return
 		}
 		for (const { spec, shardId } of jobs) {
@@ -136,7 +137,7 @@
 	private checkJobRecord(key: string, uid: string, data: unknown): void {
 		const record = decodeJobRecord(data)
 		if (record === null) {
-			this.report(key, MALFORMED)
+			this.report(key, MALFORMED_RECORD)
 			return
 		}
 		if (record.finalState === undefined) {
@@ -146,21 +147,21 @@
 		}
 		this.terminalJobs.add(uid)
 		const aborted = record.finalState === 'aborted'
-		this.terminalStates.add(uid, { kind: 'terminal', key, aborted, doneCount: terminalDoneCount(record) })
+		this.jobOccurrences.add(uid, { kind: 'terminal', key, aborted, doneCount: terminalDoneCount(record) })
 	}
 
 	private checkTerminalPage(key: string, shardId: number, data: unknown): void {
 		const page = decodeTerminalPage(data)
 		const jobs = page?.batches.flatMap((batch) => batch.jobs) ?? []
 		if (page === null || jobs.some((job) => job.finalState === undefined)) {
-			this.report(key, MALFORMED)
+			this.report(key, MALFORMED_RECORD)
 			return
 		}
 		if (page.shardId !== shardId) this.report(key, `is of part ${page.shardId}`)
 		for (const { uid, finalState, doneCount } of jobs) {
 			this.terminalJobs.add(uid)
 			const aborted = finalState === 'aborted'
-			this.terminalStates.add(uid, { kind: 'terminal', key, aborted, doneCount })
+			this.jobOccurrences.add(uid, { kind: 'terminal', key, aborted, doneCount })
 		}
 	}
 }
--- a/packages/inspect/src/snapshot-diff.ts
+++ b/packages/inspect/src/snapshot-diff.ts
@@ -7,9 +7,9 @@
 
 const keyOf = (line: string): string => line.slice('+ '.length)
 
-/** Keys in which two snapshots differ, sorted, each as a line: `+` added, `~` changed, `-` removed. */
+/** Returns a line for each key in which two snapshots differ, sorted by key: `+` added, `~` changed, `-` removed. */
 export const diffStates = async (before: Snapshot, after: Snapshot): Promise<string[]> => {
-	// Digests, since the data of both snapshots may not fit in memory.
+	// Only digests are kept, since the data of both snapshots may not fit in memory.
 	const digests = new Map<string, string>()
 	for await (const { key, data } of entriesOf(before)) digests.set(key, digestOf(data))
 	const lines: string[] = []
--- a/packages/inspect/src/snapshot-export.ts
+++ b/packages/inspect/src/snapshot-export.ts
@@ -15,7 +15,7 @@
 
 const textOf = (line: HeaderLine | KeyLine | LateLine | EndLine): string => `${JSON.stringify(line)}\n`
 
-/** Writes lines to a file and keeps their number and checksum. */
+/** Writes lines to a snapshot file, and counts and checksums them for the last line. */
 class SnapshotWriter {
 	private readonly checksum = createHash('sha256')
 	private lines = 0
@@ -37,8 +37,8 @@
 }
 
 /**
- * Writes all keys, as of one revision, to a snapshot file. It is written beside `path`, and has that name only once it
- * is complete. Returns the revision and the number of keys read.
+ * Writes all keys, as of one revision, to a snapshot file. The file is written as `path`.partial and renamed to `path`
+ * once it is complete. Returns the revision and the number of keys read.
  */
 export const exportState = (
 	client: Pick<StoreClient, 'list' | 'watch'>,
--- a/packages/inspect/src/snapshot-file.ts
+++ b/packages/inspect/src/snapshot-file.ts
@@ -5,23 +5,23 @@
 import { createInterface } from 'node:readline'
 import { InvalidSnapshot, type KeyLine, type LateLine, SNAPSHOT_VERSION } from './snapshot-format.js'
 
-/** A snapshot file that was read once and found valid. */
+/** A snapshot file that has been validated. */
 export interface Snapshot {
 	sha256: string
 	revision: number
-	/** data that replace those of the same key's line; null: the key was deleted */
+	/** data of keys that changed during the export, which replace the data in the keys' lines; null: deleted */
 	late: Map<string, unknown>
 	path: string
 }
 
 async function* linesOf(path: string): AsyncIterable<string> {
 	const input = createReadStream(path)
-	// The iteration fails with the same error; without a listener it would end the process too.
+	// The iteration fails with the same error; without a listener the error would also terminate the process.
 	input.once('error', () => {})
 	yield* createInterface({ input, crlfDelay: Number.POSITIVE_INFINITY })
 }
 
-/** Checks the lines of a file, in their order. */
+/** Validates the lines of a snapshot file, in order. */
 class SnapshotVerifier {
 	private readonly checksum = createHash('sha256')
 	private readonly late = new Map<string, unknown>()
@@ -30,9 +30,9 @@
 
 	constructor(private readonly path: string) {}
 
-	/** Takes the next line. Throws `InvalidSnapshot`. */
+	/** Checks the next line. Throws `InvalidSnapshot`. */
 	accept(text: string): void {
-		if (this.end !== null) throw this.invalid('goes on behind its end')
+		if (this.end !== null) throw this.invalid('has lines after its last line')
 		const line = this.parse(text)
 		if (this.lines === 0) this.checkHeader(line)
 		if (line.end === true) {
@@ -44,7 +44,7 @@
 		if (typeof line.late === 'string') this.late.set(line.late, line.gone === true ? null : line.data)
 	}
 
-	/** Compares the last line with what was read. Throws `InvalidSnapshot`. */
+	/** Compares the number of lines and their checksum with the last line. Throws `InvalidSnapshot`. */
 	finish(): Snapshot {
 		if (this.end === null) throw this.invalid('is cut short')
 		const sha256 = this.checksum.digest('hex')
@@ -72,7 +72,7 @@
 	}
 }
 
-/** Reads a whole file once, to validate it before anything is done with it. Rejects with `InvalidSnapshot`. */
+/** Validates a snapshot file by reading it whole, before any of it is used. Rejects with `InvalidSnapshot`. */
 export const openSnapshot = async (path: string): Promise<Snapshot> => {
 	const verifier = new SnapshotVerifier(path)
 	try {
@@ -85,7 +85,7 @@
 	return verifier.finish()
 }
 
-/** All keys of a snapshot as of its revision; those that were only added while it was made come last. */
+/** Iterates over all keys of a snapshot as of its revision; keys that were added during the export come last. */
 export async function* entriesOf(snapshot: Snapshot): AsyncIterable<{ key: string; data: unknown }> {
 	const { late } = snapshot
 	const replaced = new Set<string>()
--- a/packages/inspect/src/snapshot-format.ts
+++ b/packages/inspect/src/snapshot-format.ts
@@ -1,12 +1,12 @@
 /**
- * The form of a snapshot file: JSON lines. A header, a line for each key, lines for keys that changed while the others
- * were read, and a last line with the number of lines before it and their checksum.
+ * Format of a snapshot file: JSON lines. A header, a line for each key, lines for keys that changed during the export,
+ * and a last line with the number of lines before it and their checksum.
  */
 
-/** Version of the form. */
+/** Version of the format. */
 export const SNAPSHOT_VERSION = 1
 
-/** A snapshot that cannot be used, and why. */
+/** A snapshot cannot be read or imported; the message names the reason. */
 export class InvalidSnapshot extends Error {}
 
 /** The first line. */
@@ -15,13 +15,13 @@
 	version: number
 }
 
-/** A key as it was read. */
+/** A key and its data when it was read. */
 export interface KeyLine {
 	key: string
 	data: unknown
 }
 
-/** A key that changed while the keys were read, as of the snapshot's revision. */
+/** A key that changed during the export, with its data as of the snapshot's revision. */
 export type LateLine = { late: string; data: unknown } | { late: string; gone: true }
 
 /** The last line. */
--- a/packages/inspect/src/snapshot-import.ts
+++ b/packages/inspect/src/snapshot-import.ts
@@ -16,16 +16,16 @@
 import { InvalidSnapshot } from './snapshot-format.js'
 import { ROOT_PREFIX, ServiceUnavailable, type WalkLimits } from './walk.js'
 
-/** Holds an import's progress while it runs; outside the service's own keys, deleted at the end. */
+/** Key of the import's progress, outside the service's own keys; deleted when the import is complete. */
 const PROGRESS_KEY = 'heathroad-import'
 
-/** The first revision: older than everything that follows an import. */
+/** Revision of imported terminal states: older than any change after the import. */
 const FIRST_REVISION = 1
 
-/** Characters of a change in a transaction, beside its key and value. */
+/** Characters that a mutation takes in a transaction, in addition to its key and value. */
 const CHANGE_OVERHEAD_CHARS = 20
 
-/** Pause before the first repetition of a refused transaction; the next ones are longer by as much each. */
+/** Delay before the first retry of a rejected transaction; each further delay is longer by the same amount. */
 const RETRY_STEP_MS = 500
 
 const sleep = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms))
@@ -33,9 +33,9 @@
 const withFirstRevision = <Item extends object>(item: Item) => ({ ...item, revision: FIRST_REVISION })
 
 /**
- * A key's data as they go into another state service; undefined: the key is left out. Revisions begin anew there: what
- * became terminal before the import gets the first revision, so that it counts as older than everything that follows.
- * Left out are owners, and the installation's name, which makes cursors of the old revisions invalid.
+ * Returns the data to write for a key; undefined: the key is omitted. The other state service counts revisions anew, so
+ * jobs that became terminal before the import get the first revision, which makes them older than all later changes.
+ * Shard owners are omitted, and so is the installation's name, which invalidates cursors with the old revisions.
  */
 const importedData = (key: string, data: unknown): unknown => {
 	if (key.startsWith(ARCHIVE_PREFIX)) {
@@ -52,25 +52,27 @@
 
 /** Limits on an import's requests. */
 export interface ImportLimits extends WalkLimits {
-	/** changes a second */
+	/** mutations a second */
 	changesPerS: number
-	/** changes of one transaction */
+	/** mutations in one transaction */
 	maxOperations: number
-	/** of one transaction */
+	/** size of one transaction, in bytes */
 	maxTransactionBytes: number
 }
 
-/** What the progress key holds. */
+/** Data of the progress key. */
 interface ImportProgress {
+	/** checksum of the snapshot */
 	sha256: string
-	/** keys of the snapshot that are written */
+	/** number of the snapshot's keys that are written */
 	keys: number
 }
 
-/** Where an import begins: at the first key, or where an earlier run was stopped. */
+/** Where an import starts: at the first key, or where an earlier run stopped. */
 interface StartingPoint {
-	/** of the progress key; 0: there is none */
+	/** mod revision of the progress key; 0: there is none */
 	modRevision: number
+	/** number of keys that earlier runs wrote */
 	keys: number
 }
 
@@ -94,15 +96,15 @@
 	return { modRevision: entry.modRevision, keys: progress.keys ?? 0 }
 }
 
-/** Writes the entries of a snapshot in batches. */
+/** Writes the entries of a snapshot in batches, one transaction each. */
 class SnapshotImport {
 	private mutations: Mutation[] = []
-	/** of the pending mutations */
+	/** approximate size of the pending mutations */
 	private bytes = 0
-	/** keys of the snapshot read so far */
+	/** number of the snapshot's keys read so far */
 	private keysRead = 0
 	private progressRevision: number
-	/** keys of the snapshot that are written, by earlier runs too */
+	/** number of the snapshot's keys written so far, including those of earlier runs */
 	private keysWritten: number
 
 	constructor(
@@ -125,7 +127,7 @@
 
 	private async add(key: string, data: unknown): Promise<void> {
 		const size = data === undefined ? 0 : JSON.stringify(data).length + key.length + CHANGE_OVERHEAD_CHARS
-		// Room for this change and for the progress.
+		// Leaves room for this mutation and for that of the progress key.
 		const operations = this.mutations.length + 2
 		if (operations > this.limits.maxOperations || this.bytes + size > this.limits.maxTransactionBytes)
 			await this.flush()
@@ -152,7 +154,7 @@
 		return { key: PROGRESS_KEY, modRevision: this.progressRevision }
 	}
 
-	/** Writes within the rate and returns the revision; repeats what the state service refuses for its rate. */
+	/** Writes at a limited rate and returns the revision; retries what the state service rejects for its rate limit. */
 	private async transact(mutations: readonly Mutation[], conditions: readonly Condition[]): Promise<number> {
 		await sleep((mutations.length / this.limits.changesPerS) * 1000)
 		for (let tries = 1; ; tries++) {
@@ -164,10 +166,10 @@
 				throw new InvalidSnapshot(
 					`${result.failedKeys.join(', ')} changed meanwhile: does something else write there?`,
 				)
-			// A transaction without an answer may have been applied: the next run finds out from the progress key.
+			// A transaction without a response may have been applied: the next run learns that from the progress key.
 			if (result._tag !== 'RequestRejected' || tries >= this.limits.maxTries)
 				throw new ServiceUnavailable(
-					`stopped behind ${this.keysWritten} keys (${result._tag}); the same import goes on from there`,
+					`stopped after ${this.keysWritten} keys (${result._tag}); repeat the same import to continue from there`,
 				)
 			await sleep(RETRY_STEP_MS * tries)
 		}
@@ -175,8 +177,8 @@
 }
 
 /**
- * Writes a snapshot into an empty state service, in transactions that each record the progress: after a stop at any
- * moment, the same import continues there. Rejects with `InvalidSnapshot` if the state is not empty or another program
+ * Writes a snapshot into an empty state service. Each transaction records the progress: wherever an import stops,
+ * repeating it continues from there. Rejects with `InvalidSnapshot` if the state is not empty or another program
  * writes to it, and with `ServiceUnavailable` if the state service does not answer.
  */
 export const importState = async (
--- a/packages/inspect/src/walk.ts
+++ b/packages/inspect/src/walk.ts
@@ -7,24 +7,24 @@
 /** Prefix of all keys of the service, the archive included. */
 export const ROOT_PREFIX = 'heathroad'
 
-/** Keys that one request reads. */
+/** Maximum number of keys that one request reads. */
 const KEYS_PER_REQUEST = 200
 
-/** Pause before a failed request is repeated. */
+/** Delay before a failed request is retried. */
 const RETRY_DELAY_MS = 1000
 
-/** How fast the state service may be asked, and how often. */
+/** Limits on the requests to the state service. */
 export interface WalkLimits {
 	/** requests a second */
 	requestsPerS: number
-	/** tries of one request */
+	/** attempts of one request */
 	maxTries: number
 }
 
-/** A service refused a request or did not answer it, however often it was repeated. */
+/** A service rejected a request or did not respond, in every attempt. */
 export class ServiceUnavailable extends Error {}
 
-/** Runs a request within the rate, and repeats it when it fails. */
+/** Sends a request at the limited rate, and retries it when it fails. */
 const withRetries = <A>(
 	request: Effect.Effect<A, StoreFailure>,
 	limits: WalkLimits,
@@ -41,7 +41,7 @@
 	return attempt(limits.maxTries)
 }
 
-/** Reads every key in order and passes them on page by page; returns the revision of the first page. */
+/** Reads all keys in order and passes them to `onEntries` page by page; returns the revision of the first page. */
 export const walk = (
 	client: Pick<StoreClient, 'list'>,
 	limits: WalkLimits,
@@ -64,8 +64,8 @@
 	})
 
 /**
- * Reads what changed since a revision, to bring pages that were read one after the other to one common revision. Fails
- * if that revision is compacted: reading took too long for the rate of changes.
+ * Reads the changes since a revision, which bring pages that were read at different revisions to a common one. Fails if
+ * the revision is compacted, as reading took too long for the rate of changes.
  */
 export const changesSince = (
 	client: Pick<StoreClient, 'watch'>,
@@ -86,7 +86,7 @@
 			changes === null
 				? Effect.fail(
 						new ServiceUnavailable(
-							'the state changed more than it keeps while it was read: try at a quieter time',
+							'the state service compacted changes while the state was read: try at a quieter time',
 						),
 					)
 				: Effect.succeed(changes),
--- a/tests/golden/snapshots.ts
+++ b/tests/golden/snapshots.ts
@@ -52,7 +52,7 @@
 	const state = new FakeStateStore(new VirtualClock(1))
 	const client = clientOf(state)
 	await importState(client, await openSnapshot(fixturePath(fixture)), IMPORT)
-	const checker = new Checker(CONTROLLERS, await IdSet.make())
+	const checker = new Checker(CONTROLLERS, await IdSet.create())
 	const look = walk(client, LIMITS, (entries) => {
 		for (const entry of entries) checker.checkEntry(entry)
 	})
--- a/tests/inspect.test.ts
+++ b/tests/inspect.test.ts
@@ -109,7 +109,7 @@
 
 const findingsIn = async (keys: Record<string, unknown>): Promise<string[]> => {
 	const { client } = serveState(keys)
-	const checker = new Checker(3, await IdSet.make())
+	const checker = new Checker(3, await IdSet.create())
 	await Effect.runPromise(
 		walk(client, LIMITS, (entries) =>
 			entries.forEach((entry) => {
@@ -121,7 +121,7 @@
 	await Effect.runPromise(
 		walk(client, LIMITS, (entries) =>
 			entries.forEach((entry) => {
-				checker.secondEntry(entry)
+				checker.compareEntry(entry)
 			}),
 		),
 	)
@@ -252,7 +252,7 @@
 })
 
 test('a set tells ids of every width apart', async () => {
-	const ids = await IdSet.make()
+	const ids = await IdSet.create()
 	const all = [
 		'job-000001',
 		'job-0000001',
--- a/tests/state-tools-moves.test.ts
+++ b/tests/state-tools-moves.test.ts
@@ -153,8 +153,8 @@
 }
 
 const findingsOf = async (client: StoreClient): Promise<string[]> => {
-	const checker = new Checker(SHARDS, await IdSet.make())
-	const walkAll = (check: 'checkEntry' | 'secondEntry') =>
+	const checker = new Checker(SHARDS, await IdSet.create())
+	const walkAll = (check: 'checkEntry' | 'compareEntry') =>
 		Effect.runPromise(
 			walk(client, LIMITS, (entries) => {
 				for (const entry of entries) checker[check](entry)
@@ -162,7 +162,7 @@
 		)
 	await walkAll('checkEntry')
 	checker.finish()
-	await walkAll('secondEntry')
+	await walkAll('compareEntry')
 	return checker.findings.map(({ key, what }) => `${key}: ${what}`)
 }
 
