--- a/packages/lab/src/controller-process.ts
+++ b/packages/lab/src/controller-process.ts
@@ -1,39 +1,39 @@
-/** Controllers as processes of their own, with settings files that let them know one another. */
+/** Runs controllers as separate processes, with settings files that make them one installation. */
 import { type ChildProcess, spawn } from 'node:child_process'
 import { readFileSync, writeFileSync } from 'node:fs'
 import { type AddressInfo, createServer, type Server } from 'node:net'
 import { join } from 'node:path'
 import type { WorkerTimes } from '@heathroad/testkit'
 
-/** How the service is started on a small controller. */
+/** Node.js flags with which the service runs on a small controller. */
 const NODE_FLAGS = ['--max-old-space-size=80', '--max-semi-space-size=2', '--single-threaded-gc']
 const KB_PER_MB = 1024
 
-/** What a controller process runs. */
+/** A build of the service, and its operators' settings. */
 export interface Build {
-	/** path of the bundle */
+	/** path of the service's bundle */
 	main: string
 	/** path of the operators' settings; null: none */
 	ini: string | null
 }
 
-/** What the controllers of an experiment share. */
+/** Settings that all controllers of an experiment share. */
 export interface Deployment {
-	/** directory of settings and logs */
+	/** directory of the controllers' settings and logs */
 	dir: string
 	/** port of the fake state service */
 	state: number
 	/** port of the fake cloud */
 	cloud: number
-	/** limits of the state service a second */
+	/** limits of the state service, in requests and in writes a second */
 	limits: { rps: number; writeRps: number }
 	workers: WorkerTimes
 }
 
-/** A controller as a process. */
+/** A controller that runs as a process; it may be restarted. */
 export class ControllerProcess {
-	/** exit codes or signals of incarnations that ended by themselves */
-	readonly ends: string[] = []
+	/** exit codes or signals of incarnations that were neither drained nor killed */
+	readonly unexpectedExits: string[] = []
 	/** peak memory of all incarnations so far, in MB */
 	peakMb = 0
 	private child: ChildProcess | null = null
@@ -46,8 +46,8 @@
 		private readonly log: string,
 	) {}
 
-	/** Does the process run? */
-	get up(): boolean {
+	/** Whether the process is running. */
+	get isRunning(): boolean {
 		return this.child !== null
 	}
 
@@ -64,11 +64,11 @@
 			if (this.child !== child) return
 			this.child = null
 			writeFileSync(this.log, logChunks.join(''), { flag: 'a' })
-			this.ends.push(`${signal ?? code}`)
+			this.unexpectedExits.push(`${signal ?? code}`)
 		})
 	}
 
-	/** Its memory now in MB, 0 if it is down; also updates the peak. */
+	/** Returns the process's memory in MB, 0 if it is down, and updates the peak. */
 	sample(): number {
 		if (this.child?.pid === undefined) return 0
 		try {
@@ -80,7 +80,7 @@
 		}
 	}
 
-	/** Drains it as an operator does; calls back when it has ended. */
+	/** Drains the controller by SIGTERM, as an operator does; calls `ended` when the process has exited. */
 	drain(ended: () => void): void {
 		const { child } = this
 		if (child === null) {
@@ -93,7 +93,7 @@
 		child.kill('SIGTERM')
 	}
 
-	/** Kills it without notice. */
+	/** Kills the process without notice. */
 	kill(): void {
 		this.sample()
 		const { child } = this
@@ -102,25 +102,25 @@
 	}
 }
 
-/** A line of a process's status, in MB. */
+/** Returns the value of a line of /proc/PID/status in MB. */
 const memoryMb = (status: string, name: string): number =>
 	Number(new RegExp(`${name}:\\s+(\\d+)`).exec(status)?.[1] ?? 0) / KB_PER_MB
 
-const listenAnywhere = (): Promise<Server> =>
+const listenOnFreePort = (): Promise<Server> =>
 	new Promise((resolve) => {
 		const server = createServer()
 		server.listen(0, '127.0.0.1', () => resolve(server))
 	})
 
-/** Ports on the loopback that are free now. */
+/** Returns TCP ports that are currently free on the loopback interface. */
 export const freePorts = async (count: number): Promise<number[]> => {
-	const servers = await Promise.all(Array.from({ length: count }, listenAnywhere))
+	const servers = await Promise.all(Array.from({ length: count }, listenOnFreePort))
 	const ports = servers.map((server) => (server.address() as AddressInfo).port)
 	await Promise.all(servers.map((server) => new Promise((done) => server.close(done))))
 	return ports
 }
 
-/** Creates controllers that know one another, and writes their settings; none is started. */
+/** Creates the controllers of one installation and writes their settings, without starting them. */
 export const createControllers = async (
 	count: number,
 	build: Build,
@@ -147,7 +147,7 @@
 	})
 }
 
-/** The part of the settings that is the same for all controllers. */
+/** Returns the part of the settings that is the same for all controllers. */
 const sharedSettings = ({ state, cloud, limits, workers }: Deployment) => ({
 	services: { cloud: `127.0.0.1:${cloud}`, state: `127.0.0.1:${state}` },
 	deployment: {
--- a/packages/lab/src/experiment-run.ts
+++ b/packages/lab/src/experiment-run.ts
@@ -1,4 +1,4 @@
-/** Runs an experiment: real controller processes among fake services behind sockets. */
+/** Runs an experiment: real controller processes with fake services and machines over sockets. */
 import { mkdtempSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
@@ -8,58 +8,58 @@
 import type { Histogram } from 'hdr-histogram-js'
 import { type Build, type ControllerProcess, createControllers } from './controller-process.js'
 import type { Experiment, LabFault } from './experiment.js'
+import { putArchive } from './generated-history.js'
 import { LabFleet } from './lab-fleet.js'
 import { LabUsers } from './lab-users.js'
-import { putArchive } from './made-history.js'
-import { classOf, PluginDirectory } from './plugin-directory.js'
-import { type Kind, type RequestCounts, RequestRecorder } from './request-recorder.js'
+import { jobClassOf, PluginDirectory } from './plugin-directory.js'
+import { type RequestCounts, type RequestKind, RequestRecorder } from './request-recorder.js'
 
-export type { Kind } from './request-recorder.js'
+export type { RequestKind } from './request-recorder.js'
 
-const TIMES: WorkerTimes = { reportS: 1, leaseS: 10, cancelS: 30 }
-/** Largest size of a value of the archive, in bytes. */
+const WORKER_TIMES: WorkerTimes = { reportS: 1, leaseS: 10, cancelS: 30 }
+/** Maximum size of an archive page's value, in bytes. */
 const ARCHIVE_VALUE_BYTES = 8192
-/** Number of archived jobs that users ask about. */
+/** Number of archived jobs that users poll. */
 const ARCHIVE_SAMPLES = 5000
-/** Pause between polls without and with plug-ins, in ms. */
-const POLL_MS = { plain: 2000, plugins: 500 }
-/** Archived jobs are asked about in steps of so many. */
-const ARCHIVE_STEP = 31
+/** Interval between a user's polls in ms: `plain` without plug-ins, `plugins` with them. */
+const POLL_INTERVAL_MS = { plain: 2000, plugins: 500 }
+/** Distance, in the list of archived jobs, between two jobs that are polled in succession. */
+const ARCHIVE_POLL_STEP = 31
 
-/** One second of an experiment. */
-export interface Second extends RequestCounts {
+/** Load and memory in one second of an experiment. */
+export interface SecondSample extends RequestCounts {
 	atS: number
 	/** memory of each controller, in MB */
 	memoryMb: number[]
-	/** requests of the state service */
+	/** requests to the state service */
 	requests: number
-	/** those that it answered with 429 */
+	/** requests that it answered with 429 */
 	refused: number
 	/** sets and deletions */
 	changes: number
-	/** keys that controllers watch */
+	/** number of keys in the state service that controllers watch */
 	keys: number
 }
 
-/** What came of an experiment. */
-export interface Outcome {
+/** Result of an experiment. */
+export interface ExperimentResult {
 	build: Build
-	seconds: Second[]
-	latencies: Record<Kind, Histogram>
-	/** violations of the protocol, and wrong answers about archived jobs */
+	seconds: SecondSample[]
+	latencies: Record<RequestKind, Histogram>
+	/** violations of the protocol, and wrong states of archived jobs in responses */
 	violations: string[]
-	jobs: { accepted: number; over: number }
-	/** by class: time from a job's acceptance until its user observed that it is done, in ms */
+	jobs: { accepted: number; finished: number }
+	/** by job class: time in ms from a job's acceptance until its user observed that it was done */
 	classes: Record<string, Histogram>
-	/** how controllers ended by themselves */
-	ends: string[]
-	/** of each fault: seconds until each kind of request is answered again; null: never */
+	/** exit codes or signals of controllers that were neither drained nor killed */
+	unexpectedExits: string[]
+	/** for each fault: seconds from its start until each kind of request was answered after it; null: never */
 	recoveries: { atS: number; kind: string; after: Record<string, number | null> }[]
 }
 
-const wait = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms))
+const sleep = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms))
 
-/** One experiment under way. */
+/** A running experiment. */
 class ExperimentRun {
 	private readonly clock: RealClock
 	private readonly invariants: InvariantChecker
@@ -70,7 +70,7 @@
 	private readonly plugins: PluginDirectory | null
 	private readonly archived: ArchivedJob[]
 	private controllers: ControllerProcess[] = []
-	/** set anew when the controllers are about to start, as making a long history takes seconds */
+	/** reset just before the controllers start, as generating a long history takes seconds */
 	private begunMs = performance.now()
 
 	constructor(
@@ -80,22 +80,22 @@
 		const { seed, plugins, history } = experiment
 		this.clock = new RealClock(seed)
 		this.plugins =
-			plugins.kinds.length === 0 ? null : new PluginDirectory(this.dir, plugins.kinds, plugins.holdAtMostS)
-		this.invariants = new InvariantChecker(() => this.elapsedMs(), TIMES.cancelS * 1000, new Map())
+			plugins.kinds.length === 0 ? null : new PluginDirectory(this.dir, plugins.kinds, plugins.maxHoldS)
+		this.invariants = new InvariantChecker(() => this.elapsedMs(), WORKER_TIMES.cancelS * 1000, new Map())
 		this.recorder = new RequestRecorder(() => this.elapsedMs() / 1000)
 		this.users = new LabUsers({
 			invariants: this.invariants,
 			recorder: this.recorder,
-			someController: () =>
+			randomControllerAddress: () =>
 				this.controllers[Math.floor(this.clock.random() * this.controllers.length)].address,
 			hasEnded: () => this.elapsedMs() > experiment.forS * 1000,
-			pollMs: this.plugins === null ? POLL_MS.plain : POLL_MS.plugins,
+			pollMs: this.plugins === null ? POLL_INTERVAL_MS.plain : POLL_INTERVAL_MS.plugins,
 		})
 		this.fleet = new LabFleet({
 			clock: this.clock,
 			invariants: this.invariants,
 			recorder: this.recorder,
-			times: TIMES,
+			times: WORKER_TIMES,
 			specs: this.users.specs,
 			controllerAddresses: () => this.controllers.map((controller) => controller.address),
 		})
@@ -103,13 +103,13 @@
 		this.archived = putArchive(this.fleet.state, history, ARCHIVE_VALUE_BYTES, seed, sampleEvery)
 	}
 
-	async run(): Promise<Outcome> {
+	async run(): Promise<ExperimentResult> {
 		await this.start()
 		this.scheduleLoad()
 		for (const fault of this.experiment.faults) setTimeout(() => this.inject(fault), fault.atS * 1000)
 		const seconds = await this.sampleSeconds()
 		this.close()
-		return this.outcome(seconds)
+		return this.result(seconds)
 	}
 
 	private elapsedMs(): number {
@@ -124,7 +124,7 @@
 			dir,
 			...ports,
 			limits: experiment.state,
-			workers: TIMES,
+			workers: WORKER_TIMES,
 		})
 		this.fleet.bootMachines(experiment.machines)
 		this.begunMs = performance.now()
@@ -136,11 +136,11 @@
 		const { archived } = this
 		this.repeat(load.jobsPerS, (index) => void this.users.run(this.jobSpec(index)))
 		this.repeat(archived.length === 0 ? 0 : load.oldPollsPerS, (index) => {
-			void this.users.pollArchived(archived[(index * ARCHIVE_STEP) % archived.length])
+			void this.users.pollArchived(archived[(index * ARCHIVE_POLL_STEP) % archived.length])
 		})
 	}
 
-	/** With plug-ins every second job has to pass one, each kind by turns. */
+	/** Returns the spec of the next job; with plug-ins, every second job is checked by one, each kind in turn. */
 	private jobSpec(index: number): JobSpec {
 		const { load, plugins } = this.experiment
 		const checked = this.plugins !== null && index % 2 === 1
@@ -148,11 +148,11 @@
 			tasks: load.tasks,
 			expectedS: load.runS,
 			spot: true,
-			...(checked ? { jobClass: classOf(plugins.kinds[(index >> 1) % plugins.kinds.length]) } : {}),
+			...(checked ? { jobClass: jobClassOf(plugins.kinds[(index >> 1) % plugins.kinds.length]) } : {}),
 		})
 	}
 
-	/** Calls `action` so often a second until the experiment ends. */
+	/** Calls `action` `perS` times a second until the experiment ends. */
 	private repeat(perS: number, action: (index: number) => void): void {
 		if (perS <= 0) return
 		let index = 0
@@ -184,11 +184,11 @@
 		}
 	}
 
-	private async sampleSeconds(): Promise<Second[]> {
-		const seconds: Second[] = []
+	private async sampleSeconds(): Promise<SecondSample[]> {
+		const seconds: SecondSample[] = []
 		let before = this.fleet.stateLoad()
 		for (let atS = 1; atS <= this.experiment.forS; atS++) {
-			await wait(Math.max(0, atS * 1000 - this.elapsedMs()))
+			await sleep(Math.max(0, atS * 1000 - this.elapsedMs()))
 			const load = this.fleet.stateLoad()
 			seconds.push({
 				atS,
@@ -212,24 +212,24 @@
 		this.recorder.close()
 	}
 
-	private outcome(seconds: Second[]): Outcome {
+	private result(seconds: SecondSample[]): ExperimentResult {
 		const { invariants, users, recorder, experiment } = this
 		const unfinished = new Set(invariants.unfinished())
-		const over = [...users.specs.keys()].filter((uid) => !unfinished.has(uid)).length
+		const finished = [...users.specs.keys()].filter((uid) => !unfinished.has(uid)).length
 		const wrongAnswers = users.wrongAnswers.map((answer) => `an old job is answered wrongly: ${answer}`)
 		return {
 			build: this.build,
 			seconds,
 			latencies: recorder.latencies,
 			violations: [...invariants.violations, ...wrongAnswers],
-			jobs: { accepted: users.accepted, over },
+			jobs: { accepted: users.accepted, finished },
 			classes: users.classes,
-			ends: this.controllers.flatMap((controller) => controller.ends),
+			unexpectedExits: this.controllers.flatMap((controller) => controller.unexpectedExits),
 			recoveries: experiment.faults.map((fault) => this.recovery(fault)),
 		}
 	}
 
-	private recovery({ atS, kind, forS }: LabFault): Outcome['recoveries'][number] {
+	private recovery({ atS, kind, forS }: LabFault): ExperimentResult['recoveries'][number] {
 		const first = Object.entries(this.recorder.firstAnswersAfter(atS + forS))
 		const after = Object.fromEntries(
 			first.map(([request, answeredS]) => [request, answeredS === null ? null : answeredS - atS]),
@@ -239,5 +239,5 @@
 }
 
 /** Runs an experiment with one build of the service. */
-export const runExperiment = (experiment: Experiment, build: Build): Promise<Outcome> =>
+export const runExperiment = (experiment: Experiment, build: Build): Promise<ExperimentResult> =>
 	new ExperimentRun(experiment, build).run()
--- a/packages/lab/src/experiment.ts
+++ b/packages/lab/src/experiment.ts
@@ -1,40 +1,40 @@
-/** Experiments of the lab, as INI files describe them. */
+/** Reads experiments of the lab from INI files. */
 import { readFileSync } from 'node:fs'
 import * as ini from 'ini'
 import { PLUGIN_KINDS } from './plugin-directory.js'
 
-/** Something that happens to the lab's controllers or services. */
+/** A fault or another event that affects controllers, the state service or plug-ins. */
 export interface LabFault {
 	atS: number
 	kind: 'kill' | 'drain' | 'outage' | 'upgrade'
-	/** indexes of the controllers */
+	/** indexes of the affected controllers */
 	who: number[]
 	forS: number
 }
 
-/** An experiment. */
+/** Parameters of an experiment. */
 export interface Experiment {
 	name: string
 	seed: number
 	/** duration in seconds */
 	forS: number
 	controllers: number
-	/** machines that are up before the controllers */
+	/** number of machines that boot at the start without having been rented */
 	machines: number
-	/** terminal jobs in the archive before the controllers start */
+	/** number of jobs in the archive before the controllers start */
 	history: number
-	/** limits a second and mean latency of the state service */
+	/** limits of the state service, a second, and its mean latency */
 	state: { rps: number; writeRps: number; latencyMs: number }
 	load: { jobsPerS: number; tasks: number; runS: number; oldPollsPerS: number }
-	/** kinds of plug-ins, each for a class of jobs of its own, and how long they may hold a job */
-	plugins: { kinds: string[]; holdAtMostS: number }
+	/** kinds of plug-ins, each of which checks its own job class, and how long they may hold a job */
+	plugins: { kinds: string[]; maxHoldS: number }
 	faults: LabFault[]
 }
 
-/** The file cannot be read or is not an experiment. */
-export class BadExperiment extends Error {}
+/** An experiment's file cannot be read or is invalid; the message names the file and the key. */
+export class InvalidExperiment extends Error {}
 
-/** The keys of each section; those of `troubles` are times. */
+/** Valid keys of each section; those of the section `troubles` match `FAULT_KEY`. */
 const KNOWN_KEYS: Record<string, readonly string[]> = {
 	lab: ['name', 'seed', 'for_s', 'controllers', 'machines', 'history'],
 	state: ['rps', 'write_rps', 'latency_ms'],
@@ -45,7 +45,7 @@
 
 type Sections = Record<string, Record<string, unknown>>
 
-/** Parses one file; every error names the file, the section and the key. */
+/** Parses one experiment; every error names the file, the section and the key. */
 class ExperimentParser {
 	constructor(
 		private readonly path: string,
@@ -77,13 +77,13 @@
 				runS: this.number('load', 'run_s', 5),
 				oldPollsPerS: this.number('load', 'old_polls_per_s', 0),
 			},
-			plugins: { kinds, holdAtMostS: this.number('plugins', 'hold_at_most_s', 8) },
+			plugins: { kinds, maxHoldS: this.number('plugins', 'hold_at_most_s', 8) },
 			faults,
 		}
 	}
 
-	private error(problem: string): BadExperiment {
-		return new BadExperiment(`${this.path}: ${problem}`)
+	private error(problem: string): InvalidExperiment {
+		return new InvalidExperiment(`${this.path}: ${problem}`)
 	}
 
 	private checkKeys(): void {
@@ -135,9 +135,9 @@
 /**
  * Reads an experiment. Faults are lines of the section `troubles`:
  * - `at.30 = kill 0,1 2`: at 30 s controllers 0 and 1 are killed; they start again after 2 s
- * - `at.40 = drain 0 2`: controller 0 is drained; it starts again 2 s after its end
- * - `at.60 = outage 10`: the state service is down for 10 s
- * - `at.70 = upgrade 30`: the plug-ins have a new version every second for 30 s
+ * - `at.40 = drain 0 2`: at 40 s controller 0 is drained; it starts again 2 s after its process exits
+ * - `at.60 = outage 10`: from 60 s on the state service is down for 10 s
+ * - `at.70 = upgrade 30`: from 70 s on a new version of the plug-ins is installed every second for 30 s
  * @throws BadExperiment
  */
 export const readExperiment = (path: string): Experiment => {
@@ -145,7 +145,7 @@
 	try {
 		text = readFileSync(path, 'utf8')
 	} catch {
-		throw new BadExperiment(`${path}: cannot be read`)
+		throw new InvalidExperiment(`${path}: cannot be read`)
 	}
 	return new ExperimentParser(path, ini.parse(text) as Sections).parse()
 }
--- a/packages/lab/src/fake-servers.ts
+++ b/packages/lab/src/fake-servers.ts
@@ -1,4 +1,4 @@
-/** The fake services behind HTTP sockets on the loopback. */
+/** HTTP servers on the loopback interface for the fake services. */
 import * as http from 'node:http'
 import type { AddressInfo } from 'node:net'
 import {
@@ -10,13 +10,13 @@
 } from '@heathroad/testkit'
 import { decode, encode } from '@heathroad/wire'
 
-/** Limits of the fake state service, as the protocol has them. */
+/** Limits of the fake state service, as in the protocol. */
 export interface StateLimits {
-	/** requests a second; bursts of one second */
+	/** requests a second, with bursts of up to one second's worth */
 	rps: number
-	/** sets and deletions a second; bursts of one second */
+	/** sets and deletions a second, with bursts of up to one second's worth */
 	writeRps: number
-	/** mean latency */
+	/** mean latency in ms */
 	latencyMs: number
 }
 
@@ -25,24 +25,24 @@
 	method: string
 	path: string
 	body: unknown
-	/** the address that it was sent to */
+	/** local address to which it was sent */
 	host: string
 }
 
-/** A server that accepts requests. */
+/** A running HTTP server. */
 export interface FakeServer {
 	port: number
-	/** ends the server and its connections */
+	/** closes the server and its connections */
 	close: () => void
-	/** bytes of all response bodies so far */
+	/** returns the bytes of all response bodies so far */
 	bytes: () => number
 }
 
-/** The fake state service's latency varies around its mean by these factors. */
+/** Range of the fake state service's latency, as factors of its mean. */
 const LATENCY_FACTOR = { min: 0.5, max: 1.5 }
-/** The fake cloud accepts so many times its usual rate. */
+/** The fake cloud accepts this multiple of its nominal rate. */
 const CLOUD_RATE_FACTOR = 2
-/** Workers with one address of the third byte each. */
+/** Number of agents that share the third byte of their loopback addresses. */
 const WORKERS_PER_SUBNET = 250
 
 const bodyOf = (request: http.IncomingMessage): Promise<unknown> =>
@@ -53,8 +53,8 @@
 		request.on('error', reject)
 	})
 
-/** Answers requests over HTTP on a free port. */
-export const listenHere = async (
+/** Starts an HTTP server on a free port; `answer` handles the requests. */
+export const startFakeServer = async (
 	answer: (request: FakeRequest, reply: (response: FakeResponse) => void) => void,
 	host = '127.0.0.1',
 ): Promise<FakeServer> => {
@@ -81,47 +81,47 @@
 	return { port: (server.address() as AddressInfo).port, close, bytes: () => bytes }
 }
 
-/** Serves the fake state service within its limits; null: without limits and latency. */
+/** Serves the fake state service with these limits; null: without limits and latency. */
 export const serveState = async (state: FakeStateStore, limits: StateLimits | null) => {
 	const now = () => performance.now()
 	const requests = limits === null ? null : new TokenBucket(limits.rps, now)
 	const writes = limits === null ? null : new TokenBucket(limits.writeRps, now)
-	/** what arrived so far */
-	const seen = { requests: 0, refused: 0, changes: 0 }
-	const server = await listenHere(({ method, path, body }, reply) => {
-		seen.requests++
+	/** numbers of requests and changes so far */
+	const counts = { requests: 0, refused: 0, changes: 0 }
+	const server = await startFakeServer(({ method, path, body }, reply) => {
+		counts.requests++
 		const mutations = (body as { apply?: unknown[] } | undefined)?.apply
 		const changes = Array.isArray(mutations) ? mutations.length : 0
 		if (requests?.take(1) === false || writes?.take(changes) === false) {
-			seen.refused++
+			counts.refused++
 			return reply({ status: 429, body: { error: 'too many' } })
 		}
-		seen.changes += changes
+		counts.changes += changes
 		const serve = () => state.handle(method, path, body, reply)
 		if (limits === null) return serve()
 		const factor = LATENCY_FACTOR.min + Math.random() * (LATENCY_FACTOR.max - LATENCY_FACTOR.min)
 		setTimeout(serve, limits.latencyMs * factor)
 	})
-	return { ...server, seen }
+	return { ...server, counts }
 }
 
-/** Serves the fake cloud. */
+/** Serves the fake cloud. `perS`: its nominal rate in calls a second. */
 export const serveCloud = (cloud: FakeCloud, perS: number): Promise<FakeServer> => {
 	const calls = new TokenBucket(perS * CLOUD_RATE_FACTOR, () => performance.now())
-	return listenHere(({ method, path, body }, reply) => {
+	return startFakeServer(({ method, path, body }, reply) => {
 		if (!calls.take(1)) return reply({ status: 429, body: {} })
 		reply(cloud.handle(method, path, body))
 	})
 }
 
-/** Serves all agents on one port; each has a loopback address of its own. */
+/** Serves all agents on one port; each agent has its own loopback address. */
 export const serveWorkers = (byHost: ReadonlyMap<string, FakeWorker>): Promise<FakeServer> =>
-	listenHere(({ path, body, host }, reply) => {
+	startFakeServer(({ path, body, host }, reply) => {
 		const worker = byHost.get(host.replace(/^::ffff:/, ''))
 		if (worker === undefined || worker.dead) return
 		reply(worker.handle(path.split('?')[0], body))
 	}, '0.0.0.0')
 
-/** The loopback address of the agent with this index. */
+/** Returns the loopback address of the agent with this index. */
 export const workerHost = (index: number): string =>
 	`127.1.${Math.floor(index / WORKERS_PER_SUBNET)}.${(index % WORKERS_PER_SUBNET) + 1}`
--- a/packages/lab/src/generated-history.ts
+++ b/packages/lab/src/generated-history.ts
@@ -1,4 +1,4 @@
-/** Fills a fake state service with the records of terminal jobs. */
+/** Fills a fake state service with records of generated terminal jobs. */
 import {
 	type ArchivedJob,
 	type ArchivePage,
@@ -11,42 +11,42 @@
 import { KEY_PREFIX } from '@heathroad/store'
 import { type FakeStateStore, VirtualClock } from '@heathroad/testkit'
 
-/** Digits of job ids, and the share of jobs with so many; six digits hold a million ids, so most take more. */
+/** Fraction of jobs by the number of digits of their ids; most ids are longer than six digits, which allow a million. */
 const WIDTH_SHARES: readonly { width: number; share: number }[] = [
 	{ width: 6, share: 0.02 },
 	{ width: 9, share: 0.38 },
 	{ width: 12, share: 0.4 },
 	{ width: 20, share: 0.2 },
 ]
-/** Leading digits of an id that are spread evenly; the rest is random. Numbers of 15 digits are exact. */
+/** Leading digits of an id that are spread evenly; the others are random. Numbers of 15 digits are exact. */
 const SPREAD_DIGITS = 15
-/** Random part of the distance between two ids; below 1, so that no two are the same. */
+/** Random part of the distance between two ids; below 1, so that ids are distinct. */
 const JITTER = 0.99
-/** A page is checked for its size at every so many jobs. */
+/** A page's size is checked from `fromJobs` jobs on, at every `everyJobs`-th job. */
 const PAGE_CHECK = { fromJobs: 500, everyJobs: 50 }
-/** Pages that grew by halving are three quarters full on average. */
+/** Fraction to which pages are filled: pages that are split in halves are three quarters full on average. */
 const PAGE_FILL = 0.72
-/** Every level of the archive holds so many times as many pages as the one above it. */
+/** Ratio of the number of pages of a level to that of the level above. */
 const PAGES_PER_LEVEL = 64
-/** Depth of a page by its level: bits of the ordinal that its level divides by. */
+/** Number of times that a page's range is split per level: each level divides ordinals by this number of bits. */
 const DEPTH_PER_LEVEL = 6
 
 /**
- * Ordinals of job ids as many users make them: 6 to 20 digits, each width in its share, in order, so that ten million
+ * Generates ordinals of job ids like those of many users, with 6 to 20 digits. They come in order, so that ten million
  * need no sorting.
  */
-export function* madeIds(count: number, seed: number): Iterable<string> {
+export function* generateOrdinals(count: number, seed: number): Iterable<string> {
 	const clock = new VirtualClock(seed)
 	let remaining = count
 	for (const [index, { width, share }] of WIDTH_SHARES.entries()) {
 		const isLast = index === WIDTH_SHARES.length - 1
 		const ofWidth = isLast ? remaining : Math.min(remaining, Math.round(count * share), 10 ** width / 2)
 		remaining -= ofWidth
-		yield* idsOfWidth(clock, width, ofWidth)
+		yield* generateOrdinalsOfWidth(clock, width, ofWidth)
 	}
 }
 
-function* idsOfWidth(clock: VirtualClock, width: number, count: number): Iterable<string> {
+function* generateOrdinalsOfWidth(clock: VirtualClock, width: number, count: number): Iterable<string> {
 	const digits = Math.min(width, SPREAD_DIGITS)
 	const step = 10 ** digits / Math.max(1, count)
 	for (let index = 0; index < count; index++) {
@@ -57,8 +57,8 @@
 	}
 }
 
-/** The terminal job with this ordinal; every eleventh is cancelled. */
-const madeJob = (ordinal: string, index: number): ArchivedJob => {
+/** Generates the terminal job with this ordinal; every eleventh is cancelled. */
+const generateJob = (ordinal: string, index: number): ArchivedJob => {
 	const aborted = index % 11 === 0
 	const taskCount = 1 + ((index * 37) % 400)
 	return {
@@ -70,11 +70,16 @@
 	}
 }
 
-/** Records of terminal jobs as versions without an archive keep them: each under a key of its own, for ever. */
-export const putFirstForm = (state: FakeStateStore, count: number, shards: number, seed: number): void => {
+/** Writes terminal jobs in the first record format, which has no archive: each job under its own key, permanently. */
+export const putFirstFormatRecords = (
+	state: FakeStateStore,
+	count: number,
+	shards: number,
+	seed: number,
+): void => {
 	let index = 0
-	for (const ordinal of madeIds(count, seed)) {
-		const { aborted, taskCount, doneCount } = madeJob(ordinal, index)
+	for (const ordinal of generateOrdinals(count, seed)) {
+		const { aborted, taskCount, doneCount } = generateJob(ordinal, index)
 		state.put(`${KEY_PREFIX}job/${jobIdOf(ordinal)}`, {
 			part: index % shards,
 			final: aborted ? 'aborted' : 'done',
@@ -87,8 +92,8 @@
 }
 
 /**
- * Archive pages of terminal jobs: in the lowest level that has room for them, below pages that handed everything down.
- * `valueBytes`: largest size of a value. Returns every `sampleEvery`-th job.
+ * Writes archive pages of terminal jobs. All jobs are on the first level with enough pages; the pages of the levels above
+ * it are empty. `valueBytes`: maximum size of a value. Returns every `sampleEvery`-th job.
  */
 export const putArchive = (
 	state: FakeStateStore,
@@ -109,8 +114,8 @@
 		jobs = []
 	}
 	let index = 0
-	for (const ordinal of madeIds(count, seed)) {
-		const job = madeJob(ordinal, index)
+	for (const ordinal of generateOrdinals(count, seed)) {
+		const job = generateJob(ordinal, index)
 		if (index++ % sampleEvery === 0) samples.push(job)
 		if (isPageFull(jobs, valueBytes)) closePage(ordinal)
 		jobs.push(job)
@@ -125,7 +130,7 @@
 	jobs.length % PAGE_CHECK.everyJobs === 0 &&
 	packJobs(jobs).length > valueBytes * PAGE_FILL
 
-/** Writes the pages of the lowest level, and empty ones of the levels above. */
+/** Writes the pages with jobs to the lowest level, and empty pages to the levels above it. */
 const putPages = (state: FakeStateStore, leaves: readonly ArchivePage[]): void => {
 	let lowest = 1
 	while (leaves.length > PAGES_PER_LEVEL ** lowest) lowest++
--- a/packages/lab/src/html-report.ts
+++ b/packages/lab/src/html-report.ts
@@ -1,20 +1,20 @@
-/** An experiment's outcomes as one HTML page that needs nothing beside itself. */
+/** Formats an experiment's results as a self-contained HTML page. */
 import { readFileSync } from 'node:fs'
 import { createRequire } from 'node:module'
 import type { Histogram } from 'hdr-histogram-js'
 import type { Experiment } from './experiment.js'
-import type { Kind, Outcome } from './experiment-run.js'
+import type { ExperimentResult, RequestKind } from './experiment-run.js'
 
 const COLOURS = ['#1b6ca8', '#c0392b', '#2e8b57', '#b8860b', '#6a4c93']
-/** The percentiles of each table; the last one is the maximum. */
+/** Percentiles in each table; the last one is the maximum. */
 const PERCENTILES = [50, 90, 99, 100]
-/** So many violations are shown at the most. */
-const MAX_SHOWN = 5
+/** Maximum number of violations on the page. */
+const MAX_SHOWN_VIOLATIONS = 5
 
-/** One plot over time. */
+/** A plot over time. */
 interface Plot {
 	title: string
-	/** seconds, then one list for each series */
+	/** the times in seconds, then the values of each series */
 	data: (number | null)[][]
 	/** names of the series */
 	names: string[]
@@ -23,21 +23,21 @@
 const ENTITIES: Record<string, string> = { '&': '&amp;', '<': '&lt;', '>': '&gt;', '"': '&quot;' }
 const escaped = (text: string): string => text.replace(/[&<>"]/g, (character) => ENTITIES[character])
 
-const kindsOf = (outcome: Outcome): Kind[] => Object.keys(outcome.latencies) as Kind[]
+const kindsOf = (result: ExperimentResult): RequestKind[] => Object.keys(result.latencies) as RequestKind[]
 
-const plotsOf = (outcome: Outcome): Plot[] => {
-	const { seconds } = outcome
+const plotsOf = (result: ExperimentResult): Plot[] => {
+	const { seconds } = result
 	const atS = seconds.map((second) => second.atS)
-	const kinds = kindsOf(outcome)
+	const kinds = kindsOf(result)
 	const controllers = seconds[0].memoryMb.map((_, index) => index)
 	return [
 		{
-			title: 'answered a second',
+			title: 'answered requests a second',
 			data: [atS, ...kinds.map((kind) => seconds.map((second) => second.answered[kind]))],
 			names: kinds,
 		},
 		{
-			title: 'refused or unanswered a second',
+			title: 'failed requests a second',
 			data: [atS, ...kinds.map((kind) => seconds.map((second) => second.failed[kind]))],
 			names: kinds,
 		},
@@ -47,24 +47,24 @@
 			names: controllers.map((index) => `controller ${index}`),
 		},
 		{
-			title: 'requests and changes of the state a second',
+			title: 'requests to the state service, and changes, a second',
 			data: [
 				atS,
 				seconds.map((second) => second.requests),
 				seconds.map((second) => second.refused),
 				seconds.map((second) => second.changes),
 			],
-			names: ['requests', 'of them refused', 'changes'],
+			names: ['requests', 'rejected requests', 'changes'],
 		},
 		{
-			title: 'keys that controllers follow',
+			title: 'keys that controllers watch',
 			data: [atS, seconds.map((second) => second.keys)],
 			names: ['keys'],
 		},
 	]
 }
 
-/** A row of a table; neither its title nor its cells are escaped. */
+/** Formats a table row; neither its title nor its cells are escaped. */
 const row = (title: string, cells: readonly (string | number)[]): string =>
 	`<tr><td>${title}</td>${cells.map((cell) => `<td>${cell}</td>`).join('')}</tr>`
 
@@ -73,61 +73,61 @@
 	return row(title, [histogram.totalCount, ...percentiles])
 }
 
-const latencyRows = (outcome: Outcome): string =>
-	kindsOf(outcome)
-		.map((kind) => histogramRow(kind, outcome.latencies[kind]))
+const latencyRows = (result: ExperimentResult): string =>
+	kindsOf(result)
+		.map((kind) => histogramRow(kind, result.latencies[kind]))
 		.join('')
 
-const classRows = (outcome: Outcome): string =>
-	Object.entries(outcome.classes)
+const classRows = (result: ExperimentResult): string =>
+	Object.entries(result.classes)
 		.sort()
 		.map(([name, histogram]) => histogramRow(escaped(name), histogram))
 		.join('')
 
-const recoveryRows = (outcome: Outcome): string =>
-	outcome.recoveries
+const recoveryRows = (result: ExperimentResult): string =>
+	result.recoveries
 		.map(({ kind, atS, after }) => {
 			const seconds = Object.values(after).map((time) => (time === null ? 'never' : time.toFixed(1)))
 			return row(`${kind} at ${atS} s`, seconds)
 		})
 		.join('')
 
-const violationsText = ({ violations }: Outcome): string => {
-	if (violations.length === 0) return 'no rule broken'
-	return `${violations.length} broken: ${escaped(violations.slice(0, MAX_SHOWN).join('; '))}`
+const violationsText = ({ violations }: ExperimentResult): string => {
+	if (violations.length === 0) return 'no violations'
+	return `${violations.length} violations: ${escaped(violations.slice(0, MAX_SHOWN_VIOLATIONS).join('; '))}`
 }
 
-/** The column of one build; `index`: its place among the columns. */
-const outcomeSection = (outcome: Outcome, index: number): string => {
-	const { build, jobs, ends } = outcome
-	const plots = plotsOf(outcome)
+/** Formats the column of one build; `index`: position of the column. */
+const resultSection = (result: ExperimentResult, index: number): string => {
+	const { build, jobs, unexpectedExits } = result
+	const plots = plotsOf(result)
 		.map((plot, plotIndex) => `<h3>${plot.title}</h3><div id="p${index}-${plotIndex}"></div>`)
 		.join('')
-	const kindHeads = kindsOf(outcome)
+	const kindHeads = kindsOf(result)
 		.map((kind) => `<th>${kind}</th>`)
 		.join('')
 	return `<section><h2>${escaped(build.main)}</h2>
-<p>${jobs.accepted} jobs accepted, ${jobs.over} known to be over; ${violationsText(outcome)}; ${ends.length} controllers ended by themselves.</p>
-<table><tr><th>ms</th><th>n</th><th>p50</th><th>p90</th><th>p99</th><th>most</th></tr>${latencyRows(outcome)}</table>
-<table><tr><th>ms from acceptance until known to be over</th><th>n</th><th>p50</th><th>p90</th><th>p99</th><th>most</th></tr>${classRows(outcome)}</table>
-<table><tr><th>s until answered again</th>${kindHeads}</tr>${recoveryRows(outcome)}</table>
+<p>${jobs.accepted} jobs accepted, ${jobs.finished} observed as finished; ${violationsText(result)}; ${unexpectedExits.length} unexpected exits of controllers.</p>
+<table><tr><th>ms</th><th>n</th><th>p50</th><th>p90</th><th>p99</th><th>most</th></tr>${latencyRows(result)}</table>
+<table><tr><th>ms from acceptance until observed as done</th><th>n</th><th>p50</th><th>p90</th><th>p99</th><th>most</th></tr>${classRows(result)}</table>
+<table><tr><th>s from a fault until requests are answered</th>${kindHeads}</tr>${recoveryRows(result)}</table>
 ${plots}</section>`
 }
 
-/** The page; several builds stand side by side. */
-export const htmlReport = (experiment: Experiment, outcomes: readonly Outcome[]): string => {
+/** Returns the page, with one column for each build. */
+export const createHtmlReport = (experiment: Experiment, results: readonly ExperimentResult[]): string => {
 	const { name, controllers, machines, history, state, seed } = experiment
 	const require = createRequire(import.meta.url ?? `file://${__filename}`)
 	const scriptPath = require.resolve('uplot/dist/uPlot.iife.min.js')
 	const script = readFileSync(scriptPath, 'utf8')
 	const style = readFileSync(scriptPath.replace('uPlot.iife.min.js', 'uPlot.min.css'), 'utf8')
-	const columns = outcomes.map(outcomeSection).join('')
-	const data = JSON.stringify(outcomes.map(plotsOf)).replace(/</g, '\\u003c')
+	const columns = results.map(resultSection).join('')
+	const data = JSON.stringify(results.map(plotsOf)).replace(/</g, '\\u003c')
 	return `<!doctype html><html lang="en"><meta charset="utf-8"><title>${escaped(name)}</title>
 <style>${style}
 body{font:14px sans-serif;margin:2em}main{display:flex;gap:3em}table{border-collapse:collapse;margin:1em 0}td,th{padding:2px 10px;text-align:right;border-bottom:1px solid #ddd}td:first-child{text-align:left}</style>
 <h1>${escaped(name)}</h1>
-<p>Figures of stand-ins on one machine: ${controllers} controllers, ${machines} machines, ${history} finished jobs before, ${state.rps} requests and ${state.writeRps} changes a second, seed ${seed}.</p>
+<p>Measured with fake services on one machine: ${controllers} controllers, ${machines} machines, ${history} archived jobs at the start, ${state.rps} requests and ${state.writeRps} changes a second, seed ${seed}.</p>
 <main>${columns}</main>
 <script>${script}</script><script>
 const colours=${JSON.stringify(COLOURS)};
--- a/packages/lab/src/lab-fleet.ts
+++ b/packages/lab/src/lab-fleet.ts
@@ -1,4 +1,4 @@
-/** The lab's fake services and machines behind sockets. */
+/** The fake services and machines of an experiment, served over sockets. */
 import {
 	FakeCloud,
 	FakeStateStore,
@@ -11,34 +11,35 @@
 import type { JobSpec, MachineType } from '@heathroad/wire'
 import type { Experiment } from './experiment.js'
 import { type FakeServer, serveCloud, serveState, serveWorkers, workerHost } from './fake-servers.js'
-import { LAB_TYPES } from './machine-types.js'
+import { LAB_MACHINE_TYPES } from './machine-types.js'
 import type { RequestRecorder } from './request-recorder.js'
 
-/** Changes that the fake state service keeps for watches. */
-const MAX_LOG = 10_000
-/** Free machines of each offer. */
-const CAPACITY = 50
-/** Calls a second that the fake cloud accepts. */
+/** Number of changes that the fake state service keeps for watches. */
+const MAX_WATCH_LOG_ENTRIES = 10_000
+/** Number of machines that can be rented of each offer. */
+const CAPACITY_PER_OFFER = 50
+/** Nominal rate of the fake cloud, in calls a second. */
 const CLOUD_RPS = 4
-/** Time to fetch an image, in ms. */
+/** Time in which a machine fetches an image, in ms. */
 const FETCH_MS = 200
-/** Tasks run between these factors of their expected time, in ms a second. */
+/** Range of tasks' running time, in ms per second of the expected time. */
 const RUN_MS_PER_S = { min: 800, max: 1200 }
-/** Heartbeats are given up after that time, in ms. */
+/** Timeout of heartbeats, in ms. */
 const HEARTBEAT_TIMEOUT_MS = 4000
-/** Machines that are up before the controllers begin after that time, in ms. */
-const MACHINES_UP_MS = 500
-const NAME_PREFIX = 'ctl-'
+/** Delay after which the machines that no controller rented boot, in ms. */
+const EXISTING_MACHINES_DELAY_MS = 500
+/** Controllers are named by this prefix and their index. */
+const CONTROLLER_NAME_PREFIX = 'ctl-'
 
-/** What the fleet needs of the experiment. */
-export interface LabFleetPorts {
+/** Collaborators and parameters of the fleet. */
+export interface LabFleetDependencies {
 	clock: RealClock
 	invariants: InvariantChecker
 	recorder: RequestRecorder
 	times: WorkerTimes
 	/** specs of the submitted jobs by id */
 	specs: ReadonlyMap<string, JobSpec>
-	/** addresses of the controllers by index; known once there are any */
+	/** returns the controllers' addresses by index; empty until the controllers are created */
 	controllerAddresses: () => readonly string[]
 }
 
@@ -51,24 +52,24 @@
 	/** agents by their loopback address */
 	private readonly workers = new Map<string, FakeWorker>()
 	/** loopback addresses by machine id */
-	private readonly hosts = new Map<string, string>()
+	private readonly hostsByMachine = new Map<string, string>()
 	private stateServer: StateServer | null = null
 	private cloudServer: FakeServer | null = null
 	private workerServer: FakeServer | null = null
 
-	constructor(private readonly ports: LabFleetPorts) {
-		this.state = new FakeStateStore(ports.clock, MAX_LOG)
+	constructor(private readonly dependencies: LabFleetDependencies) {
+		this.state = new FakeStateStore(dependencies.clock, MAX_WATCH_LOG_ENTRIES)
 		const offers = ['a', 'b'].flatMap((zone) => [true, false].map((spot) => `box/${zone}/${spot}`))
 		this.cloud = new FakeCloud(
-			ports.clock,
-			LAB_TYPES,
-			new Map(offers.map((offer) => [offer, CAPACITY])),
+			dependencies.clock,
+			LAB_MACHINE_TYPES,
+			new Map(offers.map((offer) => [offer, CAPACITY_PER_OFFER])),
 			(id, type, zone, spot) => this.boot(id, type, zone, spot),
 			(id) => this.release(id),
 		)
 	}
 
-	/** Begins to serve; returns the ports of the state service and the cloud. */
+	/** Starts the servers; returns the ports of the state service and the cloud. */
 	async serve(limits: Experiment['state']): Promise<{ state: number; cloud: number }> {
 		this.stateServer = await serveState(this.state, limits)
 		this.workerServer = await serveWorkers(this.workers)
@@ -78,15 +79,15 @@
 
 	/** Boots machines that no controller rented. */
 	bootMachines(count: number): void {
-		setTimeout(() => this.cloud.alreadyUp(count, LAB_TYPES[0], 'a'), MACHINES_UP_MS)
+		setTimeout(() => this.cloud.alreadyUp(count, LAB_MACHINE_TYPES[0], 'a'), EXISTING_MACHINES_DELAY_MS)
 	}
 
-	/** What the state service was sent so far. */
-	stateLoad(): StateServer['seen'] {
-		return { ...(this.stateServer?.seen ?? { requests: 0, refused: 0, changes: 0 }) }
+	/** Returns the numbers of requests and changes that the state service received so far. */
+	stateLoad(): StateServer['counts'] {
+		return { ...(this.stateServer?.counts ?? { requests: 0, refused: 0, changes: 0 }) }
 	}
 
-	/** Ends all machines and servers. */
+	/** Stops all machines and closes the servers. */
 	close(): void {
 		for (const worker of this.workers.values()) worker.dead = true
 		this.stateServer?.close()
@@ -95,26 +96,26 @@
 	}
 
 	private boot(id: string, type: MachineType, zone: string, spot: boolean): void {
-		const host = workerHost(this.hosts.size)
-		this.hosts.set(id, host)
-		this.workers.set(host, new FakeWorker(this.workerPorts(host), id, type, zone, spot))
+		const host = workerHost(this.hostsByMachine.size)
+		this.hostsByMachine.set(id, host)
+		this.workers.set(host, new FakeWorker(this.workerDependencies(host), id, type, zone, spot))
 	}
 
 	private release(id: string): string | null {
-		const host = this.hosts.get(id)
+		const host = this.hostsByMachine.get(id)
 		const worker = host === undefined ? undefined : this.workers.get(host)
 		worker?.die()
 		return worker === undefined ? null : `box/${worker.zone}/${worker.spot}`
 	}
 
-	private workerPorts(host: string): FakeWorkerPorts {
-		const { clock, invariants, recorder, times, specs, controllerAddresses } = this.ports
+	private workerDependencies(host: string): FakeWorkerPorts {
+		const { clock, invariants, recorder, times, specs, controllerAddresses } = this.dependencies
 		return {
 			clock,
 			invariants,
 			reportMs: times.reportS * 1000,
 			leaseMs: times.leaseS * 1000,
-			controllers: controllerAddresses().map((_, index) => `${NAME_PREFIX}${index}`),
+			controllers: controllerAddresses().map((_, index) => `${CONTROLLER_NAME_PREFIX}${index}`),
 			task: (task) => {
 				const spec = specs.get(task.split('/')[0])
 				if (spec === undefined) return null
@@ -122,7 +123,7 @@
 				return { runMs, fetchMs: FETCH_MS, cpus: spec.cpus, fails: false }
 			},
 			send: (_machine, controller, path, body, reply) => {
-				const to = controllerAddresses()[Number(controller.slice(NAME_PREFIX.length))]
+				const to = controllerAddresses()[Number(controller.slice(CONTROLLER_NAME_PREFIX.length))]
 				const heartbeat = { ...(body as object), addr: `${host}:${this.workerServer?.port}` }
 				const request = { to, method: 'POST', path, body: heartbeat, timeoutMs: HEARTBEAT_TIMEOUT_MS }
 				void recorder
--- a/packages/lab/src/lab-users.ts
+++ b/packages/lab/src/lab-users.ts
@@ -1,30 +1,30 @@
-/** The lab's users: they submit jobs and poll them until they are done, and ask about archived jobs. */
+/** Users of the lab, who submit jobs and poll them until they are done, and poll archived jobs. */
 import { type ArchivedJob, jobIdOf } from '@heathroad/history'
 import type { InvariantChecker } from '@heathroad/testkit'
 import { encodeSubmission, type HttpResponse, isMap, type JobSpec } from '@heathroad/wire'
 import type { Histogram } from 'hdr-histogram-js'
 import { latencyHistogram, type RequestRecorder } from './request-recorder.js'
 
-/** Timeouts of requests, and pauses between them, in ms. */
+/** Timeouts of requests, and the delay before a submission is retried, in ms. */
 const SUBMIT_TIMEOUT_MS = 5000
 const POLL_TIMEOUT_MS = 2000
-const RETRY_MS = 1000
-/** Largest time until a job is done that can be recorded, in ms. */
-const MAX_DONE_MS = 600_000
+const RETRY_DELAY_MS = 1000
+/** Longest time until a job is done that can be recorded, in ms. */
+const MAX_COMPLETION_MS = 600_000
 
-/** What users need of the experiment. */
-export interface LabUsersPorts {
+/** Collaborators and parameters of the users. */
+export interface LabUsersDependencies {
 	invariants: InvariantChecker
 	recorder: RequestRecorder
-	/** the address of a random controller */
-	someController(): string
-	/** has the experiment ended? */
+	/** returns the address of a random controller */
+	randomControllerAddress(): string
+	/** returns whether the experiment has ended */
 	hasEnded(): boolean
-	/** pause between polls, in ms */
+	/** interval between polls, in ms */
 	pollMs: number
 }
 
-const wait = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms))
+const sleep = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms))
 
 const isAccepted = (response: HttpResponse | null): boolean =>
 	response?.status === 200 || response?.status === 201
@@ -33,33 +33,33 @@
 export class LabUsers {
 	/** specs of the submitted jobs by id */
 	readonly specs = new Map<string, JobSpec>()
-	/** by class: time from a job's acceptance until its user observed that it is done, in ms */
+	/** by job class: time in ms from a job's acceptance until its user observed that it was done */
 	readonly classes: Record<string, Histogram> = {}
-	/** archived jobs about which a controller answered wrongly */
+	/** descriptions of responses with a wrong state of an archived job */
 	readonly wrongAnswers: string[] = []
 	/** number of accepted jobs */
 	accepted = 0
 
-	constructor(private readonly ports: LabUsersPorts) {}
+	constructor(private readonly dependencies: LabUsersDependencies) {}
 
-	/** One user: submits a job and polls it until it is done. */
+	/** Acts as one user: submits a job and polls it until it is done. */
 	async run(spec: JobSpec): Promise<void> {
 		this.specs.set(spec.uid, spec)
-		this.ports.invariants.jobSubmitted(spec)
+		this.dependencies.invariants.jobSubmitted(spec)
 		if (!(await this.submit(spec))) return
 		this.accepted++
 		const acceptedMs = performance.now()
 		if (!(await this.pollUntilDone(spec))) return
-		this.classes[spec.jobClass] ??= latencyHistogram(MAX_DONE_MS)
+		this.classes[spec.jobClass] ??= latencyHistogram(MAX_COMPLETION_MS)
 		this.classes[spec.jobClass].recordValue(Math.round(performance.now() - acceptedMs))
 	}
 
-	/** Asks about an archived job and checks the answer. */
+	/** Polls an archived job and checks the response. */
 	async pollArchived(job: ArchivedJob): Promise<void> {
 		const uid = jobIdOf(job.ordinal)
-		const response = await this.ports.recorder.send({
+		const response = await this.dependencies.recorder.send({
 			kind: 'old poll',
-			to: this.ports.someController(),
+			to: this.dependencies.randomControllerAddress(),
 			method: 'GET',
 			path: `/v2/runs/${uid}`,
 			body: undefined,
@@ -71,15 +71,15 @@
 			this.wrongAnswers.push(`${uid}: ${response.status} ${status}`)
 	}
 
-	/** Submits until the job is accepted; false: the experiment ended before. */
+	/** Submits the job until it is accepted; returns false if the experiment ends first. */
 	private async submit(spec: JobSpec): Promise<boolean> {
-		const { invariants, recorder } = this.ports
+		const { invariants, recorder } = this.dependencies
 		for (;;) {
-			if (this.ports.hasEnded()) return false
+			if (this.dependencies.hasEnded()) return false
 			const knownState = invariants.observedState(spec.uid)
 			const response = await recorder.send({
 				kind: 'submit',
-				to: this.ports.someController(),
+				to: this.dependencies.randomControllerAddress(),
 				method: 'POST',
 				path: '/v2/runs',
 				body: encodeSubmission(spec),
@@ -87,21 +87,21 @@
 			})
 			this.observe(spec.uid, response, knownState)
 			if (isAccepted(response)) return true
-			await wait(RETRY_MS)
+			await sleep(RETRY_DELAY_MS)
 		}
 	}
 
-	/** Polls until the job is done; false: the experiment ended before. */
+	/** Polls the job until it is done; returns false if the experiment ends first. */
 	private async pollUntilDone(spec: JobSpec): Promise<boolean> {
-		const { invariants, recorder, pollMs } = this.ports
+		const { invariants, recorder, pollMs } = this.dependencies
 		for (;;) {
-			await wait(pollMs)
-			if (this.ports.hasEnded()) return false
+			await sleep(pollMs)
+			if (this.dependencies.hasEnded()) return false
 			const knownState = invariants.observedState(spec.uid)
 			if (knownState === 'done') return true
 			const response = await recorder.send({
 				kind: 'poll',
-				to: this.ports.someController(),
+				to: this.dependencies.randomControllerAddress(),
 				method: 'GET',
 				path: `/v2/runs/${spec.uid}`,
 				body: undefined,
@@ -114,6 +114,6 @@
 	private observe(uid: string, response: HttpResponse | null, knownState: string | null): void {
 		if (response === null) return
 		const state = isMap(response.body) ? ((response.body.status as string) ?? null) : null
-		this.ports.invariants.observeStatus(uid, response.status, state, knownState)
+		this.dependencies.invariants.observeStatus(uid, response.status, state, knownState)
 	}
 }
--- a/packages/lab/src/plugin-directory.ts
+++ b/packages/lab/src/plugin-directory.ts
@@ -1,9 +1,9 @@
-/** Directories of plug-ins for the lab, with versions that replace one another. */
+/** The lab's directory of plug-ins, whose versions are replaced during an experiment. */
 import { mkdirSync, renameSync, rmSync, writeFileSync } from 'node:fs'
 import { join } from 'node:path'
 import { digestOf } from '@heathroad/plugins'
 
-/** Sources of the plug-ins by kind: what each does with the jobs of its class. */
+/** Source code of the plug-ins by kind, given a version; each kind behaves well or fails in its own way. */
 const SOURCES: Record<string, (version: number) => string> = {
 	good: (version) => `export const release = () => ({ release: true }) // ${version}`,
 	holds: (version) =>
@@ -20,23 +20,23 @@
 		`export const release = (job) => { if (job.uid.endsWith('7')) for (;;); return { release: true } } // ${version}`,
 }
 
-/** All kinds of plug-ins. */
+/** Names of all kinds of plug-ins. */
 export const PLUGIN_KINDS = Object.keys(SOURCES)
 
-/** The class of jobs that the plug-in of a kind checks. */
-export const classOf = (kind: string): string => `checked-${kind}`
+/** Returns the job class that the plug-in of a kind checks. */
+export const jobClassOf = (kind: string): string => `checked-${kind}`
 
-/** A directory of plug-ins that are upgraded while controllers read it. */
+/** A directory of plug-ins that are upgraded while controllers use it. */
 export class PluginDirectory {
 	private version = 0
-	/** path of the operators' settings that name the directory */
+	/** path of the operators' settings that configure the plug-ins */
 	readonly ini: string
 	private readonly dir: string
 
 	constructor(
 		private readonly base: string,
 		private readonly kinds: readonly string[],
-		holdAtMostS: number,
+		maxHoldS: number,
 	) {
 		this.dir = join(base, 'plugins')
 		mkdirSync(this.dir)
@@ -44,13 +44,13 @@
 		this.ini = join(base, 'lab.ini')
 		const sections = kinds.map(
 			(kind) =>
-				`[plugin.${kind}]\nhold_at_most_s = ${holdAtMostS}\nwhen_unsure = hold-until-limit\ncall_ms = 100`,
+				`[plugin.${kind}]\nhold_at_most_s = ${maxHoldS}\nwhen_unsure = hold-until-limit\ncall_ms = 100`,
 		)
 		const text = `[plugins]\ndir = ${this.dir}\nlook_s = 0.5\n[history]\n[daemon]\nbalancer_s = 2\n${sections.join('\n')}\n`
 		writeFileSync(this.ini, text)
 	}
 
-	/** Puts the next version of each plug-in in place by a rename, as an operator does. */
+	/** Installs the next version of each plug-in by a rename, as an operator does. */
 	upgrade(): void {
 		this.version++
 		for (const kind of this.kinds) {
@@ -65,7 +65,7 @@
 				main: 'index.js',
 				digest: digestOf(Buffer.from(source)),
 				hooks: ['release'],
-				classes: [classOf(kind)],
+				classes: [jobClassOf(kind)],
 			}
 			writeFileSync(join(staging, 'plugin.json'), JSON.stringify(manifest))
 			const target = join(this.dir, kind)
--- a/packages/lab/src/request-recorder.ts
+++ b/packages/lab/src/request-recorder.ts
@@ -1,23 +1,23 @@
-/** Sends the lab's requests over HTTP and records their latencies and outcomes. */
+/** Sends the lab's requests over HTTP, records latencies and counts failures. */
 import { createHttpClient, type HttpResponse } from '@heathroad/wire'
 import { Effect } from 'effect'
 import { build, type Histogram } from 'hdr-histogram-js'
 
-/** Kinds of requests that are recorded apart; `old poll`: about archived jobs, `report`: heartbeats. */
-export const KINDS = ['submit', 'poll', 'old poll', 'report'] as const
-export type Kind = (typeof KINDS)[number]
+/** Kinds of requests, which are recorded separately; `old poll`: polls of archived jobs, `report`: heartbeats. */
+export const REQUEST_KINDS = ['submit', 'poll', 'old poll', 'report'] as const
+export type RequestKind = (typeof REQUEST_KINDS)[number]
 
-/** Requests of one second by kind. */
+/** Number of requests in one second by kind. */
 export interface RequestCounts {
-	/** answered, and not rejected */
-	answered: Record<Kind, number>
-	/** rejected or unanswered */
-	failed: Record<Kind, number>
+	/** answered with a status other than 429 and 5xx */
+	answered: Record<RequestKind, number>
+	/** answered with 429 or 5xx, or without a response */
+	failed: Record<RequestKind, number>
 }
 
 /** One request to a controller. */
 export interface LabRequest {
-	kind: Kind
+	kind: RequestKind
 	/** address of the controller */
 	to: string
 	method: string
@@ -26,14 +26,14 @@
 	timeoutMs: number
 }
 
-/** Connections of the HTTP client to each controller. */
+/** Maximum number of connections to each controller. */
 const CONNECTIONS = 64
 
-/** A histogram of latencies in ms up to a largest value. */
+/** Creates a histogram of latencies up to `maxMs`. */
 export const latencyHistogram = (maxMs: number): Histogram =>
 	build({ highestTrackableValue: maxMs, numberOfSignificantValueDigits: 3 })
 
-const byKind = <Value>(create: () => Value): Record<Kind, Value> => ({
+const byKind = <Value>(create: () => Value): Record<RequestKind, Value> => ({
 	submit: create(),
 	poll: create(),
 	'old poll': create(),
@@ -42,18 +42,18 @@
 
 const noCounts = (): RequestCounts => ({ answered: byKind(() => 0), failed: byKind(() => 0) })
 
-/** Records all requests of an experiment. */
+/** Sends and records all requests of an experiment. */
 export class RequestRecorder {
-	readonly latencies: Record<Kind, Histogram> = byKind(() => latencyHistogram(60_000))
+	readonly latencies: Record<RequestKind, Histogram> = byKind(() => latencyHistogram(60_000))
 	private counts = noCounts()
 	/** when requests were answered, in order */
-	private readonly answers: { atS: number; kind: Kind }[] = []
+	private readonly answers: { atS: number; kind: RequestKind }[] = []
 	private readonly client = createHttpClient(CONNECTIONS)
 
-	/** `nowS`: seconds since the experiment began. */
+	/** `nowS`: returns the seconds since the experiment started. */
 	constructor(private readonly nowS: () => number) {}
 
-	/** Sends a request; null: there was no response. */
+	/** Sends a request and returns the response; null: there was none. */
 	async send({ kind, to, method, path, body, timeoutMs }: LabRequest): Promise<HttpResponse | null> {
 		const sentMs = performance.now()
 		const result = await Effect.runPromise(
@@ -77,10 +77,10 @@
 		return counts
 	}
 
-	/** When each kind was first answered after a time, in seconds; null: never. */
+	/** Returns when each kind of request was first answered after `atS`, in seconds; null: never. */
 	firstAnswersAfter(atS: number): Record<string, number | null> {
 		return Object.fromEntries(
-			KINDS.map((kind) => [
+			REQUEST_KINDS.map((kind) => [
 				kind,
 				this.answers.find((answer) => answer.kind === kind && answer.atS > atS)?.atS ?? null,
 			]),
--- a/tests/lab.test.ts
+++ b/tests/lab.test.ts
@@ -4,7 +4,7 @@
 import { join } from 'node:path'
 import { after, test } from 'node:test'
 import { ArchiveReader, jobIdOf } from '@heathroad/history'
-import { BadExperiment, madeIds, measureStart, putArchive, readExperiment } from '@heathroad/lab'
+import { generateOrdinals, InvalidExperiment, measureStart, putArchive, readExperiment } from '@heathroad/lab'
 import { createStoreClient, RequestPacer } from '@heathroad/store'
 import { FakeStateStore, VirtualClock } from '@heathroad/testkit'
 import { type HttpClient, type HttpResponse, JOB_ID_PATTERN } from '@heathroad/wire'
@@ -35,13 +35,13 @@
 	] as const)
 		assert.throws(
 			() => read(text),
-			(x: Error) => x instanceof BadExperiment && said.test(x.message),
+			(x: Error) => x instanceof InvalidExperiment && said.test(x.message),
 			text,
 		)
 })
 
 test('a made history: distinct ids of every width in order, all of which the archive answers', async () => {
-	const ids = [...madeIds(30_000, 5)]
+	const ids = [...generateOrdinals(30_000, 5)]
 	assert.equal(ids.length, 30_000)
 	for (let i = 1; i < ids.length; i++) assert.ok(ids[i - 1] < ids[i], `${ids[i - 1]}, ${ids[i]}`)
 	assert.ok(ids.every((at) => JOB_ID_PATTERN.test(jobIdOf(at))))
@@ -76,7 +76,8 @@
 	const archived = await measureStart(build, 2, 30_000, false)
 	// Held in memory they are more than the heap takes.
 	const old = await measureStart(build, 1, 250_000, false)
-	for (const f of [none, archived, old]) assert.ok(f.readyS !== null && f.ends === 0, JSON.stringify(f))
+	for (const f of [none, archived, old])
+		assert.ok(f.readyS !== null && f.unexpectedExits === 0, JSON.stringify(f))
 	assert.ok(
 		archived.requests <= none.requests + 1 && archived.bytes <= none.bytes * 1.1 + 100,
 		JSON.stringify(archived),
--- a/tests/statecli.test.ts
+++ b/tests/statecli.test.ts
@@ -6,7 +6,7 @@
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
 import { after, test } from 'node:test'
-import { listenHere, putArchive, serveState } from '@heathroad/lab'
+import { putArchive, serveState, startFakeServer } from '@heathroad/lab'
 import { KEY_PREFIX } from '@heathroad/store'
 import { FakeStateStore, plainSettings, RealClock } from '@heathroad/testkit'
 
@@ -63,7 +63,7 @@
 	})
 	const stateServers = [await serveState(full, null), await serveState(empty, null)]
 	const listed = ['i-1', 'i-7'].map((uid) => ({ uid, status: 'running', heldS: 900 }))
-	const cloud = await listenHere((_, reply) =>
+	const cloud = await startFakeServer((_, reply) =>
 		reply({ status: 200, body: { hosts: listed, truncated: false } }),
 	)
 	t.after(() => {
