--- a/scripts/measure-plugins.mjs
+++ b/scripts/measure-plugins.mjs
@@ -117,7 +117,7 @@
 	const host = await startHost(permissions)
 	const job = { uid: 'job-000001', jobClass: 'any', team: 'core', tasks: 4 }
 	const context = { waitedS: 1, leftS: 59, asked: 0, waiting: 1 }
-	const call = () => new Promise((done) => host.ask('check-1', job, context, done))
+	const call = () => new Promise((done) => host.requestVerdict('check-1', job, context, done))
 	for (let index = 0; index < WARM_UP_CALLS; index++) await call()
 	const times = build({ highestTrackableValue: MAX_CALL_US, numberOfSignificantValueDigits: 3 })
 	const cpuBefore = process.cpuUsage()
