--- a/packages/testkit/src/controller-http-client.ts
+++ b/packages/testkit/src/controller-http-client.ts
@@ -99,8 +99,8 @@
 
 const sendToState = (dependencies: ControllerHttpClientDependencies, request: OutgoingRequest): void => {
 	const { controller, method, path, body, reply } = request
-	const { clock, faults, state, network, stateReadsLost: watchless, lateWatchers } = dependencies
-	if (method === 'GET' && watchless.has(controller)) return
+	const { clock, faults, state, network, stateReadsLost, lateWatchers } = dependencies
+	if (method === 'GET' && stateReadsLost.has(controller)) return
 	if (path === '/txn' && faults.happens('delayedTransactions')) {
 		const execute = () => state.handle(method, path, body, () => {}, controller)
 		clock.after(clock.between(LATE_WRITE_MS.min, LATE_WRITE_MS.max), execute, null)
--- a/packages/testkit/src/double-outage.ts
+++ b/packages/testkit/src/double-outage.ts
@@ -85,12 +85,12 @@
 
 /**
  * Most cancellations arrive shortly before the outage, while the state service rejects only some controllers, so that
- * others can confirm them; some arrive long before or after.
+ * others can confirm them; the others arrive during or after it.
  */
 const outageJob = (outage: DoubleOutage, index: number, random: () => number): DayJob => {
-	const { rejectionLeadS: beforeS, outageS } = outage
+	const { rejectionLeadS, outageS } = outage
 	const atS = 1 + index * JOB_INTERVAL_S
-	const nearOutageS = OUTAGE_S - beforeS - 1 + random() * (beforeS + 1)
+	const nearOutageS = OUTAGE_S - rejectionLeadS - 1 + random() * (rejectionLeadS + 1)
 	const cancelled = random() < 0.8
 	const near = random() < 0.8
 	const cancelAtS = Math.max(atS + 1, near ? nearOutageS : OUTAGE_S + random() * (outageS + 20))
@@ -107,9 +107,9 @@
 	const { random, pick } = seededDraws(seed + 2_000_000)
 	const controllers = pick([3, 3, 5])
 	const indexes = Array.from({ length: controllers }, (_, index) => index)
-	const refused = indexes.filter(() => random() < 0.35)
-	const beforeS = pick([1, 2, 4, 8, 15, 30]) * (0.7 + random() * 0.6)
-	const more = Array.from({ length: Math.floor(random() * 4) }, (): Fault => {
+	const rejected = indexes.filter(() => random() < 0.35)
+	const rejectionLeadS = pick([1, 2, 4, 8, 15, 30]) * (0.7 + random() * 0.6)
+	const furtherFaults = Array.from({ length: Math.floor(random() * 4) }, (): Fault => {
 		const kind = pick([
 			'crash',
 			'cut',
@@ -120,7 +120,7 @@
 			'machinesCut',
 		] as const)
 		return {
-			atS: -beforeS + random() * (beforeS + 12),
+			atS: -rejectionLeadS + random() * (rejectionLeadS + 12),
 			kind,
 			who: [pick(indexes)],
 			from: pick(['peers', 'peers', 'state', 'workers'] as const),
@@ -129,12 +129,12 @@
 	})
 	return doubleOutageDay(seed, {
 		controllers,
-		rejectedControllers: refused.length > 0 ? refused : [pick(indexes)],
-		rejectionLeadS: beforeS,
+		rejectedControllers: rejected.length > 0 ? rejected : [pick(indexes)],
+		rejectionLeadS,
 		rejectionIntervalS: random() * 5,
 		rejectionOverlapS: random() * 30,
 		outageS: pick([10, 25, 47.2, 70]),
-		furtherFaults: more,
+		furtherFaults,
 		archivesJobs: random() < 0.5,
 		workerTimes: pick([
 			{ reportS: 2.5, leaseS: 15.25, cancelS: 35.25 },
--- a/packages/testkit/src/fake-worker.ts
+++ b/packages/testkit/src/fake-worker.ts
@@ -247,10 +247,10 @@
 
 	/** Sends the next heartbeat to this controller, or to the one after the current target if null or unknown. */
 	private retryAt(controller: string | null): void {
-		const { clock, controllers, heartbeatIntervalMs: reportMs } = this.dependencies
+		const { clock, controllers, heartbeatIntervalMs } = this.dependencies
 		const index = controller === null ? -1 : controllers.indexOf(controller)
 		this.target = index >= 0 ? index : (this.target + 1) % controllers.length
-		this.lastSentMs = clock.nowMs + RETRY_MS - reportMs
+		this.lastSentMs = clock.nowMs + RETRY_MS - heartbeatIntervalMs
 	}
 
 	private execute(command: WireMessage): void {
--- a/packages/testkit/src/history-growth.ts
+++ b/packages/testkit/src/history-growth.ts
@@ -55,17 +55,17 @@
 }
 
 /** Jobs of one or two short tasks; ids are unordered and of several widths, and every twentieth job is cancelled. */
-const historyJobs = (jobs: number, perS: number): SimulatedDay['jobs'] =>
+const historyJobs = (jobs: number, jobsPerS: number): SimulatedDay['jobs'] =>
 	Array.from({ length: jobs }, (_, index) => {
 		const number = ((index + 1) * 7_919_317) % 1_000_003
 		return {
-			atS: 1 + index / perS,
+			atS: 1 + index / jobsPerS,
 			spec: arrayJob(`job-${String(number).padStart(6 + (index % 8), '0')}`, {
 				tasks: 1 + (index % 2),
 				cpus: 0.5,
 				expectedS: 4,
 			}),
-			...(index % 20 === 7 ? { cancelAtS: 3 + index / perS } : {}),
+			...(index % 20 === 7 ? { cancelAtS: 3 + index / jobsPerS } : {}),
 		}
 	})
 
@@ -82,14 +82,14 @@
 
 /** Runs a history of jobs with a fault every ten minutes. */
 export const measureHistoryGrowth = async (options: HistoryGrowthOptions): Promise<HistoryGrowth> => {
-	const { jobs, jobsPerS: perS, samples: sampleCount, seed } = options
-	const untilS = jobs / perS + RECOVERY_S
+	const { jobs, jobsPerS, samples: sampleCount, seed } = options
+	const untilS = jobs / jobsPerS + RECOVERY_S
 	const simulation = new Simulation({
 		seed,
 		untilS,
 		capacity: 6,
 		history: { archiveBatchSize: 100, writeRateShare: 0.3, pageCacheMb: 1 },
-		jobs: historyJobs(jobs, perS),
+		jobs: historyJobs(jobs, jobsPerS),
 		faults: historyFaults(untilS),
 	})
 	const changes = countChanges(simulation)
--- a/tests/double-outage.test.ts
+++ b/tests/double-outage.test.ts
@@ -12,7 +12,7 @@
 import { WatchCache } from '@heathroad/store'
 import { arrayJob, type DoubleOutage, doubleOutageDay, plainSettings, Simulation } from '@heathroad/testkit'
 
-const five = { controllers: 5, report: { reportS: 4, leaseS: 26, cancelS: 46 } }
+const five = { controllers: 5, workerTimes: { reportS: 4, leaseS: 26, cancelS: 46 } }
 const still = { atS: -0.6, kind: 'freeze', who: [0], forS: 50 } as const
 
 const cases: { name: string; outage: Partial<DoubleOutage>; seed: number }[] = [
@@ -90,7 +90,12 @@
 		[30, 0, 500],
 		[10.5, 1800, 4000],
 	]) {
-		const outage = { refused: [], outageS: 0, report: { reportS: 1, leaseS: 10, cancelS }, archives: false }
+		const outage = {
+			rejectedControllers: [],
+			outageS: 0,
+			workerTimes: { reportS: 1, leaseS: 10, cancelS },
+			archivesJobs: false,
+		}
 		const simulation = new Simulation(doubleOutageDay(8, outage))
 		const durable = new Map<string, number>()
 		simulation.state.onDurable = (key, data) => {
--- a/tests/plugins.test.ts
+++ b/tests/plugins.test.ts
@@ -258,7 +258,7 @@
 })
 
 test('a slot that ended has no timer of its opened circuit left', async () => {
-	const timers: { gone: boolean; atMs: number }[] = []
+	const timers: { cancelled: boolean; atMs: number }[] = []
 	await runScenario(({ clock, slot, offer, ask, loggedEvents }) => {
 		offer({ version: '1', behave: (call) => call.fail('Error: no') })
 		clock.after(100, () => {
@@ -267,14 +267,14 @@
 		const { setTimeout: setVirtualTimeout } = globalThis
 		globalThis.setTimeout = ((...args: Parameters<typeof setTimeout>) => {
 			const timer = setVirtualTimeout(...args)
-			timers.push(timer as unknown as { gone: boolean; atMs: number })
+			timers.push(timer as unknown as { cancelled: boolean; atMs: number })
 			return timer
 		}) as typeof setTimeout
 		clock.after(600, () => {
 			assert.ok(loggedEvents.includes('plug-in circuit opened'))
 			slot.end()
 			assert.deepEqual(
-				timers.filter(({ gone, atMs }) => !gone && atMs > clock.nowMs),
+				timers.filter(({ cancelled, atMs }) => !cancelled && atMs > clock.nowMs),
 				[],
 			)
 		})
