--- a/packages/lab/src/lab-fleet.ts
+++ b/packages/lab/src/lab-fleet.ts
@@ -3,7 +3,7 @@
 	FakeCloud,
 	FakeStateStore,
 	FakeWorker,
-	type FakeWorkerPorts,
+	type FakeWorkerDependencies,
 	type InvariantChecker,
 	type RealClock,
 	type WorkerTimes,
@@ -79,7 +79,10 @@
 
 	/** Boots machines that no controller rented. */
 	bootMachines(count: number): void {
-		setTimeout(() => this.cloud.alreadyUp(count, LAB_MACHINE_TYPES[0], 'a'), EXISTING_MACHINES_DELAY_MS)
+		setTimeout(
+			() => this.cloud.bootInitialMachines(count, LAB_MACHINE_TYPES[0], 'a'),
+			EXISTING_MACHINES_DELAY_MS,
+		)
 	}
 
 	/** Returns the numbers of requests and changes that the state service received so far. */
@@ -89,7 +92,7 @@
 
 	/** Stops all machines and closes the servers. */
 	close(): void {
-		for (const worker of this.workers.values()) worker.dead = true
+		for (const worker of this.workers.values()) worker.stopped = true
 		this.stateServer?.close()
 		this.cloudServer?.close()
 		this.workerServer?.close()
@@ -104,16 +107,16 @@
 	private release(id: string): string | null {
 		const host = this.hostsByMachine.get(id)
 		const worker = host === undefined ? undefined : this.workers.get(host)
-		worker?.die()
+		worker?.stop()
 		return worker === undefined ? null : `box/${worker.zone}/${worker.spot}`
 	}
 
-	private workerDependencies(host: string): FakeWorkerPorts {
+	private workerDependencies(host: string): FakeWorkerDependencies {
 		const { clock, invariants, recorder, times, specs, controllerAddresses } = this.dependencies
 		return {
 			clock,
 			invariants,
-			reportMs: times.reportS * 1000,
+			heartbeatIntervalMs: times.reportS * 1000,
 			leaseMs: times.leaseS * 1000,
 			controllers: controllerAddresses().map((_, index) => `${CONTROLLER_NAME_PREFIX}${index}`),
 			task: (task) => {
