--- a/tests/golden/snapshots.ts
+++ b/tests/golden/snapshots.ts
@@ -52,7 +52,7 @@
 	const state = new FakeStateStore(new VirtualClock(1))
 	const client = clientOf(state)
 	await importState(client, await openSnapshot(fixturePath(fixture)), IMPORT_LIMITS)
-	const checker = new Checker(SHARDS, await IdSet.make())
+	const checker = new Checker(SHARDS, await IdSet.create())
 	const checkAll = walk(client, LIMITS, (entries) => {
 		for (const entry of entries) checker.checkEntry(entry)
 	})
