--- a/tests/mixed-versions.test.ts
+++ b/tests/mixed-versions.test.ts
@@ -18,10 +18,10 @@
 import { GrpcServers } from '../packages/testkit/src/grpc-servers.js'
 import { Deadline } from './deadline.js'
 import { takeEvents } from './fake-event-controller.js'
+import { ReaderOfBefore, ServerOfBefore } from './previous-versions.js'
 import { ScriptedGrpcServer, type ScriptedStream, type Serve } from './scripted-grpc-server.js'
 import { INSTALLATION, Records, SteppedController, Stream } from './stepped-controller.js'
-import { LOST, NAMED, OPEN, ORDERS, playOrder } from './stream-orders.js'
-import { ReaderOfBefore, ServerOfBefore } from './versions-of-before.js'
+import { LOST, NAMED, OPEN, ORDERS, playOrder } from './stream-interleavings.js'
 
 const delay = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms))
 const TEAM = { team: 'core' }
--- a/tests/stream-resumption.test.ts
+++ b/tests/stream-resumption.test.ts
@@ -26,7 +26,7 @@
 	type Order,
 	OTHER,
 	playOrder,
-} from './stream-orders.js'
+} from './stream-interleavings.js'
 
 const TEAM = { team: 'core' }
 
