--- a/tests/fake-event-controller.ts
+++ b/tests/fake-event-controller.ts
@@ -1,4 +1,4 @@
-/** Controllers whose records become visible step by step, for tests of event streams without the service. */
+/** Fake controllers whose records become visible step by step, for tests of event streams without the service. */
 import assert from 'node:assert/strict'
 import { type TerminalState, TerminalStateLog } from '@heathroad/cluster'
 import {
@@ -10,7 +10,7 @@
 	type Subscription,
 } from '@heathroad/events'
 
-/** The durable record changes of an installation, in their order. */
+/** The durable record changes of an installationId, in order. */
 export class RecordLog {
 	revision = 0
 	readonly entries: {
@@ -27,7 +27,7 @@
 	}
 }
 
-/** A controller whose records are visible up to a revision of its own. */
+/** A controller that sees the records up to its own revision. */
 export class FakeController implements JobRecords {
 	private visibleRevision = 0
 	private nextEntry = 0
@@ -40,14 +40,14 @@
 
 	constructor(
 		private readonly records: RecordLog,
-		retained = 1000,
-		installation = 'here',
+		retainedStates = 1000,
+		installationId = 'here',
 	) {
-		this.terminalStates = new TerminalStateLog(retained, (uid) => this.terminal.get(uid))
-		this.hub = new EventHub(this, installation, 500, () => this.now)
+		this.terminalStates = new TerminalStateLog(retainedStates, (uid) => this.terminal.get(uid))
+		this.hub = new EventHub(this, installationId, 500, () => this.now)
 	}
 
-	/** Reads the changes up to a revision. */
+	/** Applies the changes up to a revision. */
 	read(revision = this.records.revision): void {
 		for (
 			;
@@ -61,13 +61,13 @@
 		this.hub.revisionAdvanced()
 	}
 
-	/** Applies a write of its own that was confirmed; the watch, which reports it later, changes nothing any more. */
+	/** Applies its own confirmed write; a later `read` skips it, as the watch reports it without effect. */
 	applyOwnWrite(change: RecordLog['entries'][number]): void {
 		this.ownWrites.add(change)
 		this.apply(change)
 	}
 
-	/** Applies one change; one of its own writes is visible before the watch delivers earlier changes. */
+	/** Applies one change, for an own write possibly before earlier changes are read. */
 	apply(change: RecordLog['entries'][number]): void {
 		if (change.final === undefined) {
 			const running = this.jobs.get(change.uid)?.runningCount ?? 0
@@ -94,8 +94,8 @@
 		this.hub.jobChanged(change.uid)
 	}
 
-	/** A record beside the job's state changed, such as progress that is deleted after the end. */
-	touch(uid: string): void {
+	/** Reports a change of a record other than the job's state, such as progress that is deleted after the job finished. */
+	changeOtherRecord(uid: string): void {
 		this.hub.jobChanged(uid)
 	}
 
@@ -131,14 +131,15 @@
 	}
 }
 
-/** Takes the events that are available, at most so many. */
-export const takeEvents = (subscription: Subscription, atMost = Number.POSITIVE_INFINITY): JobEvent[] => {
+/** Returns the available events, up to `maxEvents`. */
+export const takeEvents = (subscription: Subscription, maxEvents = Number.POSITIVE_INFINITY): JobEvent[] => {
 	const events: JobEvent[] = []
-	while (events.length < atMost) {
+	while (events.length < maxEvents) {
 		const event = subscription.next()
 		if (event === null) break
 		events.push(event)
 	}
 	return events
 }
-export const summaries = (events: readonly JobEvent[]) => events.map((e) => `${e.uid} ${e.state} ${e.done}`)
+export const summaries = (events: readonly JobEvent[]) =>
+	events.map((jobEvent) => `${jobEvent.uid} ${jobEvent.state} ${jobEvent.done}`)
--- a/tests/full-read-overlaps.test.ts
+++ b/tests/full-read-overlaps.test.ts
@@ -36,21 +36,21 @@
 		records.setFormat(false)
 		if (isKnownBefore) {
 			records.accept(LOST)
-			records.endOnPage(LOST)
+			records.finishOnPage(LOST)
 			records.removeAcceptance(LOST)
 		}
 		await controller.read()
 		if (!isKnownBefore) {
 			records.accept(LOST)
-			records.endOnPage(LOST)
+			records.finishOnPage(LOST)
 			records.removeAcceptance(LOST)
 		}
 		// The watch has to begin anew, with a full read of two pages.
-		records.makeChanges(200)
+		records.makeUnrelatedChanges(200)
 		let firstPage: (() => void) | null = null
 		let archivePage: (() => void) | null = null
 		const paths: string[] = []
-		controller.delayAnswer = (path) => {
+		controller.delayResponse = (path) => {
 			paths.push(path)
 			if (
 				path.startsWith('/store') &&
@@ -91,22 +91,22 @@
 	records.fillFirstPage()
 	records.write(...Array.from({ length: 1000 }, (_, index) => ({ set: `intakf/${index}`, data: 0 })))
 	await controller.read()
-	records.makeChanges(3)
+	records.makeUnrelatedChanges(3)
 	// A is answered late: its last page is served, its answer is under way.
 	let deliverA = () => {}
 	let pages = 0
-	controller.delayAnswer = (path) =>
+	controller.delayResponse = (path) =>
 		isFullRead(path) && ++pages === 3 ? new Promise((done) => (deliverA = done)) : null
-	const first = controller.readAll()
+	const first = controller.readAllKeys()
 	await settle()
 	assert.equal(pages, 3)
 	records.accept(LOST)
-	records.endUnderOwnKey(LOST)
+	records.finishUnderOwnKey(LOST)
 	let deliverB = () => {}
 	pages = 0
-	controller.delayAnswer = (path) =>
+	controller.delayResponse = (path) =>
 		isFullRead(path) && ++pages === 3 ? new Promise((done) => (deliverB = done)) : null
-	const second = controller.readAll()
+	const second = controller.readAllKeys()
 	await settle()
 	assert.equal(pages, 3, 'B has met the batch, and its last page is under way')
 	deliverA()
@@ -127,11 +127,11 @@
 	assert.ok(stream instanceof Stream)
 	const cursor = stream.take().subscription.cursor()
 	records.accept(LOST)
-	records.endOnPage(LOST)
+	records.finishOnPage(LOST)
 	records.removeAcceptance(LOST)
-	records.makeChanges(200)
+	records.makeUnrelatedChanges(200)
 	let deliver: (() => void) | null = null
-	controller.delayAnswer = (path) =>
+	controller.delayResponse = (path) =>
 		isFullRead(path) && deliver === null ? new Promise((done) => (deliver = done)) : null
 	const fullRead = controller.read()
 	await settle()
@@ -167,7 +167,7 @@
 test('a write of its own that is confirmed late does not bring back a key that was deleted since', async () => {
 	const records = new Records()
 	const controller = new SteppedController(records)
-	const revision = records.endUnderOwnKey(LOST)
+	const revision = records.finishUnderOwnKey(LOST)
 	await controller.read()
 	records.write({ delete: jobKey(LOST) })
 	await controller.read()
@@ -185,10 +185,10 @@
 	const records = new Records()
 	const controller = new SteppedController(records, 1)
 	records.setFormat(true)
-	const revision = records.endUnderOwnKey(LOST)
+	const revision = records.finishUnderOwnKey(LOST)
 	for (const uid of ['job-000701', 'job-000702']) {
 		records.accept(uid)
-		records.endOnPage(uid)
+		records.finishOnPage(uid)
 	}
 	await controller.read()
 	await controller.read()
@@ -197,7 +197,8 @@
 		if (isKeyRead(path, LOST)) records.moveToPage(LOST, revision)
 	}
 	let deliver: (() => void) | null = null
-	controller.delayAnswer = (path) => (isKeyRead(path, NEVER) ? new Promise((done) => (deliver = done)) : null)
+	controller.delayResponse = (path) =>
+		isKeyRead(path, NEVER) ? new Promise((done) => (deliver = done)) : null
 	const opening = controller.open({ uids: [LOST, NEVER] })
 	await settle()
 	await controller.read()
@@ -209,7 +210,7 @@
 	await controller.read()
 	for (const uid of ['job-000703', 'job-000704']) {
 		records.accept(uid)
-		records.endOnPage(uid)
+		records.finishOnPage(uid)
 	}
 	await controller.read()
 	;(deliver as () => void)()
--- a/tests/job-watcher.test.ts
+++ b/tests/job-watcher.test.ts
@@ -7,7 +7,7 @@
 import { JobWatcher } from '../packages/client/src/job-watcher.js'
 import type { RetryingCaller } from '../packages/client/src/retrying-caller.js'
 import type { JobEvent, StreamEnd, Transport } from '../packages/client/src/transport.js'
-import { poolOf } from './fake-transport-pool.js'
+import { fakeTransportPool } from './fake-transport-pool.js'
 
 const REJECTED: StreamEnd = { kind: 'restart', text: 'what follows it is not kept any more' }
 /** The connection broke, as it does when a controller crashes. */
@@ -47,7 +47,7 @@
 	return {
 		cursors,
 		watchIds,
-		watcher: new JobWatcher(poolOf([transport]), {} as RetryingCaller, 1000, () => 0.5),
+		watcher: new JobWatcher(fakeTransportPool([transport]), {} as RetryingCaller, 1000, () => 0.5),
 	}
 }
 
@@ -123,7 +123,7 @@
 				return selected.length <= eventsPerStream ? { kind: 'complete' } : LOST
 			},
 		}
-		const watcher = new JobWatcher(poolOf([transport]), {} as RetryingCaller, 1000, () => 0)
+		const watcher = new JobWatcher(fakeTransportPool([transport]), {} as RetryingCaller, 1000, () => 0)
 		const told: string[] = []
 		const cursors = new Set<string>()
 		for await (const { uid, cursor } of watcher.watch({ uids }, {})) {
--- a/tests/previous-versions.ts
+++ b/tests/previous-versions.ts
@@ -1,63 +1,63 @@
 /**
- * Stand-ins for the client and the servers of before (575715b), as far as streams by ids go. Then a cursor was taken for the
- * proof that every terminal state before it was told, by both sides.
+ * Fakes of the previous version's client and servers (575715b) for streams by ids. In that version both sides took a cursor
+ * as proof that every terminal state before it had been delivered.
  */
 import { type ClientReadableStream, Metadata, type ServiceError, status } from '@grpc/grpc-js'
 import { CursorCodec, type StreamPosition } from '@heathroad/events'
 import type { EventMessage, JobsClient, WatchMessage } from '@heathroad/proto'
 import type { ScriptedStream } from './scripted-grpc-server.js'
-import { INSTALLATION } from './stepped-controller.js'
+import { INSTALLATION_ID } from './stepped-controller.js'
 
-/** After the last id. */
-const LAST = '~'
+/** Sorts after every job id. */
+const AFTER_ALL_IDS = '~'
 
-/** How a reader ends a stream by itself. */
+/** When a reader cancels its stream. */
 export interface ReadOptions {
-	/** after how many events the reader cuts the stream, asked anew after each event; 0: as soon as the stream began */
-	cutAfter?: () => number
-	/** cancels the stream when it is aborted */
+	/** number of events after which the reader cancels the stream, evaluated after each event; 0: once the headers arrive */
+	cancelAfter?: () => number
+	/** cancels the stream when aborted */
 	signal?: AbortSignal
 }
 
 const isTerminal = (state: string): boolean => state === 'STATE_DONE' || state === 'STATE_CANCELLED'
 
 /**
- * A reader of before: its next stream resumes at the cursor of the latest event, or of the headers before the first one; it
- * drops terminal events that it had; and it is over when a server says so.
+ * A reader of the previous version. Each stream resumes at the cursor of the latest event, or of the headers if there was no
+ * event yet. Repeated terminal events are dropped, and the watch ends when a server completes a stream.
  */
-export class ReaderOfBefore {
-	/** jobs of the terminal events that were passed on, in their order */
-	readonly told: string[] = []
-	/** jobs of the terminal events that were dropped, since they had been passed on */
-	readonly dropped: string[] = []
+export class PreviousVersionReader {
+	/** jobs of the terminal events that were passed on, in order */
+	readonly delivered: string[] = []
+	/** jobs of the terminal events that were dropped because they had been passed on before */
+	readonly duplicates: string[] = []
 	private readonly terminalJobs = new Set<string>()
 	private cursor = ''
 
 	constructor(private readonly uids: readonly string[]) {}
 
-	/** Reads one stream. */
+	/** Reads one stream to its end, or until it is cancelled. */
 	async read(
 		client: JobsClient,
-		{ cutAfter = () => Number.POSITIVE_INFINITY, signal }: ReadOptions = {},
-	): Promise<'complete' | 'cut or broken'> {
+		{ cancelAfter = () => Number.POSITIVE_INFINITY, signal }: ReadOptions = {},
+	): Promise<'complete' | 'interrupted'> {
 		const metadata = new Metadata()
 		metadata.set('watch-id', 'a watch of before')
 		const call = client.Watch({ uids: [...this.uids], cursor: this.cursor }, metadata)
-		const begun = this.begin(call)
+		const headersArrived = this.headersOrError(call)
 		const cancel = (): void => call.cancel()
 		signal?.addEventListener('abort', cancel)
 		if (signal?.aborted) cancel()
 		try {
-			if (cutAfter() === 0) {
-				await begun
-				return 'cut or broken'
+			if (cancelAfter() === 0) {
+				await headersArrived
+				return 'interrupted'
 			}
-			return (await this.takeEvents(call, cutAfter)) ? 'complete' : 'cut or broken'
+			return (await this.readEvents(call, cancelAfter)) ? 'complete' : 'interrupted'
 		} catch (error) {
 			const { code } = error as ServiceError
-			// The cursor was rejected: the next stream begins with the present state.
+			// The cursor was rejected: the next stream starts with the current state.
 			if (code === status.OUT_OF_RANGE || code === status.INVALID_ARGUMENT) this.cursor = ''
-			return 'cut or broken'
+			return 'interrupted'
 		} finally {
 			signal?.removeEventListener('abort', cancel)
 			call.on('error', () => {})
@@ -65,8 +65,8 @@
 		}
 	}
 
-	/** Is over once the headers are there, or will never be. */
-	private begin(call: ClientReadableStream<EventMessage>): Promise<void> {
+	/** Resolves when the headers arrive or the call fails. */
+	private headersOrError(call: ClientReadableStream<EventMessage>): Promise<void> {
 		return new Promise((done) => {
 			call.on('metadata', (headers) => {
 				const [start] = headers.get('cursor')
@@ -77,44 +77,46 @@
 		})
 	}
 
-	/** True: the server called the stream complete. */
-	private async takeEvents(
+	/** Returns whether the server completed the stream; false: the reader stopped reading first. */
+	private async readEvents(
 		call: ClientReadableStream<EventMessage>,
-		cutAfter: () => number,
+		cancelAfter: () => number,
 	): Promise<boolean> {
-		let taken = 0
+		let received = 0
 		for await (const { uid, state, cursor } of call as AsyncIterable<EventMessage>) {
 			this.cursor = cursor
 			if (isTerminal(state)) {
-				const events = this.terminalJobs.has(uid) ? this.dropped : this.told
+				const events = this.terminalJobs.has(uid) ? this.duplicates : this.delivered
 				events.push(uid)
 				this.terminalJobs.add(uid)
 			}
-			if (++taken >= cutAfter()) return false
+			if (++received >= cancelAfter()) return false
 		}
 		return true
 	}
 }
 
 /**
- * A server of before, at which no record changes any more. Of the states that it lacks it holds, as of all others, that they
- * were told before a cursor that is later.
+ * A server of the previous version whose records no longer change. It takes every terminal state before a cursor as
+ * delivered, also those that it does not know.
  */
-export class ServerOfBefore {
-	/** `ended`: the revision at which each job's terminal state became durable; `lacks`: jobs whose state is unknown here. */
+export class PreviousVersionServer {
+	/** `terminalRevisions`: revision at which each job's terminal state became durable; `missingJobs`: unknown to this server. */
 	constructor(
-		private readonly ended: ReadonlyMap<string, number>,
-		private readonly lacks: readonly string[],
+		private readonly terminalRevisions: ReadonlyMap<string, number>,
+		private readonly missingJobs: readonly string[],
 		private readonly revision: number,
 	) {}
 
-	/** A stream that breaks after so many events; one that is not complete breaks in any case. */
-	serve({ uids, cursor }: WatchMessage, breaksAfter = Number.POSITIVE_INFINITY): ScriptedStream {
-		const cursors = new CursorCodec(INSTALLATION, { uids })
-		const start = cursor === '' ? this.present() : cursors.decode(cursor)
+	/** Serves a stream that breaks after the given number of events, and always when a job is missing. */
+	serve({ uids, cursor }: WatchMessage, eventsBeforeBreak = Number.POSITIVE_INFINITY): ScriptedStream {
+		const cursors = new CursorCodec(INSTALLATION_ID, { uids })
+		const start = cursor === '' ? this.currentPosition() : cursors.decode(cursor)
 		if (start === null || start.revision > this.revision)
 			return { headers: '', events: [], end: 'cursor rejected' }
-		const known = uids.filter((uid) => this.ended.has(uid) && !this.lacks.includes(uid)).sort()
+		const known = uids
+			.filter((uid) => this.terminalRevisions.has(uid) && !this.missingJobs.includes(uid))
+			.sort()
 		const positions = known.flatMap((uid) => this.positionOf(uid, start) ?? [])
 		const events = positions.map((position) => ({
 			uid: position.uid,
@@ -124,24 +126,24 @@
 			tasks: 1,
 			cursor: cursors.encode(position),
 		}))
-		const isComplete = known.length === uids.length && events.length <= breaksAfter
+		const isComplete = known.length === uids.length && events.length <= eventsBeforeBreak
 		return {
 			headers: cursors.encode(start),
-			events: events.slice(0, breaksAfter),
+			events: events.slice(0, eventsBeforeBreak),
 			end: isComplete ? 'complete' : 'broken',
 		}
 	}
 
-	private present(): StreamPosition {
+	private currentPosition(): StreamPosition {
 		return { phase: 'present', revision: this.revision, uid: '' }
 	}
 
-	/** The position of the job's event in a stream that begins here; null: it counts as told before. */
+	/** The position of the job's event in a stream that starts here; null: received as delivered before. */
 	private positionOf(uid: string, start: StreamPosition): StreamPosition | null {
-		const revision = this.ended.get(uid) ?? 0
+		const revision = this.terminalRevisions.get(uid) ?? 0
 		if (start.phase === 'present' && revision <= start.revision)
 			return uid > start.uid ? { ...start, uid } : null
-		const startUid = start.phase === 'present' ? LAST : start.uid
+		const startUid = start.phase === 'present' ? AFTER_ALL_IDS : start.uid
 		const isLater = revision > start.revision || (revision === start.revision && uid > startUid)
 		return isLater ? { phase: 'live', revision, uid } : null
 	}
--- a/tests/scripted-grpc-server.ts
+++ b/tests/scripted-grpc-server.ts
@@ -1,4 +1,4 @@
-/** A gRPC server whose streams a test scripts, over real sockets; it records the requests as they arrive. */
+/** A gRPC server over real sockets whose streams are scripted by a test; it records the bytes of each request. */
 import {
 	Metadata,
 	Server,
@@ -10,22 +10,22 @@
 } from '@grpc/grpc-js'
 import { type EventMessage, jobsPackage, jobsService, type WatchMessage } from '@heathroad/proto'
 
-/** One stream: the cursor that its headers tell, its events, and how it ends. */
+/** One stream: the cursor in its headers, its events, and how it ends. */
 export interface ScriptedStream {
 	headers: string
 	events: readonly Partial<EventMessage>[]
-	/** `broken`: as a crash of the controller looks to its readers */
+	/** `broken`: what readers see when the controller crashes */
 	end: 'complete' | 'broken' | 'cursor rejected'
 }
 
-/** What the server answers to a request; `stream`: number of the stream, from 0. */
+/** Returns the stream that the server sends for a request; `stream`: index of the stream, from 0. */
 export type Serve = (request: WatchMessage, stream: number) => Promise<ScriptedStream> | ScriptedStream
 
 type WatchCall = ServerWritableStream<WatchMessage, Partial<EventMessage>>
 
 const send = (call: WatchCall, { headers, events, end }: ScriptedStream): void => {
 	if (end === 'cursor rejected') {
-		call.emit('error', { code: status.OUT_OF_RANGE, details: 'not kept any more' })
+		call.emit('error', { code: status.OUT_OF_RANGE, details: 'no longer retained' })
 		return
 	}
 	const metadata = new Metadata()
@@ -36,11 +36,11 @@
 	else call.emit('error', { code: status.UNAVAILABLE, details: 'Connection dropped' })
 }
 
-/** Serves Watch calls as scripted, and no others. */
+/** Serves scripted Watch calls, and no other methods. */
 export class ScriptedGrpcServer {
-	/** bytes of each request message */
+	/** bytes of each request message, in hex */
 	readonly requests: string[] = []
-	/** names of the headers of each request */
+	/** sorted header names of each request */
 	readonly headerNames: string[][] = []
 	/** IP:PORT */
 	address = ''
@@ -60,7 +60,7 @@
 		this.server.addService(definition, { Watch: handler } as unknown as UntypedServiceImplementation)
 	}
 
-	/** Listens on a port of its own choosing. */
+	/** Listens on a free port. */
 	async start(): Promise<this> {
 		const port = await new Promise<number>((resolve, reject) =>
 			this.server.bindAsync('127.0.0.1:0', ServerCredentials.createInsecure(), (error, bound) =>
@@ -71,7 +71,7 @@
 		return this
 	}
 
-	/** Closes all connections. */
+	/** Stops the server and closes all connections. */
 	stop(): void {
 		this.server.forceShutdown()
 	}
--- a/tests/simulated-watch.ts
+++ b/tests/simulated-watch.ts
@@ -1,6 +1,6 @@
 /**
- * Watches of the client library at the controllers of a simulation, in virtual time: the real watcher with its retries, and
- * the real hubs and subscriptions, with links in between that are cut or lose what a controller sends.
+ * Watches of the client library at the controllers of a simulation, in virtual time: the real watcher with its retries and
+ * the real hubs and subscriptions, connected by links that break or lose what a controller sends.
  */
 import timers from 'node:timers/promises'
 import type { JobEvent as ServerEvent, Subscription } from '@heathroad/events'
@@ -14,20 +14,20 @@
 	Transport,
 	WatchRequest,
 } from '../packages/client/src/transport.js'
-import { poolOf } from './fake-transport-pool.js'
+import { fakeTransportPool } from './fake-transport-pool.js'
 
-/** How long a message takes over a link, in ms. */
+/** Latency of a message over a link, in ms. */
 const LATENCY_MS = { from: 1, to: 5 }
-/** When a reader comes back to a controller that does not serve yet, in ms. */
+/** Requested delay of a controller that does not serve yet, in ms. */
 const NOT_READY_RETRY_MS = 1000
 
-const failure = (text: string, how: Partial<RetryableFailure> = {}): RetryableFailure => ({
+const failure = (text: string, options: Partial<RetryableFailure> = {}): RetryableFailure => ({
 	kind: 'retryable',
 	text,
 	retryAfterMs: null,
 	mayBeAccepted: true,
 	isUnreachable: false,
-	...how,
+	...options,
 })
 const UNREACHABLE = failure('no connection', { isUnreachable: true })
 const CONNECTION_LOST = failure('the connection broke', { isConnectionLost: true })
@@ -37,7 +37,7 @@
 })
 const NOT_SERVING = failure('this controller cannot tell any more', { retryAfterMs: 100, isNotServing: true })
 
-/** A connection of one stream. */
+/** The connection of one stream. */
 class Connection {
 	isBroken = false
 	private wake = () => {}
@@ -51,19 +51,19 @@
 		this.wake()
 	}
 
-	/** Is over at the next call of `notify`. */
-	nextNotice(): Promise<void> {
+	/** Resolves at the next call of `notify`. */
+	nextNotification(): Promise<void> {
 		return new Promise((done) => {
 			this.wake = done
 		})
 	}
 }
 
-/** The way of readers to one controller. */
+/** The connections from all readers to one controller. */
 export class ReaderLink implements Pick<Transport, 'address' | 'watch'> {
 	readonly address: string
-	/** nothing that the controller sends arrives; the connection breaks instead */
-	losesAnswers = false
+	/** drops what the controller sends, and breaks the connection that it was sent on */
+	losesResponses = false
 	private readonly connections = new Set<Connection>()
 
 	constructor(
@@ -74,8 +74,8 @@
 		this.address = `ctl-${controller}`
 	}
 
-	/** Breaks all connections. */
-	cutAll(): void {
+	/** Breaks all open connections. */
+	breakConnections(): void {
 		for (const connection of this.connections) connection.break()
 	}
 
@@ -107,7 +107,7 @@
 		const subscription = await this.subscribe(server, connection, request)
 		if ('kind' in subscription) return subscription
 		try {
-			if (!(await this.arrives(connection))) return CONNECTION_LOST
+			if (!(await this.reachesReader(connection))) return CONNECTION_LOST
 			onStart(request.cursor === '' ? subscription.cursor() : request.cursor)
 			return yield* this.events(subscription, connection)
 		} finally {
@@ -121,7 +121,7 @@
 	): AsyncGenerator<JobEvent, StreamEnd> {
 		for (;;) {
 			if (connection.isBroken) return CONNECTION_LOST
-			const notice = connection.nextNotice()
+			const notice = connection.nextNotification()
 			const event: ServerEvent | null = subscription.next()
 			const isComplete = event === null && subscription.endReason === null && subscription.isComplete
 			if (event === null && !isComplete) {
@@ -130,13 +130,13 @@
 				await notice
 				continue
 			}
-			if (!(await this.arrives(connection))) return CONNECTION_LOST
+			if (!(await this.reachesReader(connection))) return CONNECTION_LOST
 			if (event === null) return { kind: 'complete' }
 			yield { ...event, afterGap: false }
 		}
 	}
 
-	/** The order of a Watch call at a controller: a linearizable read, what is outside memory, the subscription. */
+	/** Does the steps of a Watch call at a controller: linearizable read, lookup of states outside memory, subscription. */
 	private async subscribe(
 		server: ControllerStreams,
 		connection: Connection,
@@ -156,22 +156,22 @@
 				})
 			})
 		})
-		const opened = await Promise.race([prepared, this.broken(connection)])
+		const opened = await Promise.race([prepared, this.waitUntilBroken(connection)])
 		if (opened !== null) return opened
-		// The controller subscribes all the same, and learns later that nobody listens.
+		// The controller still subscribes, and learns later that the connection is gone.
 		void prepared.then((late) => ('kind' in late ? undefined : late.end(null)))
 		return CONNECTION_LOST
 	}
 
-	private async broken(connection: Connection): Promise<null> {
-		while (!connection.isBroken) await connection.nextNotice()
+	private async waitUntilBroken(connection: Connection): Promise<null> {
+		while (!connection.isBroken) await connection.nextNotification()
 		return null
 	}
 
-	/** Tells whether a message that the controller sends now reaches the reader. */
-	private async arrives(connection: Connection): Promise<boolean> {
+	/** Returns whether a message that the controller sends now reaches the reader, after its latency. */
+	private async reachesReader(connection: Connection): Promise<boolean> {
 		const { clock } = this.simulation
-		if (this.losesAnswers) connection.break()
+		if (this.losesResponses) connection.break()
 		await new Promise<void>((done) => {
 			clock.after(clock.between(LATENCY_MS.from, LATENCY_MS.to), done, null)
 		})
@@ -179,33 +179,33 @@
 	}
 }
 
-/** The links to all controllers of a simulation; a crash breaks the connections of its controller. */
-export const linksTo = (simulation: Simulation, controllers: number): readonly ReaderLink[] => {
+/** Creates a link to each controller of a simulation; a crash breaks the connections to that controller. */
+export const createReaderLinks = (simulation: Simulation, controllerCount: number): readonly ReaderLink[] => {
 	const streams = streamsOf(simulation)
 	const links = Array.from(
-		{ length: controllers },
+		{ length: controllerCount },
 		(_, controller) => new ReaderLink(simulation, streams, controller),
 	)
 	const onEnded = simulation.ended
 	simulation.ended = (controller) => {
 		onEnded(controller)
-		links[controller].cutAll()
+		links[controller].breakConnections()
 	}
 	return links
 }
 
-/** A watcher of the client library; its first address is drawn. */
-export const watcherOver = (simulation: Simulation, links: readonly ReaderLink[]): JobWatcher => {
+/** Creates a watcher of the client library; its first address is random. */
+export const createWatcher = (simulation: Simulation, links: readonly ReaderLink[]): JobWatcher => {
 	const random = () => simulation.clock.random()
 	const first = Math.floor(random() * links.length)
-	return new JobWatcher(poolOf(links, first), {} as RetryingCaller, 0, random)
+	return new JobWatcher(fakeTransportPool(links, first), {} as RetryingCaller, 0, random)
 }
 
 /**
- * Plays a day while the waits of the client library, which are promises, pass in virtual time too. `schedule` is called as
- * the first controller starts.
+ * Runs a simulated day with the timers of the client library in virtual time too. `schedule` is called when the first
+ * controller starts.
  */
-export const playWithClients = async (simulation: Simulation, schedule: () => void): Promise<void> => {
+export const runWithClients = async (simulation: Simulation, schedule: () => void): Promise<void> => {
 	const onStarted = simulation.started
 	simulation.started = (controller, node) => {
 		simulation.started = onStarted
@@ -214,12 +214,12 @@
 	}
 	const realSleep = timers.setTimeout
 	const virtualSleep = (ms: number, value: unknown, { signal }: { signal?: AbortSignal } = {}) =>
-		new Promise((done, fail) => {
-			const abort = () => fail(signal?.reason)
+		new Promise((resolve, reject) => {
+			const abort = () => reject(signal?.reason)
 			signal?.addEventListener('abort', abort, { once: true })
 			const wake = () => {
 				signal?.removeEventListener('abort', abort)
-				done(value)
+				resolve(value)
 			}
 			simulation.clock.after(ms, wake, null)
 		})
--- a/tests/stepped-controller.ts
+++ b/tests/stepped-controller.ts
@@ -1,6 +1,6 @@
 /**
- * Controllers of the real service that read the state service only when a test says so, and the records that others write
- * meanwhile. For tests that force the order of reads, changes and streams.
+ * Controllers of the real service that read the state service only when a test says so, and the records that other
+ * processes write meanwhile. For tests that force an interleaving of reads, changes and streams.
  */
 import {
 	type AcceptedJobRecord,
@@ -36,15 +36,15 @@
 
 const TASKS = 5
 const SHARD = 0
-/** Its id, which signs cursors. */
-export const INSTALLATION = 'here'
-/** Each look at a controller's clock finds it so much later: no read waits for its turn. */
-const STEP_MS = 1000
-/** More keys than one page of a full read holds; they come before the jobs' keys. */
-const KEYS_OF_FIRST_PAGE = 1000
+/** Id of the installation, which signs cursors. */
+export const INSTALLATION_ID = 'here'
+/** How far each reading of a controller's clock advances it, so that no read is delayed. */
+const CLOCK_STEP_MS = 1000
+/** More keys than fit on one page of a full read; they sort before the jobs' keys. */
+const FILLER_KEYS = 1000
 
-/** Time that stands still: nothing happens at the state service but what a test writes. */
-const STILL: Clock = {
+/** A stopped clock: nothing happens at the state service except what a test writes. */
+const STOPPED_CLOCK: Clock = {
 	nowMs: 0,
 	after: () => ({ cancelled: false }),
 	random: () => 0,
@@ -61,12 +61,12 @@
 	private archivalEpoch = 0
 	private hasLegacyStates = true
 
-	/** `watchLog`: how many changes the state service keeps for watches. */
-	constructor(watchLog?: number) {
-		this.state = new FakeStateStore(STILL, watchLog)
+	/** `retainedChanges`: number of changes that the state service retains for watches. */
+	constructor(retainedChanges?: number) {
+		this.state = new FakeStateStore(STOPPED_CLOCK, retainedChanges)
 	}
 
-	/** One transaction; returns its revision. */
+	/** Commits one transaction; returns its revision. */
 	write(...mutations: Mutation[]): number {
 		const apply = mutations.map((mutation) =>
 			'set' in mutation
@@ -82,11 +82,11 @@
 			status = response.status
 			this.revision = Number((response.body as { epoch: number }).epoch)
 		})
-		if (status !== 200) throw new Error(`a transaction failed with ${status}`)
+		if (status !== 200) throw new Error(`the transaction failed with status ${status}`)
 		return this.revision
 	}
 
-	/** Accepts a job. */
+	/** Writes the accepted batch of a job. */
 	accept(uid: string): void {
 		const record: AcceptedJobRecord = {
 			shardId: SHARD,
@@ -96,32 +96,32 @@
 		this.write({ set: `intake/${uid}`, data: encodeAcceptedBatch([record]) })
 	}
 
-	/** Removes what names a job beside its terminal state. */
+	/** Removes the accepted batch of a job; only its terminal state is left. */
 	removeAcceptance(uid: string): void {
 		this.write({ delete: `intake/${uid}` })
 	}
 
-	/** A job is done, under its own key as in the first record format. */
-	endUnderOwnKey(uid: string): number {
+	/** Writes a job as done under its own key, as in the first record format; returns the revision. */
+	finishUnderOwnKey(uid: string): number {
 		return this.write({ set: jobKey(uid), data: encodeJobRecord(terminalJobRecord(SHARD, this.done(uid))) })
 	}
 
-	/** A job is done, on the page of its shard. */
-	endOnPage(uid: string): number {
-		// As controllers write it: the newest batch has the revision of its page's key.
+	/** Writes a job as done to the terminal-state page of its shard; returns the revision. */
+	finishOnPage(uid: string): number {
+		// As controllers write it: the revision of the newest batch is the mod revision of its page.
 		const batch: TerminalBatch = { revision: null, jobs: [this.done(uid)] }
 		this.batches.push(batch)
 		batch.revision = this.writePage()
 		return batch.revision
 	}
 
-	/** The state of a job moves from its own key to a page, as in the migration of the record format. */
+	/** Moves the state of a job from its own key to the page, as the migration of the record format does. */
 	moveToPage(uid: string, revision: number): void {
 		this.batches.push({ revision, jobs: [this.done(uid)] })
 		this.writePage({ delete: jobKey(uid) })
 	}
 
-	/** All states on the page move to the archive, once an archival epoch has begun that is later than all of them. */
+	/** Starts an archival epoch later than all states on the page, then moves them to the archive. */
 	archive(): void {
 		this.setFormat(this.hasLegacyStates)
 		for (const { revision, jobs } of this.batches)
@@ -148,21 +148,21 @@
 		this.write({ delete: terminalPageKey(SHARD) })
 	}
 
-	/** Changes the record of the format, and begins the next archival epoch. */
+	/** Writes the record of the format with the next archival epoch. */
 	setFormat(legacy: boolean): void {
 		this.hasLegacyStates = legacy
 		const record = { format: RECORD_FORMAT, archivalEpoch: ++this.archivalEpoch, legacy }
 		this.write({ set: HISTORY_KEY, data: encodeHistoryRecord(record) })
 	}
 
-	/** So many keys that a full read takes more than one page. */
+	/** Writes enough keys that a full read takes more than one page. */
 	fillFirstPage(): void {
-		const fillers = Array.from({ length: KEYS_OF_FIRST_PAGE }, (_, index) => `a/${index}`)
+		const fillers = Array.from({ length: FILLER_KEYS }, (_, index) => `a/${index}`)
 		this.write(...fillers.map((key) => ({ set: key, data: 0 })))
 	}
 
-	/** So many changes that concern nobody. */
-	makeChanges(count: number): void {
+	/** Writes a key that no job uses, `count` times. */
+	makeUnrelatedChanges(count: number): void {
 		for (let change = 0; change < count; change++) this.write({ set: 'a/other', data: this.writes++ })
 	}
 
@@ -176,20 +176,20 @@
 	}
 }
 
-/** A controller that has booted and reads nothing by itself. */
+/** A booted controller that reads the state service only on request. */
 export class SteppedController {
 	readonly records: ServiceRecords
 	readonly hub: EventHub
-	/** Called before each request to the state service, with its path; what it writes is there before the answer. */
+	/** Called with the path before each request to the state service is handled, so that the response reflects what it writes. */
 	beforeRequest: (path: string) => void = () => {}
-	/** Holds the answer to a request back until this is over; null: it arrives at once. */
-	delayAnswer: (path: string) => Promise<void> | null = () => null
+	/** Delays the response to a request until the promise resolves; null: no delay. */
+	delayResponse: (path: string) => Promise<void> | null = () => null
 	readonly service: Service
 	private readonly storeClient: StoreClient
 	private steps = 0
 
-	/** `retained`: terminal states that it keeps for streams. */
-	constructor(records: Records, retained = 1000) {
+	/** `retainedStates`: number of terminal states that it retains for streams. */
+	constructor(records: Records, retainedStates = 1000) {
 		const settings = plainSettings('c-0')
 		const config = {
 			settings,
@@ -197,14 +197,14 @@
 			history: defaultHistorySettings,
 			limits: deriveLimits(settings),
 		}
-		const now = () => STEP_MS * this.steps++
+		const now = () => CLOCK_STEP_MS * this.steps++
 		const httpClient: HttpClient = {
 			request: (address, method, path, body) => {
 				if (address !== settings.services.state)
-					return Effect.fail(new NoResponse({ reason: 'only the state service is there' }))
+					return Effect.fail(new NoResponse({ reason: 'this controller can reach only the state service' }))
 				return Effect.callback<HttpResponse, NoResponse>((resume) => {
 					this.beforeRequest(path)
-					const delay = this.delayAnswer(path)
+					const delay = this.delayResponse(path)
 					records.state.handle(method, path, body, ({ status, body: answer }) => {
 						const response = { status, body: decode(encode(answer)), retryAfterS: null }
 						const deliver = () => resume(Effect.succeed(response))
@@ -215,24 +215,25 @@
 			},
 		}
 		this.service = new Service(config, () => {}, now, httpClient)
-		this.storeClient = createStoreClient(httpClient, settings.services.state, STEP_MS, () => {})
-		this.records = new ServiceRecords(this.service, retained)
-		this.hub = new EventHub(this.records, INSTALLATION, 500, now)
+		this.storeClient = createStoreClient(httpClient, settings.services.state, CLOCK_STEP_MS, () => {})
+		this.records = new ServiceRecords(this.service, retainedStates)
+		this.hub = new EventHub(this.records, INSTALLATION_ID, 500, now)
 		this.records.hub = this.hub
 	}
 
-	/** Reads all that is durable; at first, and where changes are not kept any more, all keys. */
+	/** Does a linearizable read: of all keys at first and where changes are no longer retained, otherwise of the changes. */
 	async read(): Promise<void> {
-		if (!(await Effect.runPromise(this.service.linearizableRead()))) throw new Error('the read failed')
+		if (!(await Effect.runPromise(this.service.linearizableRead())))
+			throw new Error('the linearizable read failed')
 		this.hub.publishChanges()
 	}
 
-	/** Reads all keys, beside any other read. */
-	async readAll(): Promise<void> {
+	/** Reads all keys, concurrently with any other read. */
+	async readAllKeys(): Promise<void> {
 		await Effect.runPromise(this.service.cache.readAll(this.storeClient))
 	}
 
-	/** Opens a stream as a Watch call does; null: it may not begin now; a text: the cursor is rejected. */
+	/** Opens a stream as a Watch call does; null: not possible now; a string: why the cursor was rejected. */
 	async open(selection: Selection, cursor = ''): Promise<Stream | string | null> {
 		await this.read()
 		return new Promise((done) => {
@@ -242,35 +243,35 @@
 		})
 	}
 
-	/** The second half of `open`. */
+	/** The last step of `open`: subscribes without a read. */
 	subscribe(selection: Selection, cursor = ''): Stream | string {
-		const ends: StreamEndReason[] = []
+		const endReasons: StreamEndReason[] = []
 		const subscription = this.hub.subscribe(selection, cursor, {
 			onEventsAvailable: () => {},
-			onEnd: (reason) => ends.push(reason),
+			onEnd: (reason) => endReasons.push(reason),
 		})
-		return typeof subscription === 'string' ? subscription : new Stream(subscription, ends)
+		return typeof subscription === 'string' ? subscription : new Stream(subscription, endReasons)
 	}
 }
 
-/** A reader's stream, and what it told. */
+/** A reader's stream and the terminal states that it delivered. */
 export class Stream {
-	/** ids of the jobs whose terminal state was told */
+	/** ids of the jobs whose terminal state was delivered, in order */
 	readonly terminalJobs: string[] = []
-	/** where a reader resumes that trusts cursors: that of the latest event, before the first one that of the headers */
+	/** where a reader that trusts cursors resumes: the cursor of the latest event, or of the headers if there was none */
 	cursor: string
 
 	constructor(
 		readonly subscription: Subscription,
-		/** at most one: why the stream ended before it told everything */
-		readonly ends: readonly StreamEndReason[],
+		/** why the stream ended before it delivered everything; at most one entry */
+		readonly endReasons: readonly StreamEndReason[],
 	) {
 		this.cursor = subscription.cursor()
 	}
 
-	/** Takes what is there, at most so many events. */
-	take(atMost?: number): this {
-		for (const { uid, state, cursor } of takeEvents(this.subscription, atMost)) {
+	/** Reads the available events, up to `maxEvents`. */
+	take(maxEvents?: number): this {
+		for (const { uid, state, cursor } of takeEvents(this.subscription, maxEvents)) {
 			this.cursor = cursor
 			if (state === 'done' || state === 'cancelled') this.terminalJobs.push(uid)
 		}
--- a/tests/stream-check-days.test.ts
+++ b/tests/stream-check-days.test.ts
@@ -6,19 +6,19 @@
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { JOBS, MAX_MS, playStreamCheckDay } from './stream-check-days.js'
+import { JOBS, MAX_COMPLETION_MS, runStreamCheckDay } from './stream-check-days.js'
 
 const SEEDS = [3, 8, 14, 24, 47, 75, 81, 441]
 const READERS = 6
 
 for (const seed of SEEDS)
 	test(`in virtual time, with streams cut, controllers crashed and answers lost, each job has one terminal event: seed ${seed}`, async () => {
-		const { simulation, readers, findings, tookMs } = await playStreamCheckDay(seed)
+		const { simulation, readers, findings, completedAfterMs: tookMs } = await runStreamCheckDay(seed)
 		assert.deepEqual(findings, [])
 		assert.deepEqual(simulation.invariants.unfinishedJobs(), [])
 		assert.deepEqual(
-			readers.map(({ terminal }) => terminal.size >= JOBS),
+			readers.map(({ terminalStates: terminal }) => terminal.size >= JOBS),
 			Array.from({ length: READERS }, () => true),
 		)
-		assert.ok(tookMs <= MAX_MS, `took ${tookMs} ms`)
+		assert.ok(tookMs <= MAX_COMPLETION_MS, `took ${tookMs} ms`)
 	})
--- a/tests/stream-check-days.ts
+++ b/tests/stream-check-days.ts
@@ -4,7 +4,7 @@
  */
 import type { JobEvent, Selection } from '@heathroad/client'
 import { arrayJob, type Fault, Simulation, VirtualClock } from '@heathroad/testkit'
-import { linksTo, playWithClients, type ReaderLink, watcherOver } from './simulated-watch.js'
+import { createReaderLinks, createWatcher, type ReaderLink, runWithClients } from './simulated-watch.js'
 
 const CONTROLLERS = 3
 const MACHINES = 12
@@ -21,24 +21,24 @@
 const FAULTS = { everyMs: 250, fromMs: 2600, untilMs: 70_000 }
 /** Faults are drawn from 0 to 1: below the first limit a cut, below the second lost answers, above it a crash. */
 const FAULT_LIMITS = { cut: 0.5, loss: 0.75 }
-const LOSS_MS = 250
+const RESPONSE_LOSS_MS = 250
 const MIN_RESTART_S = 0.4
 const UNTIL_S = 75
 const LAST_SUBMISSION_MS = SUBMIT_FROM_MS.others + (JOBS - 1) * SUBMIT_INTERVAL_MS
 /** Jobs of days with different seeds have ids this far apart. */
 const IDS_PER_SEED = 100
 const FIRST_JOB = 700_000
-const FIRST_SENTINEL = 600_000
+const FIRST_SENTINEL_JOB = 600_000
 /** Every job has to be over so long after the last submission, in ms: what the check of streams allows. */
-export const MAX_MS = 60_000
+export const MAX_COMPLETION_MS = 60_000
 
 /** What a reader was told. */
 export class DayReader {
-	readonly terminal = new Map<string, string>()
-	readonly wrong: string[] = []
+	readonly terminalStates = new Map<string, string>()
+	readonly anomalies: string[] = []
 	/** when the last terminal event arrived, in ms of the day */
 	lastEventAtMs = 0
-	private readonly done = new Map<string, number>()
+	private readonly doneCounts = new Map<string, number>()
 
 	constructor(
 		readonly name: string,
@@ -46,24 +46,24 @@
 	) {}
 
 	observe({ uid, state, done, afterGap }: JobEvent, atMs: number): void {
-		const terminal = this.terminal.get(uid)
-		if (terminal !== undefined) this.wrong.push(`${this.name}: ${uid} ${state} after ${terminal}`)
-		const doneBefore = this.done.get(uid) ?? 0
-		if (done < doneBefore) this.wrong.push(`${this.name}: ${uid} went back from ${doneBefore} to ${done}`)
-		this.done.set(uid, done)
-		if (afterGap) this.wrong.push(`${this.name}: a gap`)
+		const terminal = this.terminalStates.get(uid)
+		if (terminal !== undefined) this.anomalies.push(`${this.name}: ${uid} ${state} after ${terminal}`)
+		const doneBefore = this.doneCounts.get(uid) ?? 0
+		if (done < doneBefore) this.anomalies.push(`${this.name}: ${uid} went back from ${doneBefore} to ${done}`)
+		this.doneCounts.set(uid, done)
+		if (afterGap) this.anomalies.push(`${this.name}: a gap`)
 		if (state !== 'done' && state !== 'cancelled') return
-		this.terminal.set(uid, state)
+		this.terminalStates.set(uid, state)
 		this.lastEventAtMs = atMs
 	}
 
-	missing(): string[] {
-		return this.uids.filter((uid) => !this.terminal.has(uid))
+	missingJobs(): string[] {
+		return this.uids.filter((uid) => !this.terminalStates.has(uid))
 	}
 
 	/** Findings of the events that it missed; jobs that are not over have none. */
 	missedEvents(unfinished: ReadonlySet<string>): string[] {
-		return this.missing()
+		return this.missingJobs()
 			.filter((uid) => !unfinished.has(uid))
 			.map((uid) => `${this.name}: no terminal event of ${uid}`)
 	}
@@ -76,7 +76,7 @@
 	/** events that readers missed, and everything else that was wrong */
 	findings: string[]
 	/** from the last submission until the last reader had every terminal event, in ms */
-	tookMs: number
+	completedAfterMs: number
 	log: readonly string[]
 }
 
@@ -135,12 +135,12 @@
 		fault.atMs,
 		() => {
 			if (fault.kind === 'cut') {
-				link.cutAll()
+				link.breakConnections()
 				return
 			}
-			link.losesAnswers = true
-			simulation.clock.after(LOSS_MS, () => {
-				link.losesAnswers = false
+			link.losesResponses = true
+			simulation.clock.after(RESPONSE_LOSS_MS, () => {
+				link.losesResponses = false
 			})
 		},
 		null,
@@ -151,7 +151,7 @@
 	new Simulation({
 		seed,
 		untilS: UNTIL_S,
-		jobs: jobsOf(uids, `job-${FIRST_SENTINEL + seed}`),
+		jobs: jobsOf(uids, `job-${FIRST_SENTINEL_JOB + seed}`),
 		faults: crashes,
 		report: { reportS: 0.5, leaseS: 6, cancelS: 14 },
 		up: MACHINES,
@@ -174,21 +174,21 @@
 	schedule(): void {
 		const { clock } = this.simulation
 		const { uids } = this
-		clock.after(READ_FROM_MS.early, () => this.beginEarly(), null)
+		clock.after(READ_FROM_MS.early, () => this.startEarlyReaders(), null)
 		for (const atMs of READ_FROM_MS.late)
-			clock.after(atMs, () => this.begin(`by ids, from ${atMs} ms`, { uids }), null)
+			clock.after(atMs, () => this.startReader(`by ids, from ${atMs} ms`, { uids }), null)
 	}
 
-	private beginEarly(): void {
+	private startEarlyReaders(): void {
 		const { uids } = this
-		this.begin('by ids, before', { uids })
-		this.begin('by team', { team: 'core' })
+		this.startReader('by ids, before', { uids })
+		this.startReader('by team', { team: 'core' })
 		const name = 'by ids, from a cursor'
-		this.follow(name, this.readFromCursor(this.addReader(name)))
+		this.collectError(name, this.readFromCursor(this.addReader(name)))
 	}
 
-	private begin(name: string, selection: Selection): void {
-		this.follow(name, this.read(this.addReader(name), selection, ''))
+	private startReader(name: string, selection: Selection): void {
+		this.collectError(name, this.read(this.addReader(name), selection, ''))
 	}
 
 	private addReader(name: string): DayReader {
@@ -197,22 +197,22 @@
 		return reader
 	}
 
-	private follow(name: string, watch: Promise<void>): void {
+	private collectError(name: string, watch: Promise<void>): void {
 		watch.catch((error) => this.errors.push(`${name}: ${error}`))
 	}
 
 	private async read(reader: DayReader, selection: Selection, cursor: string): Promise<void> {
 		const { simulation, links } = this
-		for await (const event of watcherOver(simulation, links).watch(selection, { cursor })) {
+		for await (const event of createWatcher(simulation, links).watch(selection, { cursor })) {
 			reader.observe(event, simulation.clock.nowMs)
-			if (reader.missing().length === 0) return
+			if (reader.missingJobs().length === 0) return
 		}
 	}
 
 	/** A caller that keeps the cursor of its first event, and begins another watch there. */
 	private async readFromCursor(reader: DayReader): Promise<void> {
 		const { simulation, links, uids } = this
-		for await (const event of watcherOver(simulation, links).watch({ uids }, {})) {
+		for await (const event of createWatcher(simulation, links).watch({ uids }, {})) {
 			reader.observe(event, simulation.clock.nowMs)
 			await this.read(reader, { uids }, event.cursor)
 			return
@@ -221,15 +221,15 @@
 }
 
 /** Plays the day of a seed. */
-export const playStreamCheckDay = async (seed: number): Promise<StreamCheckDay> => {
+export const runStreamCheckDay = async (seed: number): Promise<StreamCheckDay> => {
 	const uids = Array.from({ length: JOBS }, (_, index) => `job-${FIRST_JOB + seed * IDS_PER_SEED + index}`)
 	const { crashes, linkFaults } = faultsOf(seed)
 	const simulation = simulationOf(seed, uids, crashes)
 	const log: string[] = []
 	simulation.tell = (line) => log.push(line)
-	const links = linksTo(simulation, CONTROLLERS)
+	const links = createReaderLinks(simulation, CONTROLLERS)
 	const dayReaders = new DayReaders(simulation, links, uids)
-	await playWithClients(simulation, () => {
+	await runWithClients(simulation, () => {
 		for (const fault of linkFaults) injectLinkFault(simulation, links, fault)
 		dayReaders.schedule()
 	})
@@ -237,13 +237,13 @@
 	const { violations } = simulation.invariants
 	const unfinished = new Set(simulation.invariants.unfinishedJobs())
 	const missing = readers.flatMap((reader) => reader.missedEvents(unfinished))
-	const wrong = readers.flatMap((reader) => reader.wrong)
+	const wrong = readers.flatMap((reader) => reader.anomalies)
 	const lastEventAtMs = Math.max(...readers.map((reader) => reader.lastEventAtMs))
 	return {
 		simulation,
 		readers,
 		findings: [...violations, ...errors, ...missing, ...wrong],
-		tookMs: lastEventAtMs - LAST_SUBMISSION_MS,
+		completedAfterMs: lastEventAtMs - LAST_SUBMISSION_MS,
 		log,
 	}
 }
--- a/tests/stream-completion.test.ts
+++ b/tests/stream-completion.test.ts
@@ -43,7 +43,7 @@
 			assert.deepEqual(summaries(takeEvents(stream)), [`${FIRST} cancelled 2`], name)
 		}
 		const cursorBefore = stream.cursor()
-		controller.touch(FIRST)
+		controller.changeOtherRecord(FIRST)
 		const expected = deliversFirst ? [] : [`${FIRST} cancelled 2`, `${SECOND} pending 0`]
 		assert.deepEqual(summaries(takeEvents(stream)), expected, name)
 		if (deliversFirst) assert.equal(stream.cursor(), cursorBefore, `${name}: the position does not go back`)
--- a/tests/stream-interleavings.ts
+++ b/tests/stream-interleavings.ts
@@ -1,247 +1,259 @@
 /**
- * The forced orders in which the terminal state of a job becomes known, or not, behind a stream's back. Each is played at a
- * controller of the real service that reads the state service only when the order says so.
+ * Interleavings of state reads, record changes and streams in which a stream may miss the terminal state of a job. Each runs
+ * at a controller of the real service that reads the state service only when the interleaving says so.
  */
 import assert from 'node:assert/strict'
 import { Records, SteppedController, type Stream } from './stepped-controller.js'
 
-/** Named before the job whose state is lost, so that it comes first in the initial snapshot. */
-export const OPEN = 'job-000100'
-export const LOST = 'job-000200'
-export const OTHER = 'job-000300'
-export const LATER = 'job-000400'
-export const NAMED = { uids: [OPEN, LOST] }
+/** Its id is less than that of `LOST_JOB`, so that it comes first in the initial snapshot. */
+export const OPEN_JOB = 'job-000100'
+export const LOST_JOB = 'job-000200'
+export const OTHER_JOB = 'job-000300'
+export const LATER_JOB = 'job-000400'
+export const NAMED_JOBS = { uids: [OPEN_JOB, LOST_JOB] }
 
-/** An order of events in which the terminal state of `LOST` becomes known, or not, behind a stream's back. */
-export interface Order {
+/** One interleaving in which a stream may miss the terminal state of `LOST_JOB`. */
+export interface Interleaving {
 	name: string
-	/** terminal states that the controller keeps for streams */
-	retained?: number
-	/** changes that the state service keeps for watches */
-	watchLog?: number
-	/** Plays everything up to the controller's last read; null: the stream did not begin. */
-	play(records: Records, controller: SteppedController): Promise<Stream | null>
+	/** number of terminal states that the controller retains for streams */
+	retainedStates?: number
+	/** number of changes that the state service retains for watches */
+	retainedChanges?: number
+	/** Runs everything up to the controller's last read; null: the stream was not opened. */
+	run(records: Records, controller: SteppedController): Promise<Stream | null>
 }
 
-export const MISSED_CHANGES = { watchLog: 20, count: 40 }
+/** More changes than the state service retains, so that the controller has to read all keys. */
+export const MISSED_CHANGES = { retained: 20, count: 40 }
 
-export const openedBy = async (controller: SteppedController, selection = NAMED): Promise<Stream | null> => {
+export const openStream = async (
+	controller: SteppedController,
+	selection = NAMED_JOBS,
+): Promise<Stream | null> => {
 	const stream = await controller.open(selection)
 	assert.ok(typeof stream !== 'string', String(stream))
 	return stream
 }
 
-/** Calls back once, before the first request whose path contains the text, or the one after so many of them. */
-const beforeRequest = (controller: SteppedController, text: string, write: () => void, after = 0): void => {
+/** Calls `write` once, before a request whose path contains the text; `skipCount`: such requests to let pass first. */
+const beforeRequest = (
+	controller: SteppedController,
+	text: string,
+	write: () => void,
+	skipCount = 0,
+): void => {
 	let skipped = 0
 	controller.beforeRequest = (path) => {
-		if (!decodeURIComponent(path).includes(text) || skipped++ < after) return
+		if (!decodeURIComponent(path).includes(text) || skipped++ < skipCount) return
 		controller.beforeRequest = () => {}
 		write()
 	}
 }
 
-/** Before the second page of the next full read, another state is put on the page that holds the state of `LOST`. */
+/** Adds a state to the terminal-state page that holds `LOST_JOB`, before the second page of the next full read. */
 export const changePageDuringFullRead = (records: Records, controller: SteppedController): void =>
-	beforeRequest(controller, '/store', () => records.endOnPage(OTHER), 1)
+	beforeRequest(controller, '/store', () => records.finishOnPage(OTHER_JOB), 1)
 
-/** A terminal state of the first format that a full read left out of memory, and that the log does not keep. */
-const leaveOut = async (records: Records, controller: SteppedController): Promise<number> => {
-	records.accept(OPEN)
-	const revision = records.endUnderOwnKey(LOST)
-	records.endUnderOwnKey(OTHER)
+/** Writes a terminal state in the first record format that a full read leaves out of memory and the log does not retain. */
+const finishOutsideMemory = async (records: Records, controller: SteppedController): Promise<number> => {
+	records.accept(OPEN_JOB)
+	const revision = records.finishUnderOwnKey(LOST_JOB)
+	records.finishUnderOwnKey(OTHER_JOB)
 	await controller.read()
 	return revision
 }
 
-export const ORDERS: Order[] = [
+export const INTERLEAVINGS: Interleaving[] = [
 	{
-		name: 'a state of the first format is found by its look-up, then moved to a page',
-		retained: 1,
-		play: async (records, controller) => {
-			const revision = await leaveOut(records, controller)
-			const stream = await openedBy(controller)
-			records.moveToPage(LOST, revision)
+		name: 'a state in the first record format is found by its lookup, then moved to a page',
+		retainedStates: 1,
+		run: async (records, controller) => {
+			const revision = await finishOutsideMemory(records, controller)
+			const stream = await openStream(controller)
+			records.moveToPage(LOST_JOB, revision)
 			await controller.read()
 			return stream
 		},
 	},
 	{
-		name: 'a state of the first format is moved to a page just before its look-up',
-		retained: 1,
-		play: async (records, controller) => {
-			const revision = await leaveOut(records, controller)
-			beforeRequest(controller, `job/${LOST}`, () => records.moveToPage(LOST, revision))
-			const stream = await openedBy(controller)
+		name: 'a state in the first record format is moved to a page just before its lookup',
+		retainedStates: 1,
+		run: async (records, controller) => {
+			const revision = await finishOutsideMemory(records, controller)
+			beforeRequest(controller, `job/${LOST_JOB}`, () => records.moveToPage(LOST_JOB, revision))
+			const stream = await openStream(controller)
 			stream?.take()
 			return stream
 		},
 	},
 	{
-		name: 'the record of the format appears, and a state is moved and archived, just before its look-up',
-		retained: 1,
-		play: async (records, controller) => {
-			const revision = await leaveOut(records, controller)
-			beforeRequest(controller, `job/${LOST}`, () => {
+		name: 'the record of the format appears, and a state is moved and archived, just before its lookup',
+		retainedStates: 1,
+		run: async (records, controller) => {
+			const revision = await finishOutsideMemory(records, controller)
+			beforeRequest(controller, `job/${LOST_JOB}`, () => {
 				records.setFormat(true)
-				records.moveToPage(LOST, revision)
+				records.moveToPage(LOST_JOB, revision)
 				records.archive()
 			})
-			const stream = await openedBy(controller)
+			const stream = await openStream(controller)
 			stream?.take()
 			return stream
 		},
 	},
 	{
-		name: 'the record of the format appears while a job that nobody accepted is awaited',
-		play: async (records, controller) => {
-			records.accept(OPEN)
-			const stream = await openedBy(controller)
+		name: 'the record of the format appears while a stream waits for a job that is not accepted yet',
+		run: async (records, controller) => {
+			records.accept(OPEN_JOB)
+			const stream = await openStream(controller)
 			stream?.take()
 			records.setFormat(true)
 			await controller.read()
-			records.accept(LOST)
-			records.endOnPage(LOST)
+			records.accept(LOST_JOB)
+			records.finishOnPage(LOST_JOB)
 			records.archive()
-			records.removeAcceptance(LOST)
+			records.removeAcceptance(LOST_JOB)
 			return stream
 		},
 	},
 	{
-		name: 'a job ends on a page while changes are missed',
-		watchLog: MISSED_CHANGES.watchLog,
-		play: async (records, controller) => {
-			records.accept(OPEN)
-			records.accept(LOST)
-			const stream = await openedBy(controller)
+		name: 'a terminal state is written to a page while changes are missed',
+		retainedChanges: MISSED_CHANGES.retained,
+		run: async (records, controller) => {
+			records.accept(OPEN_JOB)
+			records.accept(LOST_JOB)
+			const stream = await openStream(controller)
 			stream?.take()
-			records.endOnPage(LOST)
-			records.makeChanges(MISSED_CHANGES.count)
+			records.finishOnPage(LOST_JOB)
+			records.makeUnrelatedChanges(MISSED_CHANGES.count)
 			return stream
 		},
 	},
 	{
-		name: 'a job ends on a page while changes are missed, and the page changes during the full read',
-		watchLog: MISSED_CHANGES.watchLog,
-		play: async (records, controller) => {
+		name: 'a terminal state is written to a page while changes are missed, and the page changes during the full read',
+		retainedChanges: MISSED_CHANGES.retained,
+		run: async (records, controller) => {
 			records.fillFirstPage()
-			for (const uid of [OPEN, LOST, OTHER]) records.accept(uid)
-			const stream = await openedBy(controller)
+			for (const uid of [OPEN_JOB, LOST_JOB, OTHER_JOB]) records.accept(uid)
+			const stream = await openStream(controller)
 			stream?.take()
-			records.endOnPage(LOST)
-			records.makeChanges(MISSED_CHANGES.count)
+			records.finishOnPage(LOST_JOB)
+			records.makeUnrelatedChanges(MISSED_CHANGES.count)
 			changePageDuringFullRead(records, controller)
 			return stream
 		},
 	},
 	{
-		name: 'an open job ends and is archived while changes are missed',
-		watchLog: MISSED_CHANGES.watchLog,
-		play: async (records, controller) => {
+		name: 'an open job finishes and is archived while changes are missed',
+		retainedChanges: MISSED_CHANGES.retained,
+		run: async (records, controller) => {
 			records.setFormat(false)
-			records.accept(OPEN)
-			records.accept(LOST)
-			const stream = await openedBy(controller)
+			records.accept(OPEN_JOB)
+			records.accept(LOST_JOB)
+			const stream = await openStream(controller)
 			stream?.take()
-			records.endOnPage(LOST)
+			records.finishOnPage(LOST_JOB)
 			records.archive()
-			records.removeAcceptance(LOST)
-			records.makeChanges(MISSED_CHANGES.count)
+			records.removeAcceptance(LOST_JOB)
+			records.makeUnrelatedChanges(MISSED_CHANGES.count)
 			return stream
 		},
 	},
 	{
-		name: 'an awaited job is accepted, ends and is archived while changes are missed',
-		watchLog: MISSED_CHANGES.watchLog,
-		play: async (records, controller) => {
+		name: 'a job that the stream waits for is accepted, finishes and is archived while changes are missed',
+		retainedChanges: MISSED_CHANGES.retained,
+		run: async (records, controller) => {
 			records.setFormat(false)
-			records.accept(OPEN)
-			const stream = await openedBy(controller)
+			records.accept(OPEN_JOB)
+			const stream = await openStream(controller)
 			stream?.take()
-			records.accept(LOST)
-			records.endOnPage(LOST)
+			records.accept(LOST_JOB)
+			records.finishOnPage(LOST_JOB)
 			records.archive()
-			records.removeAcceptance(LOST)
-			records.makeChanges(MISSED_CHANGES.count)
+			records.removeAcceptance(LOST_JOB)
+			records.makeUnrelatedChanges(MISSED_CHANGES.count)
 			return stream
 		},
 	},
 	{
-		name: 'of two full reads at the same time the older one is applied last',
-		play: async (records, controller) => {
+		name: 'of two concurrent full reads the older one is applied last',
+		run: async (records, controller) => {
 			records.setFormat(false)
-			records.accept(OPEN)
-			records.accept(LOST)
+			records.accept(OPEN_JOB)
+			records.accept(LOST_JOB)
 			let deliver = () => {}
-			controller.delayAnswer = () => {
-				controller.delayAnswer = () => null
+			controller.delayResponse = () => {
+				controller.delayResponse = () => null
 				return new Promise((done) => {
 					deliver = done
 				})
 			}
-			const olderRead = controller.readAll()
-			records.endOnPage(LOST)
+			const olderRead = controller.readAllKeys()
+			records.finishOnPage(LOST_JOB)
 			records.archive()
-			records.removeAcceptance(LOST)
+			records.removeAcceptance(LOST_JOB)
 			await controller.read()
 			deliver()
 			await olderRead
-			const stream = await openedBy(controller)
+			const stream = await openStream(controller)
 			stream?.take()
 			return stream
 		},
 	},
 	{
-		name: 'a job is archived before a slow reader has taken its state of the snapshot',
-		retained: 1,
-		play: async (records, controller) => {
+		name: 'a job is archived before a slow reader has read its state from the snapshot',
+		retainedStates: 1,
+		run: async (records, controller) => {
 			records.setFormat(false)
-			for (const uid of [OPEN, LOST, OTHER, LATER]) records.accept(uid)
-			records.endOnPage(LOST)
-			const stream = await openedBy(controller)
+			for (const uid of [OPEN_JOB, LOST_JOB, OTHER_JOB, LATER_JOB]) records.accept(uid)
+			records.finishOnPage(LOST_JOB)
+			const stream = await openStream(controller)
 			stream?.take(1)
 			records.archive()
-			records.removeAcceptance(LOST)
+			records.removeAcceptance(LOST_JOB)
 			await controller.read()
-			records.endOnPage(OTHER)
-			records.endOnPage(LATER)
+			records.finishOnPage(OTHER_JOB)
+			records.finishOnPage(LATER_JOB)
 			return stream
 		},
 	},
 	{
-		name: 'look-ups for another stream push an archived state out before it is taken',
-		retained: 1,
-		play: async (records, controller) => {
+		name: 'lookups for another stream evict an archived state before it is read',
+		retainedStates: 1,
+		run: async (records, controller) => {
 			records.setFormat(false)
-			records.accept(OPEN)
-			records.endOnPage(LOST)
-			records.endOnPage(OTHER)
+			records.accept(OPEN_JOB)
+			records.finishOnPage(LOST_JOB)
+			records.finishOnPage(OTHER_JOB)
 			records.archive()
-			const stream = await openedBy(controller)
+			const stream = await openStream(controller)
 			stream?.take(1)
-			await openedBy(controller, { uids: [OTHER] })
+			await openStream(controller, { uids: [OTHER_JOB] })
 			return stream
 		},
 	},
 	{
-		name: 'the stream names more archived jobs than the controller keeps',
-		retained: 1,
-		play: async (records, controller) => {
+		name: 'the stream selects more archived jobs than the controller retains',
+		retainedStates: 1,
+		run: async (records, controller) => {
 			records.setFormat(false)
-			records.accept(OPEN)
-			records.endOnPage(LOST)
-			records.endOnPage(OTHER)
+			records.accept(OPEN_JOB)
+			records.finishOnPage(LOST_JOB)
+			records.finishOnPage(OTHER_JOB)
 			records.archive()
-			return openedBy(controller, { uids: [OPEN, LOST, OTHER] })
+			return openStream(controller, { uids: [OPEN_JOB, LOST_JOB, OTHER_JOB] })
 		},
 	},
 ]
 
-/** Plays an order, and reads once more; the stream then tells what is there to be told, at most so many events. */
-export const playOrder = async ({ retained, watchLog, play }: Order, atMost?: number) => {
-	const records = new Records(watchLog)
-	const controller = new SteppedController(records, retained)
-	const stream = await play(records, controller)
+/** Runs an interleaving and reads once more; the stream then delivers what is available, up to `maxEvents` events. */
+export const runInterleaving = async (
+	{ retainedStates, retainedChanges, run }: Interleaving,
+	maxEvents?: number,
+) => {
+	const records = new Records(retainedChanges)
+	const controller = new SteppedController(records, retainedStates)
+	const stream = await run(records, controller)
 	await controller.read()
-	return { records, controller, stream: stream?.take(atMost) ?? null }
+	return { records, controller, stream: stream?.take(maxEvents) ?? null }
 }
