--- a/tests/client.test.ts
+++ b/tests/client.test.ts
@@ -24,15 +24,15 @@
 import { toOutcome } from '../packages/client/src/http.js'
 import { hasTimeForRetry, retryDelayMs } from '../packages/client/src/retry.js'
 
-/** For the example of the manual; it is killed after that. */
-const EXAMPLE_MS = 120_000
+/** Time after which the manual's example is killed. */
+const EXAMPLE_TIMEOUT_MS = 120_000
 const limits = { idleTimeoutMs: 5000, requestTimeoutMs: 5000, maxSockets: 2000 }
 
-/** A service whose faults follow from a seed: it may accept a submission or not, and answer or not. */
+/** Starts a service with seeded faults: it may refuse a submission, or accept it and not respond. */
 const startFaultyService = async (seed: number, drawFault: (random: () => number) => string) => {
 	const rng = xoroshiro128plus(seed)
 	const random = () => uniformFloat64(rng)
-	/** ids under which jobs were accepted, by the label that the caller gave the job */
+	/** ids under which jobs were accepted, by the caller's label of the job */
 	const acceptedIds = new Map<string, Set<string>>()
 	const faults: Record<string, number> = {}
 	const server = await startHttpServer('127.0.0.1:0', limits, (call, reply: Respond) => {
@@ -44,14 +44,14 @@
 		const label = String(body.bundle)
 		acceptedIds.set(label, (acceptedIds.get(label) ?? new Set()).add(uid))
 		if (fault === 'silent') return
-		// As in a crash of the process, the connections of all other calls are lost too.
+		// As in a crash of the process, the connections of all other calls break too.
 		if (fault === 'reset') return server.closeAllConnections()
 		reply({ status: 201, body: { uid, status: 'pending' } })
 	})
 	return { server, acceptedIds, faults, address: `127.0.0.1:${(server.address() as AddressInfo).port}` }
 }
 
-test('over thousands of lost answers, resets and refusals no submission becomes two jobs', async () => {
+test('with thousands of lost responses, resets and refusals no submission becomes two jobs', async () => {
 	const service = await startFaultyService(1, (random) => {
 		const drawn = random()
 		if (drawn < 0.08) return 'silent'
@@ -63,11 +63,11 @@
 	let next = 0
 	const errors: string[] = []
 	const worker = async () => {
-		for (let i = next++; i < submissions; i = next++) {
-			// Half of the submissions leave the id to the client.
-			const uid = i % 2 === 0 ? { uid: `job-${String(1_000_000 + i)}` } : {}
+		for (let index = next++; index < submissions; index = next++) {
+			// For half of the submissions the client generates the id.
+			const uid = index % 2 === 0 ? { uid: `job-${String(1_000_000 + index)}` } : {}
 			try {
-				const job = await client.submit({ ...uid, jobClass: 'any', team: 'core', image: `label-${i}` })
+				const job = await client.submit({ ...uid, jobClass: 'any', team: 'core', image: `label-${index}` })
 				assert.match(job.uid, JOB_ID_PATTERN)
 			} catch (error) {
 				errors.push(String(error))
@@ -89,7 +89,7 @@
 	const closed = await startFaultyService(1, () => 'answered')
 	closed.server.close()
 	const silent = await startFaultyService(2, () => 'silent')
-	const busy = await startHttpServer('127.0.0.1:0', limits, (_, reply) =>
+	const overloaded = await startHttpServer('127.0.0.1:0', limits, (_, reply) =>
 		reply({ status: 429, retryAfterS: 20 }),
 	)
 	const startAnswering = (status: number) =>
@@ -103,8 +103,8 @@
 		mayBeAccepted: boolean,
 	][] = [
 		['no connection', closed.address, DeadlineOver, false],
-		['no answer', silent.address, DeadlineOver, true],
-		['refused until later than the deadline', addressOf(busy), DeadlineOver, false],
+		['no response', silent.address, DeadlineOver, true],
+		['the requested delay exceeds the deadline', addressOf(overloaded), DeadlineOver, false],
 		['malformed', addressOf(servers[0]), MalformedJob, false],
 		['can never run', addressOf(servers[1]), NeverRuns, false],
 		['unknown', addressOf(servers[2]), UnknownJob, false],
@@ -116,7 +116,7 @@
 			.catch((caught) => caught)
 		assert.ok(error instanceof expectedError, `${name}: ${error}`)
 		assert.equal(error.mayBeAccepted, mayBeAccepted, name)
-		assert.match(error.uid, JOB_ID_PATTERN, 'it names the id')
+		assert.match(error.uid, JOB_ID_PATTERN, 'the error has the job id')
 		client.close()
 	}
 	const client = new Client({ http: [silent.address], deadlineMs: 20_000 })
@@ -127,14 +127,14 @@
 	assert.ok(error instanceof Interrupted && error.mayBeAccepted)
 	assert.ok(Date.now() - startedAt < 2000, 'at once')
 	client.close()
-	for (const server of [silent.server, busy, ...servers]) {
+	for (const server of [silent.server, overloaded, ...servers]) {
 		server.closeAllConnections()
 		server.close()
 	}
 	assert.equal(new Set(Array.from({ length: 1000 }, newUid)).size, 1000)
 })
 
-test('delays between tries', () => {
+test('retry delays', () => {
 	const failureWith = (changes: object) => ({
 		kind: 'retryable' as const,
 		text: '',
@@ -149,10 +149,10 @@
 		)
 	type Case = [name: string, tries: number, changes: object, addressCount: number, min: number, max: number]
 	const cases: Case[] = [
-		['the first', 1, {}, 1, 100, 200],
+		['the first delay', 1, {}, 1, 100, 200],
 		['it doubles', 4, {}, 1, 800, 1600],
-		['up to a bound', 30, {}, 1, 5000, 10_000],
-		['the delay that the service asked for is the least', 1, { retryAfterMs: 4000 }, 1, 4000, 5000],
+		['up to a limit', 30, {}, 1, 5000, 10_000],
+		['the delay that the service requested is the minimum', 1, { retryAfterMs: 4000 }, 1, 4000, 5000],
 		['no connection: the next address almost at once', 1, { isUnreachable: true }, 3, 0, 20],
 		['no connection to any address: a longer delay', 3, { isUnreachable: true }, 3, 100, 200],
 		[
@@ -163,11 +163,11 @@
 			0,
 			20,
 		],
-		['no connection for long: a bounded delay', 30, { isUnreachable: true }, 3, 1000, 2000],
+		['no connection for a long time: a bounded delay', 30, { isUnreachable: true }, 3, 1000, 2000],
 		['a lost connection: it doubles', 4, { isConnectionLost: true }, 3, 800, 1600],
-		['a connection lost again and again: a bounded delay', 30, { isConnectionLost: true }, 3, 1000, 2000],
+		['a connection lost repeatedly: a bounded delay', 30, { isConnectionLost: true }, 3, 1000, 2000],
 		[
-			'controllers that cannot serve again and again: a bounded delay',
+			'controllers that repeatedly cannot serve: a bounded delay',
 			30,
 			{ isNotServing: true, retryAfterMs: 1000 },
 			3,
@@ -175,24 +175,24 @@
 			2000,
 		],
 		[
-			'a controller that cannot serve asks for a longer delay',
+			'a controller that cannot serve requests a longer delay',
 			30,
 			{ isNotServing: true, retryAfterMs: 4000 },
 			3,
 			4000,
 			5000,
 		],
-		['overload again and again: up to the long bound', 30, { retryAfterMs: 1000 }, 3, 5000, 10_000],
+		['repeated overload: up to the long limit', 30, { retryAfterMs: 1000 }, 3, 5000, 10_000],
 	]
 	for (const [name, tries, changes, addressCount, min, max] of cases) {
 		const [low, high] = range(tries, changes, addressCount)
 		assert.ok(low >= min && high <= max, `${name}: ${low} to ${high}`)
 	}
-	assert.equal(hasTimeForRetry(0, 500, 400), false, 'a try after the deadline is not begun')
+	assert.equal(hasTimeForRetry(0, 500, 400), false, 'no attempt starts after the deadline')
 })
 
-/** Guards against readers that stay away longer and longer from controllers that only just started (incident 36). */
-test('a refusal of a controller that cannot serve is told from overload and from a lost connection', () => {
+/** Guards against growing retry delays while readers are refused by controllers that only just started (incident 36). */
+test('a refusal by a controller that cannot serve is distinguished from overload and from a lost connection', () => {
 	const grpcError = (code: status, details: string, retryAfterMs?: number) => {
 		const metadata = new Metadata()
 		if (retryAfterMs !== undefined) metadata.set('retry-after-ms', String(retryAfterMs))
@@ -231,8 +231,8 @@
 	const code = /```ts\n([\s\S]*?)```/.exec(page)?.[1]
 	assert.ok(code !== undefined)
 	const clock = new RealClock()
-	const day = { seed: 1, untilS: 0, jobs: [], faults: [], controllers: 1, up: 4, capacity: 0 }
-	const simulation = new Simulation({ ...day, report: { reportS: 0.5, leaseS: 6, cancelS: 14 } }, clock)
+	const cluster = { seed: 1, untilS: 0, jobs: [], faults: [], controllers: 1, up: 4, capacity: 0 }
+	const simulation = new Simulation({ ...cluster, report: { reportS: 0.5, leaseS: 6, cancelS: 14 } }, clock)
 	const port = await new Promise<number>((resolve) => {
 		simulation.started = (_, service) => {
 			void startHttpServer('127.0.0.1:0', limits, (call, reply) => service.handleRequest(call, reply)).then(
@@ -245,7 +245,7 @@
 		simulation.begin()
 	})
 	const { build } = await import('esbuild')
-	// Below the repository, where the libraries that are not bundled are found.
+	// Inside the repository, so that the libraries that are not bundled resolve.
 	const dir = mkdtempSync(join('target', 'example-'))
 	const file = join(dir, 'example.ts')
 	const http = `http: ['127.0.0.1:${port}'], pollMs: 300`
@@ -266,7 +266,7 @@
 	})
 	const child = spawn(process.execPath, [join(dir, 'example.mjs')], {
 		stdio: ['ignore', 'pipe', 'inherit'],
-		timeout: EXAMPLE_MS,
+		timeout: EXAMPLE_TIMEOUT_MS,
 		killSignal: 'SIGKILL',
 	})
 	let output = ''
@@ -276,7 +276,7 @@
 	const exitCode = await new Promise((done) => child.once('close', done))
 	clock.stop()
 	await simulation.end()
-	assert.equal(exitCode, 0, `null: it was killed after ${EXAMPLE_MS} ms; ${output}`)
+	assert.equal(exitCode, 0, `null: killed after ${EXAMPLE_TIMEOUT_MS} ms; ${output}`)
 	assert.match(output, /^job-\d+ pending\n/)
 	assert.match(output, /\njob-\d+ done: 3 of 3\n$/)
 })
--- a/tests/events.test.ts
+++ b/tests/events.test.ts
@@ -6,7 +6,7 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { FakeController, RecordLog, summaries, takeEvents } from './fake-event-controller.js'
 
-test('a stream delivers a snapshot, then the latest change of each job, and terminal states in their order', () => {
+test('a stream delivers a snapshot, then the latest change of each job, and terminal states in order', () => {
 	const records = new RecordLog()
 	records.change('job-000002', 'a', 0)
 	records.change('job-000001', 'a', 5, 'done')
@@ -35,9 +35,9 @@
 	assert.deepEqual(
 		summaries(takeEvents(team)),
 		['job-000002 running 1'],
-		'of states that were not taken only the latest is delivered',
+		'only the latest unread state of a job is delivered',
 	)
-	// After a takeover the number of running tasks is unknown for a while: that is no change.
+	// After a takeover the number of running tasks is unknown for a while, which does not count as a change.
 	controller.setRunning('job-000002', null)
 	controller.hub.publishChanges()
 	assert.deepEqual(takeEvents(team), [])
@@ -75,7 +75,7 @@
 	for (const stream of streams) takeEvents(stream)
 	records.change('job-000002', 'a', 5, 'done')
 	records.change('job-000001', 'a', 5, 'done')
-	// Its own write, the later one, is confirmed before the watch delivers the earlier one.
+	// Its own, later write is confirmed before the watch delivers the earlier one.
 	controller.apply(records.entries[records.entries.length - 1])
 	controller.hub.revisionAdvanced()
 	for (const stream of streams) assert.deepEqual(takeEvents(stream), [])
@@ -84,17 +84,20 @@
 		assert.deepEqual(summaries(takeEvents(stream)), ['job-000002 done 5', 'job-000001 done 5'])
 })
 
-test('over interruptions at any moment each terminal state is delivered exactly once and no state goes back', () => {
+test('with interruptions at any time each terminal state is delivered exactly once and no state goes back', () => {
 	for (let seed = 1; seed <= 60; seed++) {
 		const rng = xoroshiro128plus(seed)
-		const below = (n: number) => uniformInt(rng, 0, n - 1)
+		const randomBelow = (bound: number) => uniformInt(rng, 0, bound - 1)
 		const records = new RecordLog()
 		const controllers = [
 			new FakeController(records),
 			new FakeController(records),
 			new FakeController(records),
 		]
-		const uids = Array.from({ length: 30 }, (_, i) => `job-${String(100_000 + i * 7919).padStart(6, '0')}`)
+		const uids = Array.from(
+			{ length: 30 },
+			(_, index) => `job-${String(100_000 + index * 7919).padStart(6, '0')}`,
+		)
 		const openJobs = new Map<string, number>()
 		const selection: Selection = seed % 2 === 0 ? { team: 'a' } : { uids: uids.slice(0, 25) }
 		const selectedIds = new Set('team' in selection ? uids : selection.uids)
@@ -116,15 +119,15 @@
 			cursor = event.cursor
 		}
 		const resume = () => {
-			controller = controllers[below(3)]
-			// A controller does a linearizable read before it resumes a stream.
+			controller = controllers[randomBelow(3)]
+			// As controllers do a linearizable read before they resume a stream.
 			controller.read()
 			if (cursor === '') for (const uid of terminalStates.keys()) terminalStates.delete(uid)
 			subscription = controller.subscribe(selection, cursor)
 		}
 		for (let step = 0; step < 400; step++) {
-			const uid = uids[below(uids.length)]
-			const action = below(10)
+			const uid = uids[randomBelow(uids.length)]
+			const action = randomBelow(10)
 			if (action < 3) {
 				const doneCount = openJobs.get(uid)
 				if (doneCount === undefined && !started.has(uid)) {
@@ -141,16 +144,16 @@
 						uid,
 						'a',
 						5,
-						below(4) === 0 ? 'aborted' : 'done',
-						below(2) === 0 && records.revision > controller.revision(),
+						randomBelow(4) === 0 ? 'aborted' : 'done',
+						randomBelow(2) === 0 && records.revision > controller.revision(),
 					)
 				}
-			} else if (action < 5) controllers[below(3)].read(records.revision - below(3))
+			} else if (action < 5) controllers[randomBelow(3)].read(records.revision - randomBelow(3))
 			else if (action < 6) for (const each of controllers) each.hub.publishChanges()
-			else if (action < 7) controller.setRunning(uid, [null, 0, 1, 2][below(4)])
-			else if (action < 9) for (const event of takeEvents(subscription, 1 + below(4))) receive(event)
+			else if (action < 7) controller.setRunning(uid, [null, 0, 1, 2][randomBelow(4)])
+			else if (action < 9) for (const event of takeEvents(subscription, 1 + randomBelow(4))) receive(event)
 			else {
-				if (below(2) === 0) subscription.end(null)
+				if (randomBelow(2) === 0) subscription.end(null)
 				else controller.hub.endAll('not serving')
 				resume()
 			}
@@ -161,23 +164,29 @@
 			each.hub.publishChanges()
 		}
 		for (const event of takeEvents(subscription)) receive(event)
-		const ended = records.entries.filter((c) => c.final !== undefined && selectedIds.has(c.uid))
-		// A team's stream begins with open jobs: those terminal before its first event are not delivered.
+		const finished = records.entries.filter(
+			(recordChange) => recordChange.final !== undefined && selectedIds.has(recordChange.uid),
+		)
+		// A team's stream starts with the open jobs: those terminal before its first event are not delivered.
 		if ('uids' in selection)
-			assert.deepEqual([...terminalStates.keys()].sort(), ended.map((c) => c.uid).sort(), `seed ${seed}`)
+			assert.deepEqual(
+				[...terminalStates.keys()].sort(),
+				finished.map((recordChange) => recordChange.uid).sort(),
+				`seed ${seed}`,
+			)
 		else
-			for (const entry of ended)
+			for (const entry of finished)
 				if (doneCounts.has(entry.uid))
 					assert.ok(terminalStates.has(entry.uid), `seed ${seed}: ${entry.uid} lost`)
 	}
 })
 
-test('a cursor is valid at every controller of its installation, for its own selection only', () => {
+test('a cursor is valid at every controller of its installation, and only for its own selection', () => {
 	const records = new RecordLog()
 	records.change('job-000001', 'a', 0)
 	const [one, other] = [new FakeController(records), new FakeController(records)]
-	const elsewhere = new FakeController(records, 1000, 'there')
-	for (const controller of [one, other, elsewhere]) controller.read()
+	const otherInstallation = new FakeController(records, 1000, 'there')
+	for (const controller of [one, other, otherInstallation]) controller.read()
 	const [{ cursor }] = takeEvents(one.subscribe({ team: 'a' }), 1)
 	other.subscribe({ team: 'a' }, cursor)
 	const later = new CursorCodec('here', { team: 'a' }).encode({ phase: 'live', revision: 99, uid: '~' })
@@ -186,26 +195,26 @@
 		controller: FakeController,
 		selection: Selection,
 		cursor: string,
-		says: string,
+		expectedError: string,
 	][] = [
-		['another installation', elsewhere, { team: 'a' }, cursor, 'invalid cursor'],
+		['another installation', otherInstallation, { team: 'a' }, cursor, 'invalid cursor'],
 		['another team', other, { team: 'b' }, cursor, 'invalid cursor'],
-		['jobs instead', other, { uids: ['job-000001'] }, cursor, 'invalid cursor'],
+		['jobs instead of the team', other, { uids: ['job-000001'] }, cursor, 'invalid cursor'],
 		['forged', other, { team: 'a' }, '1.l.zz.~.aaaaaaaaaaaaaaaa', 'invalid cursor'],
 		['one character changed', other, { team: 'a' }, cursor.replace('.p.', '.l.'), 'invalid cursor'],
 		['truncated', other, { team: 'a' }, cursor.slice(0, -1), 'invalid cursor'],
-		['no cursor format', other, { team: 'a' }, 'x'.repeat(5000), 'invalid cursor'],
-		['of a future revision', other, { team: 'a' }, later, 'out of range'],
+		['not in the cursor format', other, { team: 'a' }, 'x'.repeat(5000), 'invalid cursor'],
+		['a future revision', other, { team: 'a' }, later, 'out of range'],
 	]
-	for (const [name, controller, selection, text, says] of cases)
+	for (const [name, controller, selection, text, expectedError] of cases)
 		assert.equal(
 			controller.hub.subscribe(selection, text, { onEventsAvailable: () => {}, onEnd: () => {} }),
-			says,
+			expectedError,
 			name,
 		)
 })
 
-test('a stream that breaks before its first event resumes where it began', () => {
+test('a stream that breaks before its first event resumes where it started', () => {
 	for (const selection of [{ team: 'a' }, { uids: ['job-000001'] }] as Selection[]) {
 		const records = new RecordLog()
 		records.change('job-000001', 'a', 0)
@@ -220,7 +229,7 @@
 	}
 })
 
-test('a reader behind the retained terminal states must begin anew, any other may resume', () => {
+test('a reader behind the retained terminal states must restart, any other may resume', () => {
 	const records = new RecordLog()
 	for (let i = 0; i < 40; i++) records.change(`job-00${1000 + i}`, i < 20 ? 'a' : 'b', 0)
 	const controller = new FakeController(records, 8)
@@ -235,31 +244,31 @@
 		controller.hub.subscribe({ team: 'a' }, cursors[0], { onEventsAvailable: () => {}, onEnd: () => {} }),
 		'out of range',
 	)
-	// No terminal state of this team was dropped, however many the other team had.
+	// No terminal state of this team was evicted, however many the other team had.
 	records.change('job-001020', 'b', 5, 'done')
 	controller.read()
 	assert.deepEqual(summaries(takeEvents(controller.subscribe({ team: 'b' }, cursors[1]), 1)), [
 		'job-001020 done 5',
 	])
-	// A named job's terminal state is found however old it is.
+	// A stream by ids finds a terminal state however old it is.
 	assert.deepEqual(summaries(takeEvents(controller.subscribe({ uids: ['job-001000'] }))), [
 		'job-001000 done 5',
 	])
 })
 
 test('the cost of a change does not depend on the number of streams, nor on how many are stalled', () => {
-	const cost = (streams: number, stalled: boolean) => {
+	const measureCost = (streams: number, stalled: boolean) => {
 		const records = new RecordLog()
 		for (let i = 0; i < 200; i++) records.change(`job-00${1000 + i}`, 'a', 0)
 		const controller = new FakeController(records)
 		controller.read()
 		const subscriptions = Array.from({ length: streams }, () => controller.subscribe({ team: 'a' }))
 		for (const subscription of subscriptions) takeEvents(subscription)
-		let reads = 0
-		const open = controller.openJob.bind(controller)
+		let jobReads = 0
+		const readJob = controller.openJob.bind(controller)
 		controller.openJob = (uid) => {
-			reads++
-			return open(uid)
+			jobReads++
+			return readJob(uid)
 		}
 		for (let round = 0; round < 50; round++) {
 			for (let i = 0; i < 10; i++) records.change(`job-00${1000 + i}`, 'a', round)
@@ -267,60 +276,64 @@
 			controller.hub.publishChanges()
 			if (!stalled) for (const subscription of subscriptions) takeEvents(subscription)
 		}
-		const before = reads
+		const readsWhileChanging = jobReads
 		const left = stalled ? takeEvents(subscriptions[0]).length : 0
-		return { reads: before, left }
+		return { reads: readsWhileChanging, left }
 	}
-	const [one, many] = [cost(1, true), cost(500, true)]
-	assert.equal(many.reads, one.reads, 'the work of a change does not depend on the streams')
-	assert.equal(one.left, 10, 'a reader that took nothing for 500 changes gets ten states')
+	const [one, many] = [measureCost(1, true), measureCost(500, true)]
+	assert.equal(many.reads, one.reads, 'the work per change does not depend on the streams')
+	assert.equal(one.left, 10, 'a reader that read nothing during 500 changes gets ten states')
 })
 
-test('streams are admitted within bounds, and refused readers get distinct retry times', () => {
+test('streams are admitted within limits, and refused readers get distinct retry delays', () => {
 	let now = 0
 	const limits = { streams: 10, streamsPerTeam: 6, jobIdsPerStream: 4, jobIds: 12, opensPerSecond: 5 }
 	const admission = new StreamAdmission(limits, () => now)
 	assert.equal(admission.admit('a', 5)?.reason, 'too many ids')
 	for (let i = 0; i < 5; i++) assert.equal(admission.admit('a', 0), null)
 	const refusals = Array.from({ length: 40 }, () => admission.admit('b', 0))
-	assert.ok(refusals.every((r) => r?.reason === 'too many begin'))
-	const times = refusals.map((r) => r!.retryAfterMs)
-	assert.ok(times.every((ms) => ms >= 1000 && ms <= 30_000))
-	assert.equal(new Set(times).size, times.length, 'each has a distinct retry time')
+	assert.ok(refusals.every((refusal) => refusal?.reason === 'too many begin'))
+	const delaysMs = refusals.map((refusal) => refusal!.retryAfterMs)
+	assert.ok(delaysMs.every((ms) => ms >= 1000 && ms <= 30_000))
+	assert.equal(new Set(delaysMs).size, delaysMs.length, 'each has a distinct retry delay')
 	now += 1000
 	assert.equal(admission.admit('a', 0), null)
-	assert.equal(admission.admit('a', 0)?.reason, 'too many streams', "a team's share")
-	for (const n of [4, 4, 4]) assert.equal(admission.admit('b', n), null)
-	assert.equal(admission.admit('c', 1)?.reason, 'too many streams', 'ids of all streams')
+	assert.equal(admission.admit('a', 0)?.reason, 'too many streams', 'the limit per team')
+	for (const idCount of [4, 4, 4]) assert.equal(admission.admit('b', idCount), null)
+	assert.equal(admission.admit('c', 1)?.reason, 'too many streams', 'the limit of ids of all streams')
 	assert.equal(admission.admit('c', 0), null)
-	assert.equal(admission.admit('c', 0)?.reason, 'too many streams', 'streams of all teams')
+	assert.equal(admission.admit('c', 0)?.reason, 'too many streams', 'the limit of streams of all teams')
 	admission.release('b', 4)
 	now += 1000
-	assert.equal(admission.admit('c', 4), null, 'a released stream makes room')
+	assert.equal(admission.admit('c', 4), null, 'a released stream frees its ids')
 })
 
-test('a burst for many readers is sent in bounded turns', () => {
+test('a burst for many readers is sent in turns of bounded length', () => {
 	const turns: (() => void)[] = []
 	const scheduler = new SendScheduler(10, (run) => turns.push(run))
 	const sent: number[] = []
-	const senders = Array.from({ length: 5 }, (_, i) => {
-		let left = i === 0 ? 1000 : 4
+	const senders = Array.from({ length: 5 }, (_, index) => {
+		let left = index === 0 ? 1000 : 4
 		return {
 			send: () => {
-				sent.push(i)
+				sent.push(index)
 				return --left > 0
 			},
 		}
 	})
 	for (const sender of senders) scheduler.enqueue(sender)
 	let longest = 0
-	for (let n = 0; n < 3; n++) {
+	for (let turn = 0; turn < 3; turn++) {
 		const before = sent.length
 		turns.shift()!()
 		longest = Math.max(longest, sent.length - before)
 	}
 	assert.equal(longest, 10, 'no turn exceeds its bound')
-	for (let i = 1; i < 5; i++)
-		assert.equal(sent.filter((x) => x === i).length, 4, 'the busy sender delays no other')
+	for (let senderIndex = 1; senderIndex < 5; senderIndex++)
+		assert.equal(
+			sent.filter((sentBy) => sentBy === senderIndex).length,
+			4,
+			'the busy sender delays no other sender',
+		)
 	assert.ok(comparePositions({ revision: 1, uid: 'b' }, { revision: 1, uid: 'a' }) > 0)
 })
--- a/tests/fake-event-controller.ts
+++ b/tests/fake-event-controller.ts
@@ -10,7 +10,7 @@
 	type Subscription,
 } from '@heathroad/events'
 
-/** The durable record changes of an installationId, in order. */
+/** The durable record changes of an installation, in order. */
 export class RecordLog {
 	revision = 0
 	readonly entries: {
@@ -94,7 +94,7 @@
 		this.hub.jobChanged(change.uid)
 	}
 
-	/** Reports a change of a record other than the job's state, such as progress that is deleted after the job finished. */
+	/** Reports a change of a record other than the job's state, such as progress deleted after the job finished. */
 	changeOtherRecord(uid: string): void {
 		this.hub.jobChanged(uid)
 	}
--- a/tests/grpc-servers.test.ts
+++ b/tests/grpc-servers.test.ts
@@ -1,7 +1,7 @@
 /**
- * The proxies of the check of streams went on to connect to the port of a crashed controller. Where other servers begin
- * meanwhile, in other checks or test files, one of them may get that port: a reader was then told by a server of another
- * installation that its cursor is invalid, and began anew (77 events after a gap in one of 160 runs, 16 at a time).
+ * Guards against proxies of the check of streams that keep connecting to the port of a crashed controller. A server of
+ * another check or test file may get that port: it belongs to another installation and rejects the reader's cursor, so
+ * that the reader restarts (77 events after a gap in one of 160 runs, 16 at a time).
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -11,7 +11,7 @@
 
 const CONTROLLERS = 3
 const waitUntil = async (isReady: () => boolean): Promise<void> => {
-	for (let checks = 0; checks < 200 && !isReady(); checks++) await new Promise((done) => setTimeout(done, 25))
+	for (let polls = 0; polls < 200 && !isReady(); polls++) await new Promise((done) => setTimeout(done, 25))
 	assert.ok(isReady())
 }
 
@@ -35,7 +35,7 @@
 	simulation.crash(0, 0.5)
 	assert.equal(servers.ports[0], 0)
 	assert.ok(servers.ports[1] > 0)
-	// One that crashes before its server listens has none either.
+	// A controller that crashes before its server listens has no port either.
 	await waitUntil(() => started.length > CONTROLLERS)
 	simulation.crash(0, 0.5)
 	await waitUntil(() => started.length > CONTROLLERS + 1)
--- a/tests/grpc.test.ts
+++ b/tests/grpc.test.ts
@@ -16,12 +16,12 @@
 import { arrayJob, RealClock, Simulation } from '@heathroad/testkit'
 import { Deadline } from './deadline.js'
 
-/** For one answer, or for a stream of a few events. */
-const ANSWER_MS = 30_000
+/** Limit for one response, or for a stream of a few events. */
+const RESPONSE_TIMEOUT_MS = 30_000
 
-/** What `work` resolves with, or an error that says which answer did not come in time. */
-const answered = async <T>(name: string, work: Promise<T>): Promise<T> => {
-	const deadline = new Deadline(ANSWER_MS)
+/** Resolves as `work` does; fails with an error that names the missing response after `RESPONSE_TIMEOUT_MS`. */
+const withinDeadline = async <T>(name: string, work: Promise<T>): Promise<T> => {
+	const deadline = new Deadline(RESPONSE_TIMEOUT_MS)
 	try {
 		return await deadline.within(() => name, work)
 	} finally {
@@ -29,7 +29,7 @@
 	}
 }
 
-/** Runs `work` against the gRPC server of one controller among fakes, in real time. */
+/** Runs `work` with the gRPC server of one controller of a simulation in real time. */
 const withServer = async (
 	settings: Partial<ReturnType<typeof defaultGrpcSettings>>,
 	work: (context: {
@@ -41,8 +41,8 @@
 	prepare: (simulation: Simulation) => void = () => {},
 ): Promise<void> => {
 	const clock = new RealClock()
-	const day = { seed: 1, untilS: 0, jobs: [], faults: [], controllers: 1, up: 4, capacity: 0 }
-	const simulation = new Simulation({ ...day, report: { reportS: 0.5, leaseS: 6, cancelS: 14 } }, clock)
+	const cluster = { seed: 1, untilS: 0, jobs: [], faults: [], controllers: 1, up: 4, capacity: 0 }
+	const simulation = new Simulation({ ...cluster, report: { reportS: 0.5, leaseS: 6, cancelS: 14 } }, clock)
 	let server: GrpcServer | null = null
 	let started: Promise<number> = Promise.resolve(0)
 	simulation.started = (_, node) => {
@@ -59,7 +59,7 @@
 	const Client = jobsClient()
 	const client = new Client(`127.0.0.1:${port}`, credentials.createInsecure())
 	try {
-		// The machine types and the installation's id are known a moment after the start.
+		// The machine types and the installation's id are known only shortly after the start.
 		for (let attempt = 0; attempt < 100; attempt++) {
 			const error = await streamError(client.Watch({ uids: ['job-000000'] }), 150)
 			if (error === null || error.code !== status.UNAVAILABLE) break
@@ -74,7 +74,7 @@
 	}
 }
 
-/** The error with which a stream ends within a time; null: it does not end. */
+/** The error with which a stream ends within `ms`; null: it does not end. */
 const streamError = (call: ClientReadableStream<EventMessage>, ms = 3000): Promise<ServiceError | null> =>
 	new Promise((resolve) => {
 		const timer = setTimeout(() => {
@@ -92,12 +92,12 @@
 const unary = (
 	call: (done: (error: ServiceError | null, response?: unknown) => void) => void,
 ): Promise<ServiceError | unknown> =>
-	answered(
-		'the answer to a unary call',
+	withinDeadline(
+		'the response to a unary call',
 		new Promise((resolve) => call((error, response) => resolve(error ?? response))),
 	)
 
-test('calls and their status codes, as users of gRPC expect them', async () => {
+test('calls have the status codes that users of gRPC expect', async () => {
 	await withServer({ maxIdsPerStream: 5 }, async ({ client }) => {
 		const submit = (job: object) => unary((done) => client.Submit(job, done))
 		const validRequest = toSubmitRequest(
@@ -105,8 +105,12 @@
 		)
 		const job = (await submit(validRequest)) as { uid: string; state: string; tasks: number }
 		assert.deepEqual([job.uid, job.state, job.tasks], ['job-000001', 'STATE_PENDING', 2])
-		assert.equal(((await submit(validRequest)) as { uid: string }).uid, 'job-000001', 'a retry gets the job')
-		const cases: [name: string, answer: Promise<unknown>, code: status, says: RegExp][] = [
+		assert.equal(
+			((await submit(validRequest)) as { uid: string }).uid,
+			'job-000001',
+			'a retry returns the job',
+		)
+		const cases: [name: string, reply: Promise<unknown>, code: status, expectedDetails: RegExp][] = [
 			[
 				'no uid',
 				submit({ ...validRequest, uid: '' }),
@@ -165,36 +169,36 @@
 			['a wrong id', streamError(client.Watch({ uids: ['job-1'] })), status.INVALID_ARGUMENT, /^uids: /],
 			[
 				'too many ids',
-				streamError(client.Watch({ uids: [1, 2, 3, 4, 5, 6].map((i) => `job-00000${i}`) })),
+				streamError(client.Watch({ uids: [1, 2, 3, 4, 5, 6].map((index) => `job-00000${index}`) })),
 				status.RESOURCE_EXHAUSTED,
 				/too many ids/,
 			],
 			[
-				'a made-up cursor',
+				'a forged cursor',
 				streamError(client.Watch({ team: 'core', cursor: 'x' })),
 				status.INVALID_ARGUMENT,
 				/^cursor: /,
 			],
 		]
-		for (const [name, answer, code, says] of cases) {
-			const error = (await answer) as ServiceError
+		for (const [name, reply, code, expectedDetails] of cases) {
+			const error = (await reply) as ServiceError
 			assert.equal(error?.code, code, `${name}: ${JSON.stringify(error)}`)
-			assert.match(error.details, says, name)
+			assert.match(error.details, expectedDetails, name)
 		}
 		const seen: string[] = []
 		const readAll = async () => {
 			for await (const event of client.Watch({ uids: ['job-000001'] }) as AsyncIterable<EventMessage>)
 				seen.push(event.state)
 		}
-		await answered('the end of the stream of a job', readAll())
+		await withinDeadline('the end of the stream of a job', readAll())
 		assert.equal(seen[seen.length - 1], 'STATE_DONE', 'the stream ends once all of its jobs are terminal')
-		assert.equal(seen.filter((s) => s === 'STATE_DONE').length, 1)
+		assert.equal(seen.filter((seenState) => seenState === 'STATE_DONE').length, 1)
 	})
 })
 
-test('streams beyond the bounds are refused at once with a retry delay, in trailers and as RetryInfo', async () => {
+test('streams beyond the limits are refused immediately with a retry delay, in trailers and as RetryInfo', async () => {
 	await withServer({ maxStreams: 3 }, async ({ client, server }) => {
-		const streams = [1, 2, 3].map((i) => client.Watch({ uids: [`job-00000${i}`] }))
+		const streams = [1, 2, 3].map((index) => client.Watch({ uids: [`job-00000${index}`] }))
 		for (const stream of streams) stream.on('error', () => {})
 		for (let attempt = 0; attempt < 50 && server.openStreamCount < 3; attempt++)
 			await new Promise((done) => setTimeout(done, 20))
@@ -208,7 +212,7 @@
 		streams[0].cancel()
 		for (let attempt = 0; attempt < 50 && server.openStreamCount > 2; attempt++)
 			await new Promise((done) => setTimeout(done, 20))
-		assert.equal(server.openStreamCount, 2, 'an ended stream makes room')
+		assert.equal(server.openStreamCount, 2, 'an ended stream frees its slot')
 		for (const stream of streams) stream.cancel()
 	})
 })
@@ -218,9 +222,9 @@
 		const stream = client.Watch({ team: 'core' })
 		const ended = streamError(stream)
 		const firstCursor = new Promise<string>((done) =>
-			stream.once('metadata', (m) => done(String(m.get('cursor')[0]))),
+			stream.once('metadata', (sentHeaders) => done(String(sentHeaders.get('cursor')[0]))),
 		)
-		// Sent with the headers: a stream that breaks before its first event has no other cursor.
+		// The headers have a cursor, for streams that break before their first event.
 		assert.match(String(await Promise.race([firstCursor, ended])), /^1\.p\./)
 		await server.stop(500)
 		const error = await ended
@@ -229,13 +233,13 @@
 	})
 })
 
-test('hostile peers: nothing that they send delays other clients', async () => {
+test('hostile peers cannot delay other clients', async () => {
 	await withServer({ maxConnections: 12, stallTimeoutS: 1 }, async ({ port, client }) => {
 		const assertServing = async (name: string) => {
 			const error = (await unary((done) => client.Get({ uid: 'job-009999' }, done))) as ServiceError
 			assert.equal(error.code, status.NOT_FOUND, name)
 		}
-		// Bytes of other protocols, or none at all.
+		// Bytes of other protocols, and a connection without any.
 		for (const text of ['GET / HTTP/1.1\r\nhost: x\r\n\r\n', '\x00'.repeat(100), '']) {
 			const socket = net.connect(port).on('error', () => {})
 			socket.write(text)
@@ -264,7 +268,7 @@
 				stream.resume()
 				stream.end(body)
 			})
-			return answered(`the response to ${path}`, response)
+			return withinDeadline(`the response to ${path}`, response)
 		}
 		const frame = (length: number, body: Buffer) => Buffer.concat([Buffer.from([0]), u32(length), body])
 		const u32 = (value: number) => {
@@ -294,16 +298,16 @@
 			`a malformed message: ${malformedCode}`,
 		)
 		const manyHeaders: http2.OutgoingHttpHeaders = {}
-		for (let i = 0; i < 400; i++) manyHeaders[`x-${i}`] = 'y'.repeat(200)
+		for (let index = 0; index < 400; index++) manyHeaders[`x-${index}`] = 'y'.repeat(200)
 		await raw('/heathroad.v1.Jobs/Get', manyHeaders)
 		await assertServing('a flood of headers')
 		session.destroy()
-		// Opens streams and never reads: its flow-control window is zero.
+		// A client that opens streams and never reads: its flow-control window is zero.
 		const unread = http2
 			.connect(`http://127.0.0.1:${port}`, { settings: { initialWindowSize: 0 } })
 			.on('error', () => {})
 		const uids = frame(12, Buffer.from([0x0a, 10, ...Buffer.from('job-009998')]))
-		for (let i = 0; i < 50; i++) {
+		for (let opened = 0; opened < 50; opened++) {
 			const stream = unread.request({
 				':method': 'POST',
 				':path': '/heathroad.v1.Jobs/Watch',
@@ -314,7 +318,7 @@
 			stream.end(uids)
 		}
 		await assertServing('streams without a reader')
-		// More connections than allowed: those that are open are still served.
+		// More connections than allowed: the ones that are already open are still served.
 		const connections = Array.from({ length: 30 }, () => net.connect(port).on('error', () => {}))
 		await new Promise((done) => setTimeout(done, 200))
 		await assertServing('more connections than allowed')
@@ -323,7 +327,7 @@
 	})
 })
 
-test('health and reflection are served beside the jobs', async () => {
+test('health and reflection are served next to the jobs service', async () => {
 	await withServer({}, async ({ port }) => {
 		const identity = (bytes: Buffer) => bytes
 		const method = (path: string, stream: boolean) => ({
@@ -356,18 +360,18 @@
 		const response = new Promise<Buffer>((resolve) => {
 			const call = raw.reflect()
 			call.on('data', resolve)
-			call.on('error', (e) => resolve(Buffer.from(String(e))))
+			call.on('error', (failure) => resolve(Buffer.from(String(failure))))
 			// list_services
 			call.write(Buffer.from([0x3a, 0]))
 			call.end()
 		})
-		const listed = await answered('the response to a reflection request', response)
+		const listed = await withinDeadline('the response to a reflection request', response)
 		assert.match(listed.toString('latin1'), /heathroad\.v1\.Jobs/)
 		raw.close()
 	})
 })
 
-test('archived jobs are delivered as all others are, each terminal state once, over a resume', async () => {
+test('archived jobs are delivered like all others, each terminal state once, also when a stream is resumed', async () => {
 	const archive = (simulation: Simulation) => {
 		const items = [
 			{ ordinal: ordinalOf('job-000100'), aborted: false, taskCount: 3, doneCount: 3, revision: 2 },
@@ -394,8 +398,12 @@
 				1,
 				4,
 			])
-			const again = toSubmitRequest(arrayJob('job-000100', { tasks: 3 }))
-			assert.deepEqual(summary(await unary((done) => client.Submit(again, done))), ['STATE_DONE', 3, 3])
+			const resubmission = toSubmitRequest(arrayJob('job-000100', { tasks: 3 }))
+			assert.deepEqual(summary(await unary((done) => client.Submit(resubmission, done))), [
+				'STATE_DONE',
+				3,
+				3,
+			])
 			const watchFor = (uids: string[], cursor: string, ms: number) =>
 				new Promise<{ events: EventMessage[]; ended: boolean }>((resolve) => {
 					const call = client.Watch({ uids, cursor })
@@ -404,14 +412,14 @@
 						call.cancel()
 						resolve({ events, ended })
 					}
-					call.on('data', (e: EventMessage) => events.push(e))
+					call.on('data', (jobEvent: EventMessage) => events.push(jobEvent))
 					call.on('error', () => {})
 					call.on('end', () => done(true))
 					setTimeout(() => done(false), ms)
 				})
 			const both = await watchFor(['job-000100', 'job-000200'], '', 2000)
 			assert.deepEqual(
-				both.events.map((e) => [e.uid, e.state]),
+				both.events.map((jobEvent) => [jobEvent.uid, jobEvent.state]),
 				[
 					['job-000100', 'STATE_DONE'],
 					['job-000200', 'STATE_CANCELLED'],
@@ -420,7 +428,7 @@
 			assert.ok(both.ended, 'no event can follow')
 			const second = await watchFor(['job-000100', 'job-000200'], both.events[0].cursor, 2000)
 			assert.deepEqual(
-				second.events.map((e) => e.uid),
+				second.events.map((jobEvent) => jobEvent.uid),
 				['job-000200'],
 			)
 			const three = ['job-000100', 'job-000200', 'job-000300']
--- a/tests/mixed-versions.test.ts
+++ b/tests/mixed-versions.test.ts
@@ -1,11 +1,12 @@
 /**
- * Clients and servers of the previous version (575715b) next to current ones, as in a rolling upgrade. Previous readers by
- * ids resume at a cursor; current ones start each stream with the current state, and current servers deliver late states.
+ * Clients and servers of the previous version (575715b) next to current ones, as in a rolling upgrade. Previous readers
+ * by ids resume at a cursor; current ones start each stream with the current state, and current servers deliver late
+ * states.
  *
- * The current client gets each terminal event once from any mix of servers, as soon as one stream that has them all lasts
- * long enough. The previous client gets each one once as long as all its streams are at current servers. It can lose an
- * event after a stream at a previous server: that server's cursor also covers states that it did not know, the previous
- * client trusts the cursor, and no later server can tell it from one whose states were all delivered.
+ * The current client gets each terminal event once from any mix of servers, as soon as one stream that has them all
+ * lasts long enough. The previous client gets each one once as long as all its streams are at current servers. It can
+ * lose an event after a stream at a previous server: that server's cursor also covers states that it did not know, the
+ * previous client trusts the cursor, and no later server can tell it from one whose states were all delivered.
  */
 import assert from 'node:assert/strict'
 import { type TestContext, test } from 'node:test'
--- a/tests/previous-versions.ts
+++ b/tests/previous-versions.ts
@@ -1,6 +1,6 @@
 /**
- * Fakes of the previous version's client and servers (575715b) for streams by ids. In that version both sides took a cursor
- * as proof that every terminal state before it had been delivered.
+ * Fakes of the previous version's client and servers (575715b) for streams by ids. In that version both sides took a
+ * cursor as proof that every terminal state before it had been delivered.
  */
 import { type ClientReadableStream, Metadata, type ServiceError, status } from '@grpc/grpc-js'
 import { CursorCodec, type StreamPosition } from '@heathroad/events'
@@ -13,7 +13,7 @@
 
 /** When a reader cancels its stream. */
 export interface ReadOptions {
-	/** number of events after which the reader cancels the stream, evaluated after each event; 0: once the headers arrive */
+	/** number of events after which the reader cancels, evaluated after each event; 0: once the headers arrive */
 	cancelAfter?: () => number
 	/** cancels the stream when aborted */
 	signal?: AbortSignal
@@ -22,8 +22,8 @@
 const isTerminal = (state: string): boolean => state === 'STATE_DONE' || state === 'STATE_CANCELLED'
 
 /**
- * A reader of the previous version. Each stream resumes at the cursor of the latest event, or of the headers if there was no
- * event yet. Repeated terminal events are dropped, and the watch ends when a server completes a stream.
+ * A reader of the previous version. Each stream resumes at the cursor of the latest event, or of the headers if there
+ * was no event yet. Repeated terminal events are dropped, and the watch ends when a server completes a stream.
  */
 export class PreviousVersionReader {
 	/** jobs of the terminal events that were passed on, in order */
@@ -101,7 +101,7 @@
  * delivered, also those that it does not know.
  */
 export class PreviousVersionServer {
-	/** `terminalRevisions`: revision at which each job's terminal state became durable; `missingJobs`: unknown to this server. */
+	/** `terminalRevisions`: where each job's terminal state became durable; `missingJobs`: unknown to this server. */
 	constructor(
 		private readonly terminalRevisions: ReadonlyMap<string, number>,
 		private readonly missingJobs: readonly string[],
--- a/tests/simulated-watch.ts
+++ b/tests/simulated-watch.ts
@@ -1,6 +1,6 @@
 /**
- * Watches of the client library at the controllers of a simulation, in virtual time: the real watcher with its retries and
- * the real hubs and subscriptions, connected by links that break or lose what a controller sends.
+ * Watches of the client library at the controllers of a simulation, in virtual time: the real watcher with its retries
+ * and the real hubs and subscriptions, connected by links that break or lose what a controller sends.
  */
 import timers from 'node:timers/promises'
 import type { JobEvent as ServerEvent, Subscription } from '@heathroad/events'
@@ -136,7 +136,7 @@
 		}
 	}
 
-	/** Does the steps of a Watch call at a controller: linearizable read, lookup of states outside memory, subscription. */
+	/** The steps of a Watch call at a controller: linearizable read, lookup of states outside memory, subscription. */
 	private async subscribe(
 		server: ControllerStreams,
 		connection: Connection,
--- a/tests/stepped-controller.ts
+++ b/tests/stepped-controller.ts
@@ -180,7 +180,7 @@
 export class SteppedController {
 	readonly records: ServiceRecords
 	readonly hub: EventHub
-	/** Called with the path before each request to the state service is handled, so that the response reflects what it writes. */
+	/** Called with the path before each request to the state service; the response reflects what it writes. */
 	beforeRequest: (path: string) => void = () => {}
 	/** Delays the response to a request until the promise resolves; null: no delay. */
 	delayResponse: (path: string) => Promise<void> | null = () => null
@@ -221,7 +221,7 @@
 		this.records.hub = this.hub
 	}
 
-	/** Does a linearizable read: of all keys at first and where changes are no longer retained, otherwise of the changes. */
+	/** Does a linearizable read: of the changes, or of all keys if it is the first or changes are no longer retained. */
 	async read(): Promise<void> {
 		if (!(await Effect.runPromise(this.service.linearizableRead())))
 			throw new Error('the linearizable read failed')
--- a/tests/stream-check-days.ts
+++ b/tests/stream-check-days.ts
@@ -1,6 +1,6 @@
 /**
- * The check of streams (`testkit/stream-checks.ts`) as days in virtual time: the same jobs, faults and readers, without
- * sockets, so that a seed always gives the same order of events.
+ * The check of streams (`testkit/stream-checks.ts`) as simulated days in virtual time: the same jobs, faults and
+ * readers, without sockets, so that a seed always gives the same sequence of events.
  */
 import type { JobEvent, Selection } from '@heathroad/client'
 import { arrayJob, type Fault, Simulation, VirtualClock } from '@heathroad/testkit'
@@ -10,33 +10,34 @@
 const MACHINES = 12
 export const JOBS = 30
 const SUBMIT_INTERVAL_MS = 25
-/** Every ninth job is cancelled, so long after its submission. */
+/** Every ninth job is cancelled. */
 const CANCEL_EVERY = 9
+/** Time from the submission of a job to its cancellation. */
 const CANCEL_AFTER_MS = 100
-/** When the first job, which tells that the readers of the team have begun, and the others are submitted, in ms. */
-const SUBMIT_FROM_MS = { first: 1600, others: 2500 }
-/** When readers begin, in ms; the late ones while most jobs are over. */
+/** When jobs are submitted, in ms; the sentinel shows that the reader by team has started. */
+const SUBMIT_FROM_MS = { sentinel: 1600, others: 2500 }
+/** When readers start, in ms; the late ones when most jobs have finished. */
 const READ_FROM_MS = { early: 1500, late: [3500, 6000, 12_000] }
-/** Mean pause between faults in ms, and until when there are some. */
+/** Mean interval between faults, and when they start and stop, in ms. */
 const FAULTS = { everyMs: 250, fromMs: 2600, untilMs: 70_000 }
-/** Faults are drawn from 0 to 1: below the first limit a cut, below the second lost answers, above it a crash. */
-const FAULT_LIMITS = { cut: 0.5, loss: 0.75 }
+/** Upper limits of a random number in [0, 1) that selects the kind of a fault; above both it is a crash. */
+const FAULT_LIMITS = { disconnect: 0.5, responseLoss: 0.75 }
 const RESPONSE_LOSS_MS = 250
 const MIN_RESTART_S = 0.4
 const UNTIL_S = 75
 const LAST_SUBMISSION_MS = SUBMIT_FROM_MS.others + (JOBS - 1) * SUBMIT_INTERVAL_MS
-/** Jobs of days with different seeds have ids this far apart. */
+/** Distance between the job ids of consecutive seeds. */
 const IDS_PER_SEED = 100
 const FIRST_JOB = 700_000
 const FIRST_SENTINEL_JOB = 600_000
-/** Every job has to be over so long after the last submission, in ms: what the check of streams allows. */
+/** Limit for all jobs to finish after the last submission, in ms, as in the check of streams. */
 export const MAX_COMPLETION_MS = 60_000
 
-/** What a reader was told. */
+/** Records the events of one reader. */
 export class DayReader {
 	readonly terminalStates = new Map<string, string>()
 	readonly anomalies: string[] = []
-	/** when the last terminal event arrived, in ms of the day */
+	/** when the last terminal event arrived, in ms of virtual time */
 	lastEventAtMs = 0
 	private readonly doneCounts = new Map<string, number>()
 
@@ -48,8 +49,9 @@
 	observe({ uid, state, done, afterGap }: JobEvent, atMs: number): void {
 		const terminal = this.terminalStates.get(uid)
 		if (terminal !== undefined) this.anomalies.push(`${this.name}: ${uid} ${state} after ${terminal}`)
-		const doneBefore = this.doneCounts.get(uid) ?? 0
-		if (done < doneBefore) this.anomalies.push(`${this.name}: ${uid} went back from ${doneBefore} to ${done}`)
+		const previousDone = this.doneCounts.get(uid) ?? 0
+		if (done < previousDone)
+			this.anomalies.push(`${this.name}: ${uid} went back from ${previousDone} to ${done}`)
 		this.doneCounts.set(uid, done)
 		if (afterGap) this.anomalies.push(`${this.name}: a gap`)
 		if (state !== 'done' && state !== 'cancelled') return
@@ -61,7 +63,7 @@
 		return this.uids.filter((uid) => !this.terminalStates.has(uid))
 	}
 
-	/** Findings of the events that it missed; jobs that are not over have none. */
+	/** Findings for missed events; jobs that have not finished have none. */
 	missedEvents(unfinished: ReadonlySet<string>): string[] {
 		return this.missingJobs()
 			.filter((uid) => !unfinished.has(uid))
@@ -69,21 +71,21 @@
 	}
 }
 
-/** A day that was played. */
+/** The result of a simulated day. */
 export interface StreamCheckDay {
 	simulation: Simulation
 	readers: readonly DayReader[]
-	/** events that readers missed, and everything else that was wrong */
+	/** missed events, invariant violations, failed watches and other anomalies */
 	findings: string[]
-	/** from the last submission until the last reader had every terminal event, in ms */
+	/** time from the last submission to the last terminal event that any reader received, in ms */
 	completedAfterMs: number
 	log: readonly string[]
 }
 
-const jobsOf = (uids: readonly string[], first: string) => [
+const submissionsOf = (uids: readonly string[], sentinel: string) => [
 	{
-		atS: SUBMIT_FROM_MS.first / 1000,
-		spec: arrayJob(first, { tasks: 1, cpus: 0.5, expectedS: 0.3, spot: false }),
+		atS: SUBMIT_FROM_MS.sentinel / 1000,
+		spec: arrayJob(sentinel, { tasks: 1, cpus: 0.5, expectedS: 0.3, spot: false }),
 	},
 	...uids.map((uid, index) => {
 		const atMs = SUBMIT_FROM_MS.others + index * SUBMIT_INTERVAL_MS
@@ -104,20 +106,20 @@
 
 interface LinkFault {
 	atMs: number
-	kind: 'cut' | 'loss'
+	kind: 'disconnect' | 'responseLoss'
 	controller: number
 }
 
-/** All faults follow from the seed alone, not from what happens on the day. */
+/** The faults of a seed; they depend on nothing else. */
 const faultsOf = (seed: number): { crashes: Fault[]; linkFaults: LinkFault[] } => {
 	const generator = new VirtualClock(seed)
 	const crashes: Fault[] = []
 	const linkFaults: LinkFault[] = []
 	for (let atMs = FAULTS.fromMs; atMs < FAULTS.untilMs; atMs += FAULTS.everyMs * (0.5 + generator.random())) {
 		const controller = Math.floor(generator.random() * CONTROLLERS)
-		const kind = generator.random()
-		if (kind < FAULT_LIMITS.cut) linkFaults.push({ atMs, kind: 'cut', controller })
-		else if (kind < FAULT_LIMITS.loss) linkFaults.push({ atMs, kind: 'loss', controller })
+		const drawn = generator.random()
+		if (drawn < FAULT_LIMITS.disconnect) linkFaults.push({ atMs, kind: 'disconnect', controller })
+		else if (drawn < FAULT_LIMITS.responseLoss) linkFaults.push({ atMs, kind: 'responseLoss', controller })
 		else
 			crashes.push({
 				atS: atMs / 1000,
@@ -134,7 +136,7 @@
 	simulation.clock.after(
 		fault.atMs,
 		() => {
-			if (fault.kind === 'cut') {
+			if (fault.kind === 'disconnect') {
 				link.breakConnections()
 				return
 			}
@@ -147,18 +149,18 @@
 	)
 }
 
-const simulationOf = (seed: number, uids: readonly string[], crashes: readonly Fault[]): Simulation =>
+const createSimulation = (seed: number, uids: readonly string[], crashes: readonly Fault[]): Simulation =>
 	new Simulation({
 		seed,
 		untilS: UNTIL_S,
-		jobs: jobsOf(uids, `job-${FIRST_SENTINEL_JOB + seed}`),
+		jobs: submissionsOf(uids, `job-${FIRST_SENTINEL_JOB + seed}`),
 		faults: crashes,
 		report: { reportS: 0.5, leaseS: 6, cancelS: 14 },
 		up: MACHINES,
 		capacity: 0,
 	})
 
-/** The readers of a day: by ids, by team, and by ids from a cursor that the caller kept. */
+/** The readers of a day: by ids, by team, and by ids from a cursor that the caller saved. */
 class DayReaders {
 	readonly readers: DayReader[] = []
 	/** watches that failed */
@@ -170,7 +172,7 @@
 		private readonly uids: readonly string[],
 	) {}
 
-	/** Schedules the beginning of all readers. */
+	/** Schedules the start of all readers. */
 	schedule(): void {
 		const { clock } = this.simulation
 		const { uids } = this
@@ -209,7 +211,7 @@
 		}
 	}
 
-	/** A caller that keeps the cursor of its first event, and begins another watch there. */
+	/** Reads as a caller that saves the cursor of its first event and starts another watch there. */
 	private async readFromCursor(reader: DayReader): Promise<void> {
 		const { simulation, links, uids } = this
 		for await (const event of createWatcher(simulation, links).watch({ uids }, {})) {
@@ -220,11 +222,11 @@
 	}
 }
 
-/** Plays the day of a seed. */
+/** Runs the day of a seed. */
 export const runStreamCheckDay = async (seed: number): Promise<StreamCheckDay> => {
 	const uids = Array.from({ length: JOBS }, (_, index) => `job-${FIRST_JOB + seed * IDS_PER_SEED + index}`)
 	const { crashes, linkFaults } = faultsOf(seed)
-	const simulation = simulationOf(seed, uids, crashes)
+	const simulation = createSimulation(seed, uids, crashes)
 	const log: string[] = []
 	simulation.tell = (line) => log.push(line)
 	const links = createReaderLinks(simulation, CONTROLLERS)
@@ -236,13 +238,13 @@
 	const { readers, errors } = dayReaders
 	const { violations } = simulation.invariants
 	const unfinished = new Set(simulation.invariants.unfinishedJobs())
-	const missing = readers.flatMap((reader) => reader.missedEvents(unfinished))
-	const wrong = readers.flatMap((reader) => reader.anomalies)
+	const missedEventFindings = readers.flatMap((reader) => reader.missedEvents(unfinished))
+	const anomalies = readers.flatMap((reader) => reader.anomalies)
 	const lastEventAtMs = Math.max(...readers.map((reader) => reader.lastEventAtMs))
 	return {
 		simulation,
 		readers,
-		findings: [...violations, ...errors, ...missing, ...wrong],
+		findings: [...violations, ...errors, ...missedEventFindings, ...anomalies],
 		completedAfterMs: lastEventAtMs - LAST_SUBMISSION_MS,
 		log,
 	}
--- a/tests/stream-completion.test.ts
+++ b/tests/stream-completion.test.ts
@@ -1,13 +1,13 @@
 /**
- * Terminal events that readers of named jobs missed, and waited for without an end.
+ * Guards against terminal events that readers by ids missed and waited for forever.
  *
- * - A record of a job that is over may still change: the progress of a cancelled job is deleted some seconds after its
- *   end. The hub took each such change for another terminal state. The stream delivered the state again, which clients
- *   drop, and counted one more delivered job: a stream of two jobs ended as complete after two deliveries of the same one.
- *   Seen in the server's trace as `complete` while a named job was open.
- * - A controller knows its own write before the watch reports it. A stream that began in between held the terminal state
- *   back until its revision is visible, but nobody woke it then: the hub remembered such states only while it had other
- *   streams. Seen as a stream with one event in its list and no call of `onEventsAvailable`.
+ * - A record of a terminal job may still change: the progress of a cancelled job is deleted some seconds after it
+ *   finished. The hub took each such change for another terminal state: the stream delivered the state again, which
+ *   clients drop, and counted one more delivered job. A stream of two jobs was completed after two deliveries of the
+ *   same one, seen in the server's trace as `complete` while a job was open.
+ * - A controller knows its own write before the watch reports it. A stream opened in between held the terminal state
+ *   back until its revision was visible, but was not woken then, since the hub recorded such states only while it had
+ *   other streams. Seen as a stream with one queued event and no call of `onEventsAvailable`.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -25,10 +25,10 @@
 	return { records, controller }
 }
 
-test('a record of a delivered job that changes again neither repeats its terminal state nor completes the stream', () => {
+test('a later change of a delivered job neither repeats its terminal state nor completes the stream', () => {
 	for (const { name, deliversFirst } of [
-		{ name: 'the terminal state was delivered live', deliversFirst: true },
-		{ name: 'the terminal state is part of the snapshot, not delivered yet', deliversFirst: false },
+		{ name: 'the terminal state was delivered as a live event', deliversFirst: true },
+		{ name: 'the terminal state is in the snapshot, not delivered yet', deliversFirst: false },
 	]) {
 		const { records, controller } = openTwoJobs()
 		if (!deliversFirst) {
@@ -46,7 +46,7 @@
 		controller.changeOtherRecord(FIRST)
 		const expected = deliversFirst ? [] : [`${FIRST} cancelled 2`, `${SECOND} pending 0`]
 		assert.deepEqual(summaries(takeEvents(stream)), expected, name)
-		if (deliversFirst) assert.equal(stream.cursor(), cursorBefore, `${name}: the position does not go back`)
+		if (deliversFirst) assert.equal(stream.cursor(), cursorBefore, `${name}: the cursor does not move back`)
 		assert.equal(stream.isComplete, false, `${name}: ${SECOND} is open`)
 		records.change(SECOND, 'a', 5, 'done')
 		controller.read()
@@ -55,11 +55,11 @@
 	}
 })
 
-test('a stream that begins between an own write and the watch that reports it is woken once the state is visible', () => {
+test('a stream opened between an own write and the watch that reports it is woken once the state is visible', () => {
 	for (const selection of [{ uids: [FIRST] }, { team: 'a' }]) {
 		const { records, controller } = openTwoJobs()
 		records.change(FIRST, 'a', 5, 'done')
-		// Its own write, confirmed before the watch: the records are visible up to the revision before.
+		// Its own write is confirmed before the watch reports it: the records are visible up to the previous revision.
 		controller.applyOwnWrite(records.entries[records.entries.length - 1])
 		let wakeUps = 0
 		const stream = controller.subscribe(selection, '', () => wakeUps++)
--- a/tests/stream-days.test.ts
+++ b/tests/stream-days.test.ts
@@ -6,7 +6,7 @@
 const CONTROLLERS = 3
 const READERS = 50
 
-test('fifty streams over days of crashes, outages and cuts: what they tell keeps the rules', async () => {
+test('fifty streams during crashes, outages and partitions deliver each terminal state once, and no state goes back', async () => {
 	const days: { name: string; faults: Fault[]; seed: number }[] = [
 		{
 			name: 'one, two and all controllers crash',
@@ -18,7 +18,7 @@
 			],
 		},
 		{
-			name: 'the state is down, a controller is cut from it, another stands still',
+			name: 'the state service is down, a controller is partitioned from it, another is frozen',
 			seed: 52,
 			faults: [
 				{ atS: 25, kind: 'stateDown', forS: 12 },
@@ -29,37 +29,39 @@
 		},
 	]
 	for (const { name, faults, seed } of days) {
-		const jobs = Array.from({ length: 24 }, (_, i) => ({
-			atS: 1 + i * 4,
-			spec: arrayJob(`job-0007${String(i).padStart(2, '0')}`, { tasks: 3 + (i % 9), expectedS: 6 }),
-			...(i % 8 === 7 ? { cancelAtS: 12 + i * 4 } : {}),
+		const jobs = Array.from({ length: 24 }, (_, index) => ({
+			atS: 1 + index * 4,
+			spec: arrayJob(`job-0007${String(index).padStart(2, '0')}`, { tasks: 3 + (index % 9), expectedS: 6 }),
+			...(index % 8 === 7 ? { cancelAtS: 12 + index * 4 } : {}),
 		}))
 		const simulation = new Simulation({ seed, untilS: 300, jobs, faults, loss: 0.01 })
 		const streams = streamsOf(simulation)
-		const wrong: string[] = []
-		const uids = jobs.map((j) => j.spec.uid)
+		const anomalies: string[] = []
+		const uids = jobs.map((job) => job.spec.uid)
 		let reconnects = 0
 		const readers = Array.from({ length: READERS }, (_, reader) => {
 			const selection: Selection = reader % 2 === 0 ? { team: 'core' } : { uids }
 			const terminalStates = new Map<string, string>()
-			const done = new Map<string, number>()
+			const doneCounts = new Map<string, number>()
 			const observe = (event: JobEvent) => {
 				const known = simulation.invariants.observedState(event.uid)
 				const status = event.state === 'cancelled' ? 'aborted' : event.state
 				if (terminalStates.has(event.uid))
-					wrong.push(`${reader}: ${event.uid} told ${event.state} after ${terminalStates.get(event.uid)}`)
-				if (event.done < (done.get(event.uid) ?? 0))
-					wrong.push(`${reader}: ${event.uid} went back to ${event.done}`)
-				done.set(event.uid, event.done)
+					anomalies.push(
+						`${reader}: ${event.uid} delivered as ${event.state} after ${terminalStates.get(event.uid)}`,
+					)
+				if (event.done < (doneCounts.get(event.uid) ?? 0))
+					anomalies.push(`${reader}: ${event.uid} went back to ${event.done}`)
+				doneCounts.set(event.uid, event.done)
 				if (status === 'done' || status === 'aborted') {
 					terminalStates.set(event.uid, event.state)
-					// A state that is not terminal may arrive a moment after another user observed the end; a terminal one never differs.
+					// Open states may arrive shortly after another user observed the end; terminal ones never differ.
 					simulation.invariants.observeStatus(event.uid, 200, status, known)
 				}
 			}
 			new StreamReader(simulation, streams, CONTROLLERS, selection, {
 				begun: () => reconnects++,
-				refused: (_controller, why) => wrong.push(`${reader}: ${why}`),
+				refused: (_controller, why) => anomalies.push(`${reader}: ${why}`),
 				heard: (_controller, event) => observe(event),
 			})
 			return { reader, terminalStates, selection }
@@ -67,12 +69,12 @@
 		await simulation.play()
 		assert.deepEqual(simulation.invariants.violations, [], name)
 		assert.deepEqual(simulation.invariants.unfinishedJobs(), [], name)
-		assert.deepEqual(wrong.slice(0, 5), [], name)
+		assert.deepEqual(anomalies.slice(0, 5), [], name)
 		assert.ok(reconnects > 500, `${reconnects} streams`)
-		// A team's stream begins with what is not over; the first job may have ended before a reader began.
+		// A team's stream starts with the open jobs; the first job may have finished before a reader started.
 		for (const { reader, terminalStates, selection } of readers)
 			for (const uid of uids)
 				if ('uids' in selection || uid !== uids[0])
-					assert.ok(terminalStates.has(uid), `${name}: ${reader} never heard of ${uid}`)
+					assert.ok(terminalStates.has(uid), `${name}: reader ${reader} received no terminal event of ${uid}`)
 	}
 })
--- a/tests/stream-interleavings.ts
+++ b/tests/stream-interleavings.ts
@@ -1,6 +1,6 @@
 /**
- * Interleavings of state reads, record changes and streams in which a stream may miss the terminal state of a job. Each runs
- * at a controller of the real service that reads the state service only when the interleaving says so.
+ * Interleavings of state reads, record changes and streams in which a stream may miss the terminal state of a job. Each
+ * runs at a controller of the real service that reads the state service only when the interleaving says so.
  */
 import assert from 'node:assert/strict'
 import { Records, SteppedController, type Stream } from './stepped-controller.js'
@@ -54,7 +54,7 @@
 export const changePageDuringFullRead = (records: Records, controller: SteppedController): void =>
 	beforeRequest(controller, '/store', () => records.finishOnPage(OTHER_JOB), 1)
 
-/** Writes a terminal state in the first record format that a full read leaves out of memory and the log does not retain. */
+/** Writes a terminal state in the first record format, neither kept in memory by a full read nor retained by the log. */
 const finishOutsideMemory = async (records: Records, controller: SteppedController): Promise<number> => {
 	records.accept(OPEN_JOB)
 	const revision = records.finishUnderOwnKey(LOST_JOB)
--- a/tests/stream-resumption.test.ts
+++ b/tests/stream-resumption.test.ts
@@ -1,9 +1,10 @@
 /**
- * Guards against terminal events that a reader misses because a cursor stands for every terminal state up to its revision.
+ * Guards against terminal events that a reader misses because a cursor stands for every terminal state up to its
+ * revision.
  *
- * A server that lacks a state still moves the cursor past it. If the state becomes known there later, the stream does not
- * deliver it; at the next server it is before the cursor, counts as delivered, and the stream ends as complete. All traces
- * of missed events have this in common (incidents 27, 30 and 32; the entry in KNOWN-RED.txt).
+ * A server that lacks a state still moves the cursor past it. If the state becomes known there later, the stream does
+ * not deliver it; at the next server it is before the cursor, counts as delivered, and the stream ends as complete. All
+ * traces of missed events have this in common (incidents 27, 30 and 32; the entry in KNOWN-RED.txt).
  *
  * The tests are deterministic: servers are scripted, or are controllers of the real service that read the state service
  * only when the test says so, while the test writes the records in a fixed order.
@@ -108,8 +109,8 @@
 }
 
 /**
- * Guards against a watch by ids that ends without the terminal event of a job: it must restart with the current state, drop
- * repeated events, and end only once it has one terminal event of each job.
+ * Guards against a watch by ids that ends without the terminal event of a job: it must restart with the current state,
+ * drop repeated events, and end only once it has one terminal event of each job.
  */
 const INCOMPLETE_SERVERS: { name: string; servers: Server[] }[] = [
 	{
@@ -160,8 +161,8 @@
 	})
 
 /**
- * Guards against two faults at a server that completes streams while a job is outstanding: the watch ends, or it retries
- * without a delay.
+ * Guards against two faults at a server that completes streams while a job is outstanding: the watch ends, or it
+ * retries without a delay.
  */
 test('a watch by ids continues at a server that always completes it too early, with growing retry delays', async () => {
 	const incompleteServer: Server = () => ({
@@ -185,8 +186,8 @@
 }
 
 /**
- * Guards against a stream that stays open and never delivers a durable terminal state, so that its reader waits forever.
- * The stream may be refused, or may end so that its reader retries.
+ * Guards against a stream that stays open and never delivers a durable terminal state, so that its reader waits
+ * forever. The stream may be refused, or may end so that its reader retries.
  */
 for (const interleaving of INTERLEAVINGS)
 	test(`an open stream by ids delivers each durable terminal state, or ends: ${interleaving.name}`, async () => {
@@ -195,8 +196,8 @@
 	})
 
 /**
- * Guards against a cursor that covers an undelivered state: the stream breaks before it delivers the state, and the next
- * controller, which knows every state, must not complete the stream without it.
+ * Guards against a cursor that covers an undelivered state: the stream breaks before it delivers the state, and the
+ * next controller, which knows every state, must not complete the stream without it.
  */
 for (const interleaving of INTERLEAVINGS)
 	test(`a cursor of a stream by ids covers no terminal state that was not delivered: ${interleaving.name}`, async () => {
@@ -224,8 +225,8 @@
 	})
 
 /**
- * Guards against a team's stream that continues past a state that it never delivered: it must deliver the state, or report
- * a gap so that its reader restarts.
+ * Guards against a team's stream that continues past a state that it never delivered: it must deliver the state, or
+ * report a gap so that its reader restarts.
  */
 const TEAM_INTERLEAVINGS: Interleaving[] = [
 	{
@@ -274,7 +275,7 @@
 	},
 ]
 
-/** What happens to the event of `LOST_JOB` for a reader by team, which resumes at the same controller if its stream ended. */
+/** As `outcomeOf`, for a reader by team that resumes at the same controller if its stream ended. */
 const outcomeForTeam = async (controller: SteppedController, stream: Stream): Promise<string> => {
 	const outcome = outcomeOf(stream)
 	if (outcome !== 'ends' || stream.endReasons.includes('too far behind')) return outcome
@@ -328,8 +329,8 @@
 })
 
 /**
- * Guards against a log that loses track of how far it was trimmed: the oldest states, which a full read returned last, were
- * trimmed last, and the log claimed to retain everything after them.
+ * Guards against a log that loses track of how far it was trimmed: the oldest states, which a full read returned last,
+ * were trimmed last, and the log claimed to retain everything after them.
  */
 test('a resumed stream of a team delivers what finished meanwhile or is rejected: a full read returns the oldest states last', async () => {
 	const records = new Records()
