--- a/tests/archival.test.ts
+++ b/tests/archival.test.ts
@@ -1,4 +1,4 @@
-/** When terminal states leave memory for the archive, over pages and over simulated days. */
+/** When terminal states move from memory to the archive: pages one by one, and whole simulated days with faults. */
 
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -50,7 +50,7 @@
 	assert.equal(stored.length, revisions.size)
 })
 
-test('an invalid terminal page is moved aside, not overwritten, and is never archived', () => {
+test('an invalid terminal page is moved to another key instead of overwritten, and is never archived', () => {
 	const invalid = { part: 0, over: [[1], 7] }
 	const { changes, taken } = appendToPage(0, { data: invalid, modRevision: 9 }, [terminalJob(1)], {
 		maxValueChars: 700,
@@ -73,11 +73,11 @@
 	const b = page('b', ['job-3', 7])
 	const c = page('c', ['job-4', 9])
 	for (const [description, epoch, referenced, onMachines, batch, keys] of [
-		['all are older than the archival epoch', 8, [], [], 2, ['a', 'b']],
-		['not enough for a batch', 8, [], [], 4, []],
-		['another record names one: its page stays, the next one is archived', 8, ['job-2'], [], 1, ['b']],
-		['an attempt of one may still be on a machine', 8, [], ['job-3'], 1, ['a']],
-		['one has the revision of the archival epoch', 7, [], [], 1, ['a']],
+		['all jobs are older than the archival epoch', 8, [], [], 2, ['a', 'b']],
+		['too few jobs for a batch', 8, [], [], 4, []],
+		['another record names a job: its page stays, the next page is archived', 8, ['job-2'], [], 1, ['b']],
+		['an attempt of a job may still be on a machine', 8, [], ['job-3'], 1, ['a']],
+		['a job has the revision of the archival epoch', 7, [], [], 1, ['a']],
 		['before any archival epoch', 0, [], [], 1, []],
 	] as const)
 		assert.deepEqual(
@@ -88,11 +88,11 @@
 			description,
 		)
 	assert.equal(mayAdvanceArchivalEpoch([5, 6, 9], 5, 1000, 900, 3), true)
-	assert.equal(mayAdvanceArchivalEpoch([5, 6, 9], 6, 1000, 900, 3), false, 'one is older than the epoch')
+	assert.equal(mayAdvanceArchivalEpoch([5, 6, 9], 6, 1000, 900, 3), false, 'a job is older than the epoch')
 	assert.equal(mayAdvanceArchivalEpoch([5, 6, 9], 5, 800, 900, 3), false, 'too soon')
 })
 
-const jobsOfDay = (count: number, intervalS: number) =>
+const submittedJobs = (count: number, intervalS: number) =>
 	Array.from({ length: count }, (_, i) => ({
 		atS: 1 + i * intervalS,
 		spec: arrayJob(`job-${String(i * 7717 + 100_003).padStart(6 + (i % 3) * 4, '0')}`, {
@@ -103,7 +103,7 @@
 		...(i % 7 === 3 ? { cancelAtS: 4 + i * intervalS } : {}),
 	}))
 
-test('over days of crashes, partitions and outages jobs are archived, and each is reported with its terminal state', async () => {
+test('on days with crashes, partitions and outages jobs are archived, and each is reported with its terminal state', async () => {
 	for (const [seed, faults] of [
 		[
 			71,
@@ -121,24 +121,27 @@
 			],
 		],
 	] as const) {
-		const jobs = jobsOfDay(150, 1)
-		const world = new Simulation({ seed, untilS: 420, capacity: 8, jobs, faults, loss: 0.01 })
+		const jobs = submittedJobs(150, 1)
+		const simulation = new Simulation({ seed, untilS: 420, capacity: 8, jobs, faults, loss: 0.01 })
 		let archived = 0
-		world.tell = (line) => {
+		simulation.tell = (line) => {
 			if (line.includes(' jobs archived ')) archived += Number(/"jobs":(\d+)/.exec(line)?.[1])
 		}
-		await world.play()
-		assert.deepEqual(world.invariants.violations, [], `seed ${seed}`)
-		assert.deepEqual(world.invariants.unfinished(), [], `seed ${seed}`)
-		assert.ok(archived > 75, `${archived} of 150 were archived`)
-		assert.ok(world.state.count('heathroad/') < 100, `${world.state.count('heathroad/')} keys are watched`)
-		assert.ok(world.state.count('heathroad-past/') > 0)
+		await simulation.play()
+		assert.deepEqual(simulation.invariants.violations, [], `seed ${seed}`)
+		assert.deepEqual(simulation.invariants.unfinished(), [], `seed ${seed}`)
+		assert.ok(archived > 75, `${archived} of 150 jobs were archived`)
+		assert.ok(
+			simulation.state.count('heathroad/') < 100,
+			`${simulation.state.count('heathroad/')} watched keys`,
+		)
+		assert.ok(simulation.state.count('heathroad-past/') > 0)
 	}
 })
 
 test('records of the first format are migrated while the service runs and crashes, and no terminal state is lost', async () => {
-	const jobs = jobsOfDay(30, 2)
-	const world = new Simulation({
+	const jobs = submittedJobs(30, 2)
+	const simulation = new Simulation({
 		seed: 73,
 		untilS: 500,
 		jobs,
@@ -148,7 +151,7 @@
 	for (const [i, uid] of legacyIds.entries()) {
 		const final = i % 5 === 0 ? 'aborted' : 'done'
 		const need = { team: 'core', cpus: 1, gpus: 0, ramGb: 1 }
-		world.state.put(`${KEY_PREFIX}job/${uid}`, {
+		simulation.state.put(`${KEY_PREFIX}job/${uid}`, {
 			part: i % 3,
 			final,
 			tasks: 4,
@@ -156,43 +159,43 @@
 			...(final === 'aborted' ? { count: 2 } : {}),
 		})
 	}
-	const wrongAnswers: string[] = []
-	let answers = 0
-	const askForStatus = (atS: number) =>
-		world.clock.after(atS * 1000, () => {
+	const wrongReplies: string[] = []
+	let replyCount = 0
+	const queryStatus = (atS: number) =>
+		simulation.clock.after(atS * 1000, () => {
 			const i = (atS * 37) % legacyIds.length
-			void world.sendRequest(atS % 3, 'GET', `/v2/runs/${legacyIds[i]}`, undefined).then((reply) => {
+			void simulation.sendRequest(atS % 3, 'GET', `/v2/runs/${legacyIds[i]}`, undefined).then((reply) => {
 				if (reply === null || reply.status === 503) return
-				answers++
+				replyCount++
 				const { status, done } = reply.body as { status?: string; done?: number }
 				if (status !== (i % 5 === 0 ? 'aborted' : 'done') || done !== (i % 5 === 0 ? 2 : 4))
-					wrongAnswers.push(`${legacyIds[i]} at ${atS}: ${reply.status} ${status} ${done}`)
+					wrongReplies.push(`${legacyIds[i]} at ${atS}: ${reply.status} ${status} ${done}`)
 			})
 		})
-	for (let atS = 5; atS < 495; atS += 2) askForStatus(atS)
+	for (let atS = 5; atS < 495; atS += 2) queryStatus(atS)
 	const jobKeysAfterStart: number[] = []
-	world.started = (_, node) => {
-		world.clock.after(5000, () => jobKeysAfterStart.push([...node.cache.withPrefix('job/')].length))
+	simulation.started = (_, node) => {
+		simulation.clock.after(5000, () => jobKeysAfterStart.push([...node.cache.withPrefix('job/')].length))
 	}
-	await world.play()
-	assert.deepEqual(world.invariants.violations, [])
-	assert.deepEqual(world.invariants.unfinished(), [])
-	assert.deepEqual(wrongAnswers, [])
-	assert.ok(answers > 150, `${answers} answers`)
-	assert.ok(Math.max(...jobKeysAfterStart) < 50, `${jobKeysAfterStart} job keys were in memory after a start`)
-	assert.equal(world.state.count(`${KEY_PREFIX}job/`), 0, 'all are migrated')
-	assert.ok(world.state.count('heathroad-past/') > 0)
+	await simulation.play()
+	assert.deepEqual(simulation.invariants.violations, [])
+	assert.deepEqual(simulation.invariants.unfinished(), [])
+	assert.deepEqual(wrongReplies, [])
+	assert.ok(replyCount > 150, `${replyCount} replies`)
+	assert.ok(Math.max(...jobKeysAfterStart) < 50, `job keys in memory after each start: ${jobKeysAfterStart}`)
+	assert.equal(simulation.state.count(`${KEY_PREFIX}job/`), 0, 'all records are migrated')
+	assert.ok(simulation.state.count('heathroad-past/') > 0)
 })
 
-test('records of a later format are refused', async () => {
-	const world = new Simulation({ seed: 74, untilS: 20, jobs: [], faults: [] })
-	world.state.put(`${KEY_PREFIX}history`, { form: 3, turn: 1 })
+test('records of a later format are rejected', async () => {
+	const simulation = new Simulation({ seed: 74, untilS: 20, jobs: [], faults: [] })
+	simulation.state.put(`${KEY_PREFIX}history`, { form: 3, turn: 1 })
 	const reasons: string[] = []
-	world.started = (_, node) => {
+	simulation.started = (_, node) => {
 		node.onUnsupportedFormat = (reason) => reasons.push(reason)
 	}
-	world.tell = () => {}
-	await world.play()
+	simulation.tell = () => {}
+	await simulation.play()
 	assert.ok(reasons.length >= 3)
 	assert.match(reasons[0], /form 3, which this version does not know/)
 })
--- a/tests/history.test.ts
+++ b/tests/history.test.ts
@@ -1,4 +1,4 @@
-/** The archive: packing, pages, archiver and reader, against a store in memory. */
+/** The archive: packing, pages, archiver and reader, with an in-memory store. */
 
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -35,7 +35,7 @@
 
 const SEED = { seed: 20_261_201 }
 
-/** Ids as users make them: of any width, with leading zeros, alone or in runs. */
+/** Job ids as users choose them: of any width, with leading zeros, scattered or consecutive. */
 const jobIds = fc
 	.tuple(fc.integer({ min: 6, max: 20 }), fc.bigInt({ min: 0n, max: 10n ** 20n - 1n }))
 	.map(([width, value]) => `job-${String(value % 10n ** BigInt(width)).padStart(width, '0')}`)
@@ -55,8 +55,8 @@
 		a.ordinal < b.ordinal ? -1 : 1,
 	)
 
-/** A store in memory that behaves as the fake state service. */
-const makeStore = () => {
+/** A store client backed by the fake state service, in memory. */
+const createStore = () => {
 	const state = new FakeStateStore(new VirtualClock(1))
 	const call = (method: string, path: string, body?: unknown) => {
 		let reply = { status: 0, body: {} as Record<string, unknown> }
@@ -79,10 +79,10 @@
 	return { list, write, entries }
 }
 
-const NO_PACING = () => new RequestPacer(0, () => 0)
-const HAS_LEVELS = () => true
+const createUnlimitedPacer = () => new RequestPacer(0, () => 0)
+const hasLevels = () => true
 
-/** Resolves a look-up of each job, all at once. */
+/** Looks up all jobs concurrently. */
 const lookUpAll = (reader: ArchiveReader, uids: readonly string[]): Promise<ArchiveLookup[]> =>
 	Effect.runPromise(Effect.forEach(uids, (uid) => reader.lookUp(uid), { concurrency: 'unbounded' }))
 const idsOf = (jobs: readonly ArchivedJob[]): string[] => jobs.map((job) => jobIdOf(job.ordinal))
@@ -125,7 +125,7 @@
 	)
 	const key = archivePageKey(1, '~')
 	for (const [description, data] of [
-		['no map', 7],
+		['not an object', 7],
 		['a range that ends before it begins', { from: '~~', depth: 0, deeper: false, packed: packedJobs }],
 		['no depth', { from: '', deeper: false, packed: packedJobs }],
 	] as const)
@@ -144,13 +144,13 @@
 
 type Write = [conditions: readonly Condition[], mutations: readonly Mutation[]]
 
-/** An archiver whose writes fail, are delayed and are repeated, as `draw` (0 to 9) decides. */
-const makeUnreliableArchiver = (store: ReturnType<typeof makeStore>, draw: () => number) => {
+/** An archiver whose writes are lost, delayed or applied without a response, as `draw` (0 to 9) decides. */
+const createUnreliableArchiver = (store: ReturnType<typeof createStore>, draw: () => number) => {
 	const delayedWrites: Write[] = []
 	const ownership = { owner: true }
 	const write = (...request: Write): WriteResult => {
 		const outcome = draw()
-		// Lost; applied without an answer; applied much later; an earlier one applied now; the ownership ends.
+		// Lost; applied without a response; applied much later; an earlier one applied now; ownership lost.
 		if (outcome === 0) return { kind: 'unknown' }
 		if (outcome === 1) {
 			store.write(...request)
@@ -171,7 +171,7 @@
 		isOwner: () => ownership.owner,
 		limits: { maxOperations: 4, maxValueChars: MODEL_VALUE_CHARS, maxBytes: 1200 },
 	})
-	/** Archives jobs, repeated until one of two controllers at once succeeds. */
+	/** Archives jobs from two controllers at once, and retries until one of them succeeds. */
 	const insert = async (jobs: readonly ArchivedJob[]): Promise<void> => {
 		for (let done = false; !done; ) {
 			ownership.owner = true
@@ -187,8 +187,8 @@
 	return { insert, applyDelayedWrites }
 }
 
-/** The pages of a level cover all of it, one after the other, and none is larger than a value may be. */
-const checkLevel = (store: ReturnType<typeof makeStore>, level: number): void => {
+/** Checks that the pages of a level cover all of it without gaps or overlaps, and that none exceeds the value limit. */
+const checkLevel = (store: ReturnType<typeof createStore>, level: number): void => {
 	let end = ''
 	for (const { key, data, modRevision } of store.entries(`heathroad-past/${level}/`)) {
 		const page = decodeArchivePage(level, key, data, modRevision)
@@ -199,18 +199,18 @@
 	if (end !== '') assert.equal(end, '~')
 }
 
-test('archive against a map: splits, levels, moves cut short, repeated or concurrent, delayed writes', async () => {
+test('the archive agrees with a map: splits, levels, interrupted, repeated or concurrent moves, delayed writes', async () => {
 	await fc.assert(
 		fc.asyncProperty(
 			fc.array(fc.array(archivedJobs, { minLength: 1, maxLength: 25 }), { minLength: 4, maxLength: 14 }),
 			fc.array(fc.integer({ min: 0, max: 9 }), { minLength: 200, maxLength: 200 }),
 			fc.array(jobIds, { maxLength: 10 }),
 			async (batches, draws, otherIds) => {
-				const store = makeStore()
+				const store = createStore()
 				const expected = new Map<string, ArchivedJob>()
 				let drawCount = 0
-				const archiver = makeUnreliableArchiver(store, () => draws[drawCount++ % draws.length])
-				const reader = new ArchiveReader(store, HAS_LEVELS, NO_PACING(), {
+				const archiver = createUnreliableArchiver(store, () => draws[drawCount++ % draws.length])
+				const reader = new ArchiveReader(store, hasLevels, createUnlimitedPacer(), {
 					maxCacheChars: 1500,
 					maxPendingLookups: 1000,
 					maxPagesPerRead: 4,
@@ -240,8 +240,8 @@
 	)
 })
 
-test('a full page is handed down a level, and its jobs are found there', async () => {
-	const store = makeStore()
+test('the jobs of a full page move down a level, and are found there', async () => {
+	const store = createStore()
 	const archiver = new Archiver({
 		client: store,
 		write: (conditions, mutations) => Effect.sync(() => store.write(conditions, mutations)),
@@ -249,7 +249,7 @@
 		isOwner: () => true,
 		limits: { maxOperations: 8, maxValueChars: 430, maxBytes: 4000 },
 	})
-	// Far more than 64 pages of a dozen jobs hold.
+	// Far more than fit on 64 pages of a dozen jobs.
 	const jobs = Array.from({ length: 3000 }, (_, i) =>
 		withTaskCount({
 			ordinal: ordinalOf(`job-${String((i * 7919) % 1_000_000).padStart(6, '0')}`),
@@ -263,21 +263,21 @@
 		assert.equal(await Effect.runPromise(archiver.insert(1, sortedDistinct(jobs.slice(i, i + 100)))), true)
 	const levels = [1, 2].map((level) => store.entries(`heathroad-past/${level}/`))
 	assert.ok(levels[0].length <= 64, `${levels[0].length} pages of the first level`)
-	assert.ok(levels[1].length > 64, `${levels[1].length} pages of the second`)
-	const reader = new ArchiveReader(store, HAS_LEVELS, NO_PACING(), {
+	assert.ok(levels[1].length > 64, `${levels[1].length} pages of the second level`)
+	const reader = new ArchiveReader(store, hasLevels, createUnlimitedPacer(), {
 		maxCacheChars: 40_000,
 		maxPendingLookups: 10_000,
 		maxPagesPerRead: 16,
 	})
 	assert.deepEqual(await lookUpAll(reader, idsOf(jobs)), jobs)
-	assert.ok(reader.reads < 400, `${reader.reads} reads for 3,000 look-ups at once`)
+	assert.ok(reader.reads < 400, `${reader.reads} reads for 3,000 concurrent lookups`)
 	assert.equal(await Effect.runPromise(reader.lookUp('job-999999999')), 'absent')
 })
 
-test('look-ups beyond the limit of pending ones are answered as unsure at once', async () => {
-	const store = makeStore()
+test('lookups beyond the limit of pending lookups are unsure at once', async () => {
+	const store = createStore()
 	const unresponsive: Pick<StoreClient, 'list'> = { list: () => Effect.never }
-	const reader = new ArchiveReader(unresponsive, HAS_LEVELS, NO_PACING(), {
+	const reader = new ArchiveReader(unresponsive, hasLevels, createUnlimitedPacer(), {
 		maxCacheChars: 1000,
 		maxPendingLookups: 3,
 		maxPagesPerRead: 4,
@@ -290,8 +290,8 @@
 	assert.equal(store.entries('').length, 0)
 })
 
-test('look-ups in an invalid page are unsure, those in other pages are answered', async () => {
-	const store = makeStore()
+test('lookups in an invalid page are unsure, those in other pages are resolved', async () => {
+	const store = createStore()
 	const middle = ordinalOf('job-500000')
 	const jobs = [
 		withTaskCount({
@@ -309,8 +309,8 @@
 	const failures: unknown[] = []
 	const reader = new ArchiveReader(
 		store,
-		HAS_LEVELS,
-		NO_PACING(),
+		hasLevels,
+		createUnlimitedPacer(),
 		{ maxCacheChars: 10_000, maxPendingLookups: 9, maxPagesPerRead: 4 },
 		(failure) => failures.push(failure),
 	)
@@ -326,21 +326,21 @@
 	assert.equal(await Effect.runPromise(reader.lookUp('job-700000')), 'unsure')
 })
 
-test('a read refused for its rate is repeated; one that fails otherwise makes the look-up unsure at once', async () => {
-	const store = makeStore()
-	for (const [status, expectedTries, expectedResult] of [
+test('a rate-limited read is retried; any other failed read makes the lookup unsure at once', async () => {
+	const store = createStore()
+	for (const [status, expectedReads, expectedResult] of [
 		[429, 3, 'absent'],
 		[503, 1, 'unsure'],
 	] as const) {
-		let tries = 0
+		let readCount = 0
 		const list: StoreClient['list'] = (...args) =>
-			++tries < 3 ? Effect.fail(new RequestRejected({ status })) : store.list(...args)
-		const reader = new ArchiveReader({ list }, HAS_LEVELS, NO_PACING(), {
+			++readCount < 3 ? Effect.fail(new RequestRejected({ status })) : store.list(...args)
+		const reader = new ArchiveReader({ list }, hasLevels, createUnlimitedPacer(), {
 			maxCacheChars: 1000,
 			maxPendingLookups: 3,
 			maxPagesPerRead: 4,
 		})
 		assert.equal(await Effect.runPromise(reader.lookUp('job-000001')), expectedResult)
-		assert.equal(tries, expectedTries)
+		assert.equal(readCount, expectedReads)
 	}
 })
--- a/tests/import-directions.test.ts
+++ b/tests/import-directions.test.ts
@@ -1,4 +1,4 @@
-/** Packages import only the packages that docs/architecture.md allows: what is below them. */
+/** Packages import only the packages below them, as docs/architecture.md allows: guards against dependency cycles. */
 import assert from 'node:assert/strict'
 import { readdirSync, readFileSync } from 'node:fs'
 import { join } from 'node:path'
@@ -57,7 +57,7 @@
 	return [...found]
 }
 
-test('every package has its allowed imports, and none of them points back up', () => {
+test('allowed imports are listed for every package, lower packages first', () => {
 	assert.deepEqual(readdirSync('packages').sort(), Object.keys(ALLOWED).sort())
 	const level = new Map(Object.keys(ALLOWED).map((name, index) => [name, index]))
 	for (const [name, allowed] of Object.entries(ALLOWED))
@@ -66,7 +66,7 @@
 })
 
 for (const [name, allowed] of Object.entries(ALLOWED))
-	test(`packages/${name} imports what is below it`, () => {
+	test(`packages/${name} imports only packages below it`, () => {
 		const wrong = importedBy(name).filter((imported) => !allowed.includes(imported))
 		assert.deepEqual(wrong, [])
 	})
--- a/tests/obsolete-records.test.ts
+++ b/tests/obsolete-records.test.ts
@@ -1,11 +1,11 @@
 /**
- * The removal of a machine from the records waited behind deletions of obsolete records (incident 29).
+ * Guards against the removal of a machine from the records waiting behind deletions of obsolete records (incident 29).
  *
- * Both had the priority of progress, and a tick queues as many deletions as half of a controller's changes take until the
- * next one. A controller that crashed meanwhile left a machine on record that had been returned, and the shard's next
- * owner started none of its old tasks before that machine's agent lease had surely ended. In a trace of the check of
- * streams: machine returned at 30.2 s, deletions at 29.6, 29.7, 29.9 and 30.1 s, crash after 30.5 s without a change of the
- * machine's group; the shard's owners then waited from 31.5 to 53.1 s, as none of them lived for an agent lease.
+ * Both had the priority of progress, and each tick queued enough deletions to use half of a controller's write rate until
+ * the next tick. A controller that crashed meanwhile left a machine on record that was already pendingReleases to the cloud, and the
+ * shard's next owner started none of its old tasks until that machine's agent lease had certainly expired. In a trace of
+ * the stream check: machine pendingReleases at 30.2 s, deletions at 29.6, 29.7, 29.9 and 30.1 s, crash after 30.5 s without a write
+ * to the machine group; the next owners waited from 31.5 to 53.1 s, as none of them stayed up for a whole agent lease.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -18,7 +18,7 @@
 
 const WRITES_PER_S = 5
 const LEASE_MS = 4000
-const OPERATIONS = 4
+const MAX_OPERATIONS = 4
 const STEP_MS = 100
 const GROUP_KEY = 'fleet/r'
 
@@ -27,7 +27,7 @@
 	modRevision: 2,
 }
 
-test('a machine that is gone leaves the records before obsolete records do', async (t) => {
+test('a pendingReleases machine is removed from the records before obsolete records are deleted', async (t) => {
 	t.mock.timers.enable({ apis: ['setTimeout'] })
 	let nowMs = 0
 	const sent: string[] = []
@@ -40,14 +40,14 @@
 	const limits = {
 		writesPerS: WRITES_PER_S,
 		burst: WRITES_PER_S,
-		maxOperations: OPERATIONS,
+		maxOperations: MAX_OPERATIONS,
 		maxBytes: 10_000,
 	}
 	const queue = new WriteQueue(client as StoreClient, limits, () => nowMs)
-	// A shard whose only machine is empty, and is returned as soon as it has been idle for half a boot.
+	// A shard whose only machine is empty, and is pendingReleases once it has been idle for half of its boot time.
 	const settings = plainSettings('a')
-	const released: ((gone: boolean) => void)[] = []
-	const ports = idlePorts({
+	const pendingReleases: ((gone: boolean) => void)[] = []
+	const dependencies = idlePorts({
 		now: () => nowMs,
 		entry: () => machineGroup,
 		withPrefix: (prefix) => (prefix === 'fleet/' ? [[GROUP_KEY, machineGroup]] : []),
@@ -65,7 +65,7 @@
 				tasks: [],
 			}),
 		availableCloudCalls: () => 10,
-		releaseMachines: (_ids, done) => released.push(done),
+		releaseMachines: (_ids, done) => pendingReleases.push(done),
 		enqueueWrite: (write) => {
 			const queued = { ...write, deadline: nowMs + LEASE_MS }
 			queue.enqueue(queued)
@@ -76,7 +76,7 @@
 		0,
 		3,
 		{ settings, ...DEFAULT_OPERATOR_SETTINGS, limits: deriveLimits(settings) },
-		ports,
+		dependencies,
 	)
 	const step = async () => {
 		await new Promise(setImmediate)
@@ -85,7 +85,7 @@
 		shard.tick()
 	}
 	for (let waitedMs = 0; waitedMs <= BOX_MACHINE_TYPE.bootS * 1000; waitedMs += STEP_MS) await step()
-	assert.equal(released.length, 1, 'the machine is being returned')
+	assert.equal(pendingReleases.length, 1, 'the machine is being pendingReleases')
 	const obsolete = Array.from({ length: 30 }, (_, index) => [`done/job-${index}/0`, { modRevision: index }])
 	const context = {
 		config: { limits: { writesPerS: WRITES_PER_S, controllerLeaseMs: LEASE_MS, controllerNames: ['a'] } },
@@ -95,9 +95,12 @@
 	} as unknown as ControllerContext
 	deleteObsoleteRecords(context, new Map([[0, shard]]))
 	await step()
-	released[0](true)
+	pendingReleases[0](true)
 	for (let waitedMs = 0; waitedMs < LEASE_MS / 2; waitedMs += STEP_MS) await step()
-	const removedAs = sent.findIndex((key) => key.endsWith(GROUP_KEY))
-	assert.ok(sent.length > OPERATIONS, 'obsolete records are deleted too')
-	assert.ok(removedAs >= 0 && removedAs <= OPERATIONS, `${sent.length} changes, among them: ${removedAs}`)
+	const removalIndex = sent.findIndex((key) => key.endsWith(GROUP_KEY))
+	assert.ok(sent.length > MAX_OPERATIONS, 'obsolete records are deleted too')
+	assert.ok(
+		removalIndex >= 0 && removalIndex <= MAX_OPERATIONS,
+		`the removal is write ${removalIndex} of ${sent.length}`,
+	)
 })
--- a/tests/policy.test.ts
+++ b/tests/policy.test.ts
@@ -1,3 +1,4 @@
+/** Policy functions: pipelines and budgets, range sets, reconciliation waits and the choice of a shard. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import {
@@ -46,7 +47,7 @@
 			finish: { a: 10, b: 60, c: 20, d: 70 },
 		},
 		{
-			name: 'one above the deepest parent',
+			name: 'one level after the deepest parent',
 			jobs: [job('a', [], 1), job('b', ['a'], 1), job('c', ['a', 'b'], 1)],
 			level: { a: 0, b: 1, c: 2 },
 			finish: { a: 10, b: 20, c: 30 },
@@ -64,9 +65,14 @@
 test('slowest-first split of a budget', () => {
 	const twoJobs = [job('a', [], 1), job('b', ['a'], 1)]
 	const cases: { name: string; jobs: PipelineJob[]; budget: number; shares: Record<string, number> }[] = [
-		{ name: 'exactly the cheapest', jobs: twoJobs, budget: 2, shares: { a: 1, b: 1 } },
-		{ name: 'the earliest is upgraded first', jobs: twoJobs, budget: 4, shares: { a: 3, b: 1 } },
-		{ name: 'everything fast, the rest spread over tasks', jobs: twoJobs, budget: 8, shares: { a: 4, b: 4 } },
+		{ name: 'exactly the cheapest options', jobs: twoJobs, budget: 2, shares: { a: 1, b: 1 } },
+		{ name: 'the earliest job is upgraded first', jobs: twoJobs, budget: 4, shares: { a: 3, b: 1 } },
+		{
+			name: 'fastest options for all, the rest spread over tasks',
+			jobs: twoJobs,
+			budget: 8,
+			shares: { a: 4, b: 4 },
+		},
 		{
 			name: 'too little: the earliest job is served first',
 			jobs: twoJobs,
@@ -135,17 +141,17 @@
 	assert.deepEqual(new RangeSet([0, 5, 8, 20]).slice(4, 10), [0, 1, 4, 6])
 })
 
-test('how long reconciliation waits for machines that do not answer', () => {
-	const cases: [name: string, missing: number, machines: number, patienceMs: number | null][] = [
+test('how long reconciliation waits for machines that do not respond', () => {
+	const cases: [name: string, missing: number, machines: number, expectedWaitMs: number | null][] = [
 		['one of two hundred', 1, 200, 1500],
 		['one of ten', 1, 10, 2000],
 		['an eighth', 25, 200, 2500],
 		['a quarter', 50, 200, 5000],
-		['more than a quarter: this controller is rather the one cut off', 51, 200, null],
+		['more than a quarter: this controller is more likely the partitioned one', 51, 200, null],
 		['the only one', 1, 1, null],
 	]
-	for (const [name, missing, machines, patienceMs] of cases)
-		assert.equal(reconciliationWaitMs(missing, machines, 5000), patienceMs, name)
+	for (const [name, missing, machines, expectedWaitMs] of cases)
+		assert.equal(reconciliationWaitMs(missing, machines, 5000), expectedWaitMs, name)
 })
 
 test('which shard a new job goes to', () => {
@@ -159,30 +165,30 @@
 	][] = [
 		['the least work for its CPUs', [shard(100, 500), shard(200, 800), shard(100, 600)], false, 0, 1],
 		['a tie goes to the preferred shard', [shard(100, 500), shard(100, 500)], false, 1, 1],
-		['a shard without machines can rent one', [shard(80, 800), shard(0, 60)], false, 0, 1],
+		['a shard without machines can scale out', [shard(80, 800), shard(0, 60)], false, 0, 1],
 		[
-			'while all shards can rent, one without machines counts as having an equal share',
+			'while all shards can scale out, one without machines counts as having an equal share',
 			[shard(300, 900), shard(0, 300)],
 			true,
 			0,
 			1,
 		],
 		[
-			'unreachable machines run nothing new (incident 17)',
+			'no new jobs for unreachable machines (incident 17)',
 			[shard(400, 100, true), shard(100, 500)],
 			true,
 			0,
 			1,
 		],
 		[
-			'a partitioned shard does not count as renting either',
+			'a partitioned shard does not count as able to scale out either',
 			[shard(0, 200, true), shard(100, 500), shard(100, 700)],
 			true,
 			0,
 			1,
 		],
 		[
-			'if all are partitioned, they compare as if none were',
+			'if all shards are partitioned, they compare as if none were',
 			[shard(100, 500, true), shard(100, 400, true)],
 			true,
 			0,
--- a/tests/regress.test.ts
+++ b/tests/regress.test.ts
@@ -1,3 +1,4 @@
+/** Comparison of a site's scores with its recorded score. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { compareScores, readEntry } from '../scripts/compare-scores.mjs'
@@ -12,9 +13,9 @@
 		scored: ReturnType<typeof readEntry>,
 		wrong: string[],
 	][] = [
-		['as before', 0.7, entry([day('a', 0.7)], 0.7), []],
+		['unchanged', 0.7, entry([day('a', 0.7)], 0.7), []],
 		['a fall within the noise', 0.7, entry([day('a', 0.67)], 0.67), []],
-		['a fall beyond it', 0.7, entry([day('a', 0.66)], 0.66), ['fell by 0.040, more than 0.03']],
+		['a fall beyond the noise', 0.7, entry([day('a', 0.66)], 0.66), ['fell by 0.040, more than 0.03']],
 		['a rise', 0.7, entry([day('a', 0.9)], 0.9), []],
 		['a site without a record', null, entry([day('a', 0.2)], 0.2), []],
 		[
@@ -24,7 +25,7 @@
 			['rule broken: ran_twice on b (2)', 'the day b counts for nothing'],
 		],
 		['a run that did not finish', 0.7, entry([], 0, { ok: false }), ['was not scored']],
-		['a run of another kind', 0.7, entry([], 0, { cmd: 'hunt' }), ['was not scored']],
+		['a journal entry of another command', 0.7, entry([], 0, { cmd: 'hunt' }), ['was not scored']],
 	]
 	for (const [name, recorded, scored, wrong] of cases) {
 		const table: Record<string, number> = recorded === null ? {} : { s: recorded }
--- a/tests/submission-queue.test.ts
+++ b/tests/submission-queue.test.ts
@@ -1,4 +1,4 @@
-/** The queue that makes accepted jobs durable: when outcomes are reported, which keys are used, and proofs of absence. */
+/** The queue that makes accepted jobs durable: when it reports outcomes, which keys it writes, and proofs of absence. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import type { JobRecord } from '@heathroad/cluster'
@@ -14,21 +14,21 @@
 import { arrayJob, plainSettings } from '@heathroad/testkit'
 import { Effect } from 'effect'
 
-type LookUpResult = 'absent' | 'unsure'
+type LookupResult = 'absent' | 'unsure'
 
-/** A search for a job ends as unknown after this time; no search of these tests takes as long. */
+/** Timeout of a search for a job, which no search of these tests reaches. */
 const SEARCH_TIMEOUT_MS = 60_000
 
-/** A submission queue over records, writes and look-ups that the test controls. */
+/** A submission queue whose records, writes and lookups the test controls. */
 const createHarness = () => {
 	const settings = plainSettings('ctl-0')
 	const knownJobs = new Map<string, JobRecord>()
 	const queuedWrites: QueuedWrite[] = []
 	const revisionWaiters: { revision: number; done: (ok: boolean) => void }[] = []
 	const state = { revision: 5, archivalEpoch: 3, provesAbsent: true }
-	const pendingLookUps: ((result: LookUpResult) => void)[] = []
+	const pendingLookups: ((result: LookupResult) => void)[] = []
 	const entries = new Map<string, { data: unknown; modRevision: number }>()
-	const parts = {
+	const dependencies = {
 		config: { settings, ...DEFAULT_OPERATOR_SETTINGS, limits: deriveLimits(settings) },
 		now: () => 0,
 		membership: { incarnation: 'a' },
@@ -50,22 +50,22 @@
 			cached: () => undefined,
 			provesAbsent: () => state.provesAbsent,
 			lookUp: () =>
-				Effect.callback((resume) => void pendingLookUps.push((result) => resume(Effect.succeed(result)))),
+				Effect.callback((resume) => void pendingLookups.push((result) => resume(Effect.succeed(result)))),
 		},
 		writeQueue: { enqueue: (write: QueuedWrite) => void queuedWrites.push(write) },
 		waitForRevision: (revision: number, done: (ok: boolean) => void) =>
 			void revisionWaiters.push({ revision, done }),
 		refreshCache: (done: () => void) => done(),
 	}
-	const jobLocator = new JobLocator(parts as unknown as JobLocatorDependencies, SEARCH_TIMEOUT_MS)
-	const context = { ...parts, jobLocator } as unknown as ControllerContext
+	const jobLocator = new JobLocator(dependencies as unknown as JobLocatorDependencies, SEARCH_TIMEOUT_MS)
+	const context = { ...dependencies, jobLocator } as unknown as ControllerContext
 	const outcomes: Record<string, SubmissionOutcome> = {}
 	const queue = new SubmissionQueue(context)
 	const submit = (uid: string) =>
 		queue.enqueue({ shardId: 0, spec: arrayJob(uid), acceptedAtMs: 0 }, 3000, (outcome) => {
 			outcomes[uid] = outcome
 		})
-	/** Has the write in flight built and ended with this result; returns what it would have written. */
+	/** Builds the oldest queued write and completes it with the result; returns its content. */
 	const completeWrite = (result: WriteResult): TransactionContent | null => {
 		const write = queuedWrites.shift()!
 		const content = write.build()
@@ -80,7 +80,7 @@
 		queuedWrites,
 		revisionWaiters,
 		state,
-		pendingLookUps,
+		pendingLookups,
 		entries,
 	}
 }
@@ -93,19 +93,19 @@
 	return 'set' in mutation ? mutation.set : ''
 }
 
-test('an outcome is reported once every earlier change is known, and as what the job is by then', () => {
+test('an outcome is reported once every earlier change is known, and reflects the state of the job by then', () => {
 	const harness = createHarness()
 	for (let number = 1; number <= 5; number++) harness.submit(`job-00000${number}`)
 	harness.completeWrite({ kind: 'ok', revision: 7 })
-	assert.deepEqual(harness.outcomes, {}, 'not before')
-	// The records up to there hold what was written.
+	assert.deepEqual(harness.outcomes, {}, 'no outcome before the earlier changes are known')
+	// The records at that revision contain these two jobs as written.
 	for (const uid of ['job-000001', 'job-000003'])
 		harness.knownJobs.set(uid, { shardId: 0, spec: arrayJob(uid), acceptedAtMs: 0 })
-	// Another controller accepted it too, earlier, and it is terminal.
+	// Another controller accepted this one earlier, and it is terminal.
 	harness.knownJobs.set('job-000002', TERMINAL_RECORD)
-	// The same, and it is not terminal: it was known already.
+	// Another controller accepted this one earlier, and it is still open.
 	harness.knownJobs.set('job-000004', { shardId: 1, spec: arrayJob('job-000004'), acceptedAtMs: 5 })
-	// The fifth has left memory: it is terminal and archived.
+	// The fifth is no longer in memory: it is terminal and archived.
 	for (const waiter of harness.revisionWaiters) waiter.done(true)
 	assert.deepEqual(harness.outcomes, {
 		'job-000001': 'accepted',
@@ -118,10 +118,10 @@
 	harness.submit('job-000006')
 	harness.completeWrite({ kind: 'ok', revision: 11 })
 	harness.revisionWaiters.at(-1)!.done(false)
-	assert.equal(harness.outcomes['job-000006'], 'unclear', 'the records cannot be followed')
+	assert.equal(harness.outcomes['job-000006'], 'unclear', 'the cache cannot catch up with the revision')
 })
 
-test('an obsolete batch record of ours is overwritten, once it is seen as it was written last', () => {
+test('the controller overwrites its own obsolete batch once it has received its latest write of that batch', () => {
 	const harness = createHarness()
 	const submitAndWrite = (uid: string, revision: number) => {
 		harness.submit(uid)
@@ -133,30 +133,33 @@
 	harness.state.revision = 6
 	harness.entries.set(first.key, { data: { jobs: [] }, modRevision: 4 })
 	const second = submitAndWrite('job-000002', 8)
-	assert.notEqual(second.key, first.key, 'our last change of it is not seen yet')
+	assert.notEqual(second.key, first.key, 'the latest write of the first batch is not in the cache yet')
 	harness.state.revision = 8
 	harness.entries.set(first.key, { data: 'open', modRevision: 7 })
 	const third = submitAndWrite('job-000003', 9)
-	assert.ok(third.key !== first.key && third.key !== second.key, 'one is not obsolete, one was removed')
+	assert.ok(
+		third.key !== first.key && third.key !== second.key,
+		'one batch is not obsolete, the other was removed',
+	)
 	harness.entries.set(first.key, { data: { jobs: [] }, modRevision: 7 })
 	assert.deepEqual(
 		submitAndWrite('job-000004', 10),
 		{ key: first.key, modRevision: 7 },
-		'on condition of its revision',
+		'on condition of its mod revision',
 	)
 	harness.submit('job-000005')
-	const unclearKey = keyOf(harness.completeWrite({ kind: 'unknown' }))
+	const unconfirmedKey = keyOf(harness.completeWrite({ kind: 'unknown' }))
 	harness.state.revision = 12
 	harness.entries.clear()
-	harness.entries.set(unclearKey, { data: { jobs: [] }, modRevision: 11 })
+	harness.entries.set(unconfirmedKey, { data: { jobs: [] }, modRevision: 11 })
 	assert.notEqual(
 		submitAndWrite('job-000006', 12).key,
-		unclearKey,
-		'nothing is written over what may yet be applied',
+		unconfirmedKey,
+		'a batch whose write may still be applied is not overwritten',
 	)
 })
 
-test('a job that became known while it waited is not written again', () => {
+test('a submission is not written if its job became known while it was queued', () => {
 	const harness = createHarness()
 	harness.submit('job-000001')
 	harness.knownJobs.set('job-000001', TERMINAL_RECORD)
@@ -164,23 +167,23 @@
 	assert.deepEqual(harness.outcomes, { 'job-000001': 'unclear' })
 })
 
-test('a proof of absence holds for its archival epoch: after the next one it is made again before any write', async () => {
+test('a proof of absence is valid for one archival epoch: in the next one the job is searched again before any write', async () => {
 	const harness = createHarness()
 	harness.state.provesAbsent = false
 	harness.submit('job-000001')
-	assert.equal(harness.queuedWrites.length, 0, 'not proven')
-	harness.pendingLookUps.shift()!('absent')
+	assert.equal(harness.queuedWrites.length, 0, 'the absence is not proven yet')
+	harness.pendingLookups.shift()!('absent')
 	await Promise.resolve()
 	assert.equal(harness.queuedWrites.length, 1)
 	harness.state.archivalEpoch = 6
 	assert.equal(
 		harness.completeWrite({ kind: 'ok', revision: 7 }),
 		null,
-		'the proof is of the archival epoch before',
+		'the proof is of the previous archival epoch',
 	)
 	harness.state.revision = 8
-	assert.equal(harness.pendingLookUps.length, 1)
-	harness.pendingLookUps.shift()!('unsure')
+	assert.equal(harness.pendingLookups.length, 1)
+	harness.pendingLookups.shift()!('unsure')
 	await Promise.resolve()
 	assert.deepEqual(harness.outcomes, { 'job-000001': 'refused' })
 })
