--- a/tests/models/job-search.ts
+++ b/tests/models/job-search.ts
@@ -91,7 +91,7 @@
 export interface Search {
 	/** the search is for a submission, which needs proof of absence; otherwise for a user's query */
 	isForSubmission: boolean
-	/** the job was known before the search began */
+	/** the job was known when the search began: a result of absent is wrong */
 	mustFind: boolean
 	ownKeyEmptyAt: number | null
 	/** set only if the memory check before the archive search is left out */
