--- a/tests/policy.test.ts
+++ b/tests/policy.test.ts
@@ -165,23 +165,29 @@
 	][] = [
 		['the least work for its CPUs', [shard(100, 500), shard(200, 800), shard(100, 600)], false, 0, 1],
 		['a tie goes to the preferred shard', [shard(100, 500), shard(100, 500)], false, 1, 1],
-		['a shard without machines can scale out', [shard(80, 800), shard(0, 60)], false, 0, 1],
 		[
-			'while all shards can scale out, one without machines counts as having an equal share',
+			'a shard without machines counts as having one, since it can rent one',
+			[shard(80, 800), shard(0, 60)],
+			false,
+			0,
+			1,
+		],
+		[
+			'while the cloud has capacity, a shard without machines counts as having an equal share',
 			[shard(300, 900), shard(0, 300)],
 			true,
 			0,
 			1,
 		],
 		[
-			'no new jobs for unreachable machines (incident 17)',
+			'new jobs avoid a shard with unreachable machines (incident 17)',
 			[shard(400, 100, true), shard(100, 500)],
 			true,
 			0,
 			1,
 		],
 		[
-			'a partitioned shard does not count as able to scale out either',
+			'a partitioned shard does not count as having an equal share either',
 			[shard(0, 200, true), shard(100, 500), shard(100, 700)],
 			true,
 			0,
