--- a/tests/archival.test.ts
+++ b/tests/archival.test.ts
@@ -129,13 +129,13 @@
 		}
 		await simulation.play()
 		assert.deepEqual(simulation.invariants.violations, [], `seed ${seed}`)
-		assert.deepEqual(simulation.invariants.unfinished(), [], `seed ${seed}`)
+		assert.deepEqual(simulation.invariants.unfinishedJobs(), [], `seed ${seed}`)
 		assert.ok(archived > 75, `${archived} of 150 jobs were archived`)
 		assert.ok(
-			simulation.state.count('heathroad/') < 100,
-			`${simulation.state.count('heathroad/')} watched keys`,
+			simulation.state.countKeys('heathroad/') < 100,
+			`${simulation.state.countKeys('heathroad/')} watched keys`,
 		)
-		assert.ok(simulation.state.count('heathroad-past/') > 0)
+		assert.ok(simulation.state.countKeys('heathroad-past/') > 0)
 	}
 })
 
@@ -179,12 +179,12 @@
 	}
 	await simulation.play()
 	assert.deepEqual(simulation.invariants.violations, [])
-	assert.deepEqual(simulation.invariants.unfinished(), [])
+	assert.deepEqual(simulation.invariants.unfinishedJobs(), [])
 	assert.deepEqual(wrongReplies, [])
 	assert.ok(replyCount > 150, `${replyCount} replies`)
 	assert.ok(Math.max(...jobKeysAfterStart) < 50, `job keys in memory after each start: ${jobKeysAfterStart}`)
-	assert.equal(simulation.state.count(`${KEY_PREFIX}job/`), 0, 'all records are migrated')
-	assert.ok(simulation.state.count('heathroad-past/') > 0)
+	assert.equal(simulation.state.countKeys(`${KEY_PREFIX}job/`), 0, 'all records are migrated')
+	assert.ok(simulation.state.countKeys('heathroad-past/') > 0)
 })
 
 test('records of a later format are rejected', async () => {
--- a/tests/moves-model.test.ts
+++ b/tests/moves-model.test.ts
@@ -57,7 +57,7 @@
 	answer: 'ok' | 'conflict' | null
 	moving: boolean
 	attempts: number
-	/** Whether the task isRunning, by shard. */
+	/** Whether the task runs, by shard. */
 	running: [boolean, boolean]
 	takeovers: number
 	cancelled: boolean
@@ -217,7 +217,7 @@
 }
 
 const violation = (state: State): string | null => {
-	if (state.running[0] && state.running[1]) return 'the task isRunning in both shards'
+	if (state.running[0] && state.running[1]) return 'the task runs in both shards'
 	const isOpen = knownRecords(state).registry.get(JOB)?.record.finalState === undefined
 	return state.cancelled && isOpen ? 'a cancelled job is open again' : null
 }
--- a/tests/obsolete-records.test.ts
+++ b/tests/obsolete-records.test.ts
@@ -2,10 +2,10 @@
  * Guards against the removal of a machine from the records waiting behind deletions of obsolete records (incident 29).
  *
  * Both had the priority of progress, and each tick queued enough deletions to use half of a controller's write rate until
- * the next tick. A controller that crashed meanwhile left a machine on record that was already pendingReleases to the cloud, and the
+ * the next tick. A controller that crashed meanwhile left a machine on record that was released to the cloud, and the
  * shard's next owner started none of its old tasks until that machine's agent lease had certainly expired. In a trace of
- * the stream check: machine pendingReleases at 30.2 s, deletions at 29.6, 29.7, 29.9 and 30.1 s, crash after 30.5 s without a write
- * to the machine group; the next owners waited from 31.5 to 53.1 s, as none of them stayed up for a whole agent lease.
+ * the stream check: machine released at 30.2 s, deletions at 29.6, 29.7, 29.9 and 30.1 s, crash after 30.5 s without a
+ * write to the machine group; the next owners waited from 31.5 to 53.1 s, as none of them stayed up for an agent lease.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -13,7 +13,7 @@
 import { Shard } from '@heathroad/controller'
 import { type ControllerContext, deleteObsoleteRecords } from '@heathroad/server'
 import { type StoreClient, WriteQueue } from '@heathroad/store'
-import { BOX_MACHINE_TYPE, idlePorts, plainSettings } from '@heathroad/testkit'
+import { BOX_MACHINE_TYPE, idleDependencies, plainSettings } from '@heathroad/testkit'
 import { Effect } from 'effect'
 
 const WRITES_PER_S = 5
@@ -27,7 +27,7 @@
 	modRevision: 2,
 }
 
-test('a pendingReleases machine is removed from the records before obsolete records are deleted', async (t) => {
+test('a released machine is removed from the records before obsolete records are deleted', async (t) => {
 	t.mock.timers.enable({ apis: ['setTimeout'] })
 	let nowMs = 0
 	const sent: string[] = []
@@ -44,10 +44,10 @@
 		maxBytes: 10_000,
 	}
 	const queue = new WriteQueue(client as StoreClient, limits, () => nowMs)
-	// A shard whose only machine is empty, and is pendingReleases once it has been idle for half of its boot time.
+	// A shard whose only machine is empty, and is released once it has been idle for half of its boot time.
 	const settings = plainSettings('a')
 	const pendingReleases: ((gone: boolean) => void)[] = []
-	const dependencies = idlePorts({
+	const dependencies = idleDependencies({
 		now: () => nowMs,
 		entry: () => machineGroup,
 		withPrefix: (prefix) => (prefix === 'fleet/' ? [[GROUP_KEY, machineGroup]] : []),
@@ -85,7 +85,7 @@
 		shard.tick()
 	}
 	for (let waitedMs = 0; waitedMs <= BOX_MACHINE_TYPE.bootS * 1000; waitedMs += STEP_MS) await step()
-	assert.equal(pendingReleases.length, 1, 'the machine is being pendingReleases')
+	assert.equal(pendingReleases.length, 1, 'the machine is being released')
 	const obsolete = Array.from({ length: 30 }, (_, index) => [`done/job-${index}/0`, { modRevision: index }])
 	const context = {
 		config: { limits: { writesPerS: WRITES_PER_S, controllerLeaseMs: LEASE_MS, controllerNames: ['a'] } },
