--- a/tests/archive-model.test.ts
+++ b/tests/archive-model.test.ts
@@ -1,9 +1,9 @@
 /**
- * Model of jobs that become terminal and move from memory to the archive: guards against accepted jobs that get lost, and
- * terminal states that change or are reopened, through transactions that are applied late. Two controllers may accept,
- * cancel and finish one job; a second job fills the page when it finishes; controller 0 accepts a third one, overwriting
- * an obsolete batch of its own if it has one. Every transaction may be applied at any later moment or never. Controller 0
- * owns the shard. The writes and the condition for archiving a page are the service's own code.
+ * Model of jobs that become terminal and move from memory to the archive: guards against accepted jobs that get lost,
+ * and terminal states that change or are reopened, through transactions that are applied late. Two controllers may
+ * accept, cancel and finish one job; a second job fills the page when it finishes; controller 0 accepts a third one,
+ * overwriting an obsolete batch of its own if it has one. Every transaction may be applied at any later moment or
+ * never. Controller 0 owns the shard. The writes and the condition for archiving a page are the service's own code.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
--- a/tests/job-locator-model.test.ts
+++ b/tests/job-locator-model.test.ts
@@ -1,9 +1,10 @@
 /**
- * Model of a search for a job whose terminal state moves meanwhile: a search that misses it reports a known job as absent,
- * or lets a finished job be accepted again. Controller 0 searches, for a user or for a submission, with a view that lags
- * and that a full read may replace. Controller 1 owns the shard, upgrades the record format, migrates records and archives
- * them; it may also accept and finish the job. Every transaction that can interfere with the search may be applied at any
- * later moment or never. The search decisions, the writes and the condition for archiving a page are the service's own code.
+ * Model of a search for a job whose terminal state moves meanwhile: a search that misses it reports a known job as
+ * absent, or lets a finished job be accepted again. Controller 0 searches, for a user or for a submission, with a view
+ * that lags and that a full read may replace. Controller 1 owns the shard, upgrades the record format, migrates
+ * records and archives them; it may also accept and finish the job. Every transaction that can interfere with the
+ * search may be applied at any later moment or never. The search decisions, the writes and the condition for archiving
+ * a page are the service's own code.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -295,7 +296,7 @@
 
 const isOpen = (view: View): boolean => knownRecords(view).registry.openJobs.has(JOB)
 
-/** A finished job must not be open, neither in the records nor for a controller that has received its terminal state. */
+/** A finished job must be open neither in the records nor for a controller that has received its terminal state. */
 const withOpenJobsChecked = (state: State, rules: Rules): State => {
 	const { finishedAt } = state
 	if (finishedAt === null) return state
@@ -429,7 +430,7 @@
 	return afterSearchStep(state, search, outcome, rules)
 }
 
-/** A user's query first waits for the changes that were durable before it; a submission starts with the current view. */
+/** A user's query first waits for the changes durable before it; a submission starts with the current view. */
 const beginSearch = (state: State, isForSubmission: boolean, rules: Rules): State => {
 	const search: Search = {
 		isForSubmission,
--- a/tests/job-locator.test.ts
+++ b/tests/job-locator.test.ts
@@ -1,4 +1,4 @@
-/** The next step of a search for a job, given memory and what was read so far, and when a search ends without a result. */
+/** The next step of a search for a job, given memory and the reads so far, and when a search ends without a result. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import type { JobRecord } from '@heathroad/cluster'
--- a/tests/models/job-search.ts
+++ b/tests/models/job-search.ts
@@ -1,6 +1,7 @@
 /**
  * A controller's search for one job as immutable values, for models that explore every interleaving: the steps of
- * `JobLocator`, with the service's own decisions, and the rules by which `ArchiveReader` reads, caches and trusts pages.
+ * `JobLocator`, with the service's own decisions, and the rules by which `ArchiveReader` reads, caches and trusts
+ * pages.
  */
 import { type MemoryView, nextSearchStep, type SearchStep } from '@heathroad/server'
 
--- a/tests/moves-model.test.ts
+++ b/tests/moves-model.test.ts
@@ -1,8 +1,8 @@
 /**
- * Model of a job that moves to another shard: its task must never run in two shards at once, and a cancelled job must stay
- * cancelled. Controller 0 owns shard 0 and moves its job to shard 1, which controller 1 owns; controller 2 may take over
- * shard 0. Transactions are applied at any later moment or never, responses arrive or are lost, and each controller
- * receives changes at any later moment. The transaction is the service's own code.
+ * Model of a job that moves to another shard: its task must never run in two shards at once, and a cancelled job must
+ * stay cancelled. Controller 0 owns shard 0 and moves its job to shard 1, which controller 1 owns; controller 2 may
+ * take over shard 0. Transactions are applied at any later moment or never, responses arrive or are lost, and each
+ * controller receives changes at any later moment. The transaction is the service's own code.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
--- a/tests/obsolete-records.test.ts
+++ b/tests/obsolete-records.test.ts
@@ -1,11 +1,12 @@
 /**
  * Guards against the removal of a machine from the records waiting behind deletions of obsolete records (incident 29).
  *
- * Both had the priority of progress, and each tick queued enough deletions to use half of a controller's write rate until
- * the next tick. A controller that crashed meanwhile left a machine on record that was released to the cloud, and the
- * shard's next owner started none of its old tasks until that machine's agent lease had certainly expired. In a trace of
- * the stream check: machine released at 30.2 s, deletions at 29.6, 29.7, 29.9 and 30.1 s, crash after 30.5 s without a
- * write to the machine group; the next owners waited from 31.5 to 53.1 s, as none of them stayed up for an agent lease.
+ * Both had the priority of progress, and each tick queued enough deletions to use half of a controller's write rate
+ * until the next tick. A controller that crashed meanwhile left a machine on record that was released to the cloud,
+ * and the shard's next owner started none of its old tasks until that machine's agent lease had certainly expired. In
+ * a trace of the stream check: machine released at 30.2 s, deletions at 29.6, 29.7, 29.9 and 30.1 s, crash after 30.5
+ * s without a write to the machine group; the next owners waited from 31.5 to 53.1 s, as none of them stayed up for an
+ * agent lease.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
--- a/tests/release-model.test.ts
+++ b/tests/release-model.test.ts
@@ -1,9 +1,9 @@
 /**
- * Model of releases across a takeover: a started job must stay released, and a delayed write of the previous owner must
- * not release a job that the new owner holds. Controller 0 owns shard 0 with two jobs that wait for an admission check, and
- * marks those as released that pass its check; controller 1 may take over the shard, and its check may decide otherwise.
- * Transactions are applied at any later moment or never, responses are lost, and each controller receives changes at any
- * later moment. The transaction is the service's own code.
+ * Model of releases across a takeover: a started job must stay released, and a delayed write of the previous owner
+ * must not release a job that the new owner holds. Controller 0 owns shard 0 with two jobs that wait for an admission
+ * check, and marks those as released that pass its check; controller 1 may take over the shard, and its check may
+ * decide otherwise. Transactions are applied at any later moment or never, responses are lost, and each controller
+ * receives changes at any later moment. The transaction is the service's own code.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
--- a/tests/submission-queue.test.ts
+++ b/tests/submission-queue.test.ts
@@ -1,4 +1,4 @@
-/** The queue that makes accepted jobs durable: when it reports outcomes, which keys it writes, and proofs of absence. */
+/** The queue that makes accepted jobs durable: when it reports outcomes, its keys, and proofs of absence. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import type { JobRecord } from '@heathroad/cluster'
