--- a/tests/absence-orders.ts
+++ b/tests/absence-orders.ts
@@ -7,7 +7,7 @@
 import { KEY_PREFIX } from '@heathroad/store'
 import { type FakeResponse, Simulation } from '@heathroad/testkit'
 import { isMap } from '@heathroad/wire'
-import { type HeldRequest, holdRequests, OtherController } from './held-state.js'
+import { type HeldRequest, holdRequests, OtherController } from './held-requests.js'
 
 /** The job that is finished before the day; its state was left out of memory by a full read. */
 export const FINISHED = 'job-000001'
--- a/tests/compound-fault-days.ts
+++ b/tests/compound-fault-days.ts
@@ -1,6 +1,6 @@
 import { arrayJob, type Fault, type SimulatedDay } from '@heathroad/testkit'
 
-/** Jobs of two or three tasks that end far apart, some of many, a third cancelled; long ones end in no other way. */
+/** Jobs of 2 or 3 tasks that finish far apart, every fourth of 20 tasks; a third run too long to finish and are cancelled. */
 export const mixedLengthJobs: SimulatedDay['jobs'] = Array.from({ length: 30 }, (_, i) => {
 	const atS = 1 + i * 4
 	const cancelled = i % 3 === 1
@@ -15,13 +15,13 @@
 	return { atS, spec, ...(cancelled ? { cancelAtS: atS + 8 + ((i * 11) % 50) } : {}) }
 })
 
-/** A controller is cut from the state service and its peers. */
-export const cut = (atS: number, who: number, forS: number): Fault => ({
+/** Partitions a controller from the state service and its peers for `forS` seconds. */
+export const partition = (atS: number, who: number, forS: number): Fault => ({
 	atS,
 	kind: 'cut',
 	who: [who],
 	from: ['state', 'peers'],
 	forS,
 })
-/** Controllers crash and boot again after `forS`. */
+/** Crashes controllers, which restart after `forS` seconds. */
 export const crash = (atS: number, who: number[], forS: number): Fault => ({ atS, kind: 'crash', who, forS })
--- a/tests/compound-faults.test.ts
+++ b/tests/compound-faults.test.ts
@@ -1,24 +1,24 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { type Fault, randomCompoundFaultDay, Simulation } from '@heathroad/testkit'
-import { crash, cut, mixedLengthJobs } from './compound-fault-days.js'
+import { crash, mixedLengthJobs, partition } from './compound-fault-days.js'
 
 const cases: { name: string; faults: Fault[]; controllers?: number }[] = [
 	{
-		name: 'a leader without state and peers keeps its workers and users, jobs are cancelled through the new one',
-		faults: [cut(30, 0, 40), cut(80, 1, 12), cut(100, 2, 60)],
+		name: 'an owner partitioned from state service and peers keeps its machines and users; jobs are cancelled at the new owner',
+		faults: [partition(30, 0, 40), partition(80, 1, 12), partition(100, 2, 60)],
 	},
 	{
-		name: 'commands and answers are held up, the machines go on afterwards, leaders change meanwhile',
+		name: 'commands and responses are delayed, machines continue afterwards, owners change meanwhile',
 		faults: [
 			{ atS: 20, kind: 'delayedWorkerMessages', share: 0.4, forS: 40 },
 			crash(40, [0], 3),
 			{ atS: 75, kind: 'delayedWorkerMessages', share: 0.7, forS: 30 },
-			cut(80, 1, 20),
+			partition(80, 1, 20),
 		],
 	},
 	{
-		name: 'transactions without an answer are carried out after newer ones',
+		name: 'transactions without a response are executed after newer ones',
 		faults: [
 			{ atS: 10, kind: 'delayedTransactions', share: 0.4, forS: 60 },
 			crash(35, [1], 0.3),
@@ -27,7 +27,7 @@
 		],
 	},
 	{
-		name: 'leaders end while machines with long tasks are deaf or out of reach',
+		name: 'owners crash while machines with long tasks receive nothing or are unreachable',
 		faults: [
 			{ atS: 38, kind: 'machineInboundLoss', share: 0.6, forS: 25 },
 			crash(40, [0, 1], 2),
@@ -38,7 +38,7 @@
 		],
 	},
 	{
-		name: 'old reports arrive after newer ones, over changes of leaders and sessions',
+		name: 'old heartbeats arrive after newer ones, across changes of owners and incarnations',
 		faults: [
 			{ atS: 10, kind: 'duplicatedHeartbeats', share: 0.5, forS: 140 },
 			crash(40, [0], 1),
@@ -47,7 +47,7 @@
 		],
 	},
 	{
-		name: 'parts go there and back, all controllers end and one returns, within a second',
+		name: 'within a second, shards are handed over and back, all controllers crash and one restarts',
 		faults: [
 			{ atS: 30, kind: 'drain', who: [0], forS: 0.2 },
 			crash(45, [0], 0.2),
@@ -60,7 +60,7 @@
 		],
 	},
 	{
-		name: 'the state answers slowly, then refuses one leader, then everybody',
+		name: 'the state service responds slowly, then rejects one owner, then is down for all',
 		faults: [
 			{ atS: 30, kind: 'slowState', forS: 20 },
 			{ atS: 46, kind: 'stateRejects', who: [1], forS: 10 },
@@ -70,8 +70,14 @@
 		],
 	},
 	{
-		name: 'five controllers, two without state and peers as the others end',
-		faults: [cut(35, 0, 30), cut(35, 3, 45), crash(40, [1, 2, 4], 1), crash(95, [0, 3], 0.4), cut(96, 2, 25)],
+		name: 'five controllers: two are partitioned from state service and peers while the others crash',
+		faults: [
+			partition(35, 0, 30),
+			partition(35, 3, 45),
+			crash(40, [1, 2, 4], 1),
+			crash(95, [0, 3], 0.4),
+			partition(96, 2, 25),
+		],
 		controllers: 5,
 	},
 ]
@@ -84,7 +90,7 @@
 			jobs: mixedLengthJobs,
 			faults,
 			controllers,
-			// In both forms of the records, by turns.
+			// Alternates between the second and the first record format.
 			history: i % 2 === 0 ? undefined : null,
 			drift: true,
 			capacity: 5,
@@ -93,15 +99,15 @@
 		await simulation.play()
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.deepEqual(simulation.invariants.failures(), [])
-		assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job ends')
-		const tasks = mixedLengthJobs.reduce((n, j) => n + j.spec.tasks, 0)
+		assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job reaches a terminal state')
+		const tasks = mixedLengthJobs.reduce((sum, job) => sum + job.spec.tasks, 0)
 		assert.ok(
 			simulation.invariants.taskPlacements >= tasks * 0.7,
 			`${simulation.invariants.taskPlacements} starts of ${tasks} tasks`,
 		)
 	})
 
-test('compound faults that follow from a seed', async () => {
+test('compound faults generated from a seed', async () => {
 	const simulation = new Simulation(randomCompoundFaultDay(1))
 	await simulation.play()
 	assert.deepEqual(simulation.invariants.violations, [])
--- a/tests/compound-user-faults.test.ts
+++ b/tests/compound-user-faults.test.ts
@@ -1,10 +1,10 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { arrayJob, type Fault, type SimulatedDay, Simulation } from '@heathroad/testkit'
-import { crash, cut, mixedLengthJobs } from './compound-fault-days.js'
+import { crash, mixedLengthJobs, partition } from './compound-fault-days.js'
 
-/** Two teams that always want more than their limits; every third job is long, and called off if nothing else is. */
-const limited: SimulatedDay['jobs'] = Array.from({ length: 36 }, (_, i) => {
+/** Two teams that always want more than their limits; every third job is too long to finish and is cancelled. */
+const jobsOverLimits: SimulatedDay['jobs'] = Array.from({ length: 36 }, (_, i) => {
 	const atS = 1 + i * 4
 	const long = i % 3 === 2
 	const team = i % 2 === 0 ? 'core' : 'guest'
@@ -18,8 +18,8 @@
 	return { atS, spec, ...(long ? { cancelAtS: atS + 30 + ((i * 5) % 20) } : {}) }
 })
 
-/** More than there is room for, urgent and not; a third bound to one zone, some of them wide. */
-const crowded: SimulatedDay['jobs'] = Array.from({ length: 40 }, (_, i) => ({
+/** More work than fits, of all priorities; a third is bound to one zone, and some jobs have 60 tasks. */
+const jobsBeyondCapacity: SimulatedDay['jobs'] = Array.from({ length: 40 }, (_, i) => ({
 	atS: 1 + i * 2,
 	spec: arrayJob(`job-${String(i).padStart(6, '0')}`, {
 		tasks: i % 7 === 3 ? 60 : 3 + (i % 6),
@@ -30,25 +30,25 @@
 	}),
 }))
 
-/** Wide jobs that end bit by bit. */
-const wide: SimulatedDay['jobs'] = Array.from({ length: 10 }, (_, i) => ({
+/** Jobs of 60 tasks that complete a few at a time. */
+const wideJobs: SimulatedDay['jobs'] = Array.from({ length: 10 }, (_, i) => ({
 	atS: 1 + i * 6,
 	spec: arrayJob(`job-${String(i).padStart(6, '0')}`, { tasks: 60, expectedS: 4 + i }),
 }))
 
-/** Bursts far enough apart that idle machines go back in between: each meets machines that boot. */
-const bursts: SimulatedDay['jobs'] = Array.from({ length: 48 }, (_, i) => ({
+/** Bursts far enough apart that idle machines are released in between: each burst finds machines that still boot. */
+const jobBursts: SimulatedDay['jobs'] = Array.from({ length: 48 }, (_, i) => ({
 	atS: 10 + Math.floor(i / 4) * 22 + (i % 4) * 0.2,
 	spec: arrayJob(`job-${String(i).padStart(6, '0')}`, { tasks: 8, expectedS: 7 }),
 }))
 
-/** Four a second, each of one task. */
-const ones: SimulatedDay['jobs'] = Array.from({ length: 240 }, (_, i) => ({
+/** Four jobs per second, each of one task. */
+const oneTaskJobs: SimulatedDay['jobs'] = Array.from({ length: 240 }, (_, i) => ({
 	atS: 10 + i / 4,
 	spec: arrayJob(`job-${String((i * 7919 + 13) % 1_000_003).padStart(6, '0')}`, { tasks: 1, expectedS: 5 }),
 }))
 
-const closeLooks = (forS: number): Fault => ({ atS: 10, kind: 'closeLooks', forS, share: 1 })
+const queryClosely = (forS: number): Fault => ({ atS: 10, kind: 'closeLooks', forS, share: 1 })
 const cancelNow = (atS: number, count: number, hangS = 0): Fault => ({
 	atS,
 	kind: 'cancelNow',
@@ -57,16 +57,16 @@
 })
 const drain = (atS: number, who: number[], forS: number): Fault => ({ atS, kind: 'drain', who, forS })
 
-/** Each on jobs and in a simulation of its own; `least`: tasks that start at the least, of those there are. */
-const cases: { name: string; day: Partial<SimulatedDay>; least?: number }[] = [
+/** `day` replaces defaults of the simulated day; `minStartedShare` is the least share of its tasks that must start. */
+const cases: { name: string; day: Partial<SimulatedDay>; minStartedShare?: number }[] = [
 	{
-		name: 'users ask at all controllers within milliseconds and submit again, right after each thing they are told',
-		day: { faults: [closeLooks(200), crash(50, [0], 2), drain(80, [1], 1), cut(110, 2, 15)] },
+		name: 'users query all controllers and resubmit within milliseconds of each new state they receive',
+		day: { faults: [queryClosely(200), crash(50, [0], 2), drain(80, [1], 1), partition(110, 2, 15)] },
 	},
 	{
-		name: 'users ask ten times as often, at any controller, while wide jobs end bit by bit and leaders change',
+		name: 'users poll any controller ten times as often while wide jobs complete a few tasks at a time and owners change',
 		day: {
-			jobs: wide,
+			jobs: wideJobs,
 			faults: [
 				{ atS: 5, kind: 'pollStorm', factor: 10, forS: 200 },
 				crash(40, [0], 2),
@@ -76,36 +76,36 @@
 		},
 	},
 	{
-		name: 'transactions are carried out at once and only their answers are lost, while others read what they wrote',
+		name: 'transactions are executed at once and only their responses are lost, while others read what they wrote',
 		day: {
 			faults: [
-				closeLooks(200),
+				queryClosely(200),
 				{ atS: 10, kind: 'lostTransactionResponses', share: 0.5, forS: 150 },
 				crash(70, [1], 1),
 			],
 		},
 	},
 	{
-		name: 'a cancellation, a question and a repeated submission reach others as the last task ends, nothing else happens',
+		name: 'a cancellation, a query and a repeated submission reach other controllers as the last task completes; no other fault',
 		day: { faults: [{ atS: 1, kind: 'cancelAtCompletion', share: 1, forS: 250 }] },
 	},
 	{
-		name: 'the same, while answers of transactions are lost and users look closely',
+		name: 'a cancellation, a query and a repeated submission as the last task completes, with lost transaction responses and close queries',
 		day: {
 			faults: [
 				{ atS: 1, kind: 'cancelAtCompletion', share: 0.7, forS: 250 },
 				{ atS: 5, kind: 'lostTransactionResponses', share: 0.4, forS: 150 },
 				{ atS: 5, kind: 'slowState', forS: 180 },
-				closeLooks(200),
+				queryClosely(200),
 			],
 		},
 	},
 	{
-		name: 'one-task jobs end and are called off at the same moments, while the state answers slowly',
+		name: 'one-task jobs complete and are cancelled at the same moments, while the state service responds slowly',
 		day: {
-			jobs: ones,
+			jobs: oneTaskJobs,
 			capacity: 10,
-			// On pages, which outcomes and cancellations share.
+			// With terminal-state pages, which completions and cancellations share.
 			history: undefined,
 			faults: [
 				{ atS: 5, kind: 'cancelAtCompletion', share: 0.6, forS: 100 },
@@ -115,7 +115,7 @@
 		},
 	},
 	{
-		name: 'jobs are called off in the seconds in which the work of a controller changes hands, and comes back',
+		name: 'jobs are cancelled during the seconds of a handoff and of the failback',
 		day: {
 			faults: [30, 62, 95, 128].flatMap((atS, i) => [
 				drain(atS, [i % 3], 0.3),
@@ -124,7 +124,7 @@
 		},
 	},
 	{
-		name: 'jobs move between parts as they are called off',
+		name: 'jobs move between shards while they are cancelled',
 		day: {
 			faults: [
 				{ atS: 40, kind: 'zoneCut', zone: 'a', who: [0], forS: 40 },
@@ -134,9 +134,9 @@
 		},
 	},
 	{
-		name: 'every team is at its limit, machines are cut off or hang with jobs that are called off, and leaders change',
+		name: 'every team is at its limit, machines with cancelled jobs are partitioned or hang, and owners change',
 		day: {
-			jobs: limited,
+			jobs: jobsOverLimits,
 			untilS: 600,
 			limits: new Map([
 				['core', 12],
@@ -158,9 +158,9 @@
 		},
 	},
 	{
-		name: 'new machines are up within two seconds and get work at once while writes lag, and leaders end',
+		name: 'new machines boot within two seconds and get work at once while writes are delayed and owners crash',
 		day: {
-			jobs: bursts,
+			jobs: jobBursts,
 			up: 0,
 			untilS: 500,
 			faults: [
@@ -175,7 +175,7 @@
 		},
 	},
 	{
-		name: 'old reports reach every controller just as a new leader begins',
+		name: 'old heartbeats reach every controller just as a new owner takes over',
 		day: {
 			faults: [
 				{ atS: 10, kind: 'heldHeartbeats', share: 0.2, forS: 140 },
@@ -188,7 +188,7 @@
 		},
 	},
 	{
-		name: 'machines reach no controller while direct commands reach them, jobs on them are called off, leaders end',
+		name: 'machines send nothing but receive commands, their jobs are cancelled and owners crash',
 		day: {
 			faults: [
 				{ atS: 30, kind: 'machineOutboundLoss', share: 0.7, forS: 25 },
@@ -203,19 +203,19 @@
 		},
 	},
 	{
-		name: 'leaders change ten times in two minutes, also inside an outage',
+		name: 'owners change ten times in two minutes, also during an outage of the state service',
 		day: {
 			faults: [
 				...Array.from({ length: 10 }, (_, i) => crash(30 + i * 12, [i % 3], 1)),
 				{ atS: 70, kind: 'stateDown', forS: 22 },
 				cancelNow(65, 3),
 				cancelNow(94, 3),
-				closeLooks(150),
+				queryClosely(150),
 			],
 		},
 	},
 	{
-		name: 'all controllers are away for longer than a lease, and a zone with one and its workers is cut off for longer',
+		name: 'all controllers are down for longer than a lease, and a zone with a controller and machines is partitioned for longer',
 		day: {
 			faults: [
 				crash(35, [0, 1, 2], 16),
@@ -227,9 +227,9 @@
 		},
 	},
 	{
-		name: 'there is more work than room over slow links, and jobs bound to one zone lose machines',
+		name: 'there is more work than capacity, the network is slow, and jobs bound to one zone lose machines',
 		day: {
-			jobs: crowded,
+			jobs: jobsBeyondCapacity,
 			untilS: 700,
 			up: 0,
 			capacity: 3,
@@ -239,15 +239,15 @@
 				crash(50, [1], 1),
 			],
 		},
-		least: 1,
+		minStartedShare: 1,
 	},
 	{
-		name: 'users err all day: they repeat, cancel what is over, send what can never run or lacks a field',
-		day: { faults: [{ atS: 5, kind: 'oddRequests', forS: 200 }, crash(60, [0, 1], 1), closeLooks(100)] },
+		name: 'users send invalid requests: repeated, for terminal jobs, for jobs that can never run, with a missing field',
+		day: { faults: [{ atS: 5, kind: 'oddRequests', forS: 200 }, crash(60, [0, 1], 1), queryClosely(100)] },
 	},
 ]
 
-for (const [i, { name, day, least }] of cases.entries())
+for (const [i, { name, day, minStartedShare }] of cases.entries())
 	test(`compound faults: ${name}`, async () => {
 		const dayJobs = day.jobs ?? mixedLengthJobs
 		const simulation = new Simulation({
@@ -265,17 +265,17 @@
 		await simulation.play()
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.deepEqual(simulation.invariants.failures(), [])
-		assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job ends')
-		const tasks = dayJobs.reduce((n, j) => n + j.spec.tasks, 0)
+		assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job reaches a terminal state')
+		const tasks = dayJobs.reduce((sum, job) => sum + job.spec.tasks, 0)
 		assert.ok(
-			simulation.invariants.taskPlacements >= tasks * (least ?? 0.6),
+			simulation.invariants.taskPlacements >= tasks * (minStartedShare ?? 0.6),
 			`${simulation.invariants.taskPlacements} starts of ${tasks} tasks`,
 		)
 	})
 
-test('one-task jobs, four a second for minutes, a quarter called off: within the change rate, and nothing piles up', async () => {
+test('four one-task jobs per second, a quarter cancelled: changes stay within the write rate, accepted batches do not pile up', async () => {
 	const forS = 150
-	const ones: SimulatedDay['jobs'] = Array.from({ length: 4 * forS }, (_, i) => ({
+	const oneTaskJobs: SimulatedDay['jobs'] = Array.from({ length: 4 * forS }, (_, i) => ({
 		atS: 15 + i / 4,
 		spec: arrayJob(`job-${String((i * 7919 + 13) % 1_000_003).padStart(6, '0')}`, { tasks: 1, expectedS: 6 }),
 		...(i % 4 === 1 ? { cancelAtS: 15 + i / 4 + 0.5 + ((i * 13) % 9) } : {}),
@@ -283,7 +283,7 @@
 	const simulation = new Simulation({
 		seed: 3,
 		untilS: 260,
-		jobs: ones,
+		jobs: oneTaskJobs,
 		faults: [],
 		capacity: 12,
 		up: 4,
@@ -293,21 +293,25 @@
 	simulation.state.onChanged = (key) => {
 		if (!key.startsWith('heathroad-past/')) changes++
 	}
-	const records: number[] = []
-	let longest = 0
-	const asked = new Map(ones.map((j) => [j.spec.uid, j.atS * 1000]))
+	const batchCounts: number[] = []
+	let longestAcceptanceMs = 0
+	const submittedMs = new Map(oneTaskJobs.map((job) => [job.spec.uid, job.atS * 1000]))
 	simulation.invariants.onNewState = (uid, state) => {
-		if (state === 'pending') longest = Math.max(longest, simulation.clock.nowMs - asked.get(uid)!)
+		if (state === 'pending')
+			longestAcceptanceMs = Math.max(longestAcceptanceMs, simulation.clock.nowMs - submittedMs.get(uid)!)
 	}
 	for (let s = 45; s < 15 + forS; s += 5)
-		simulation.clock.after(s * 1000, () => records.push(simulation.state.countKeys('heathroad/intake/')))
+		simulation.clock.after(s * 1000, () => batchCounts.push(simulation.state.countKeys('heathroad/intake/')))
 	await simulation.play()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinishedJobs(), [])
-	assert.ok(changes / ones.length < 3.2, `${changes} changes for ${ones.length} jobs`)
-	assert.ok(simulation.state.rejectedRequests < 20, `${simulation.state.rejectedRequests} requests too many`)
-	assert.ok(longest < 2000, `accepted after ${longest} ms`)
-	// As many records of acceptances at the end as when the load was young.
-	const [early, late] = [records.slice(0, 5), records.slice(-5)].map((some) => Math.max(...some))
-	assert.ok(late <= early * 1.3, `records of acceptances: ${records}`)
+	assert.ok(changes / oneTaskJobs.length < 3.2, `${changes} changes for ${oneTaskJobs.length} jobs`)
+	assert.ok(
+		simulation.state.rejectedRequests < 20,
+		`${simulation.state.rejectedRequests} requests above the rate limit`,
+	)
+	assert.ok(longestAcceptanceMs < 2000, `accepted after ${longestAcceptanceMs} ms`)
+	// Accepted batches are as many at the end as in the first part of the load.
+	const [early, late] = [batchCounts.slice(0, 5), batchCounts.slice(-5)].map((counts) => Math.max(...counts))
+	assert.ok(late <= early * 1.3, `accepted batches: ${batchCounts}`)
 })
--- a/tests/crash-days.ts
+++ b/tests/crash-days.ts
@@ -1,14 +1,14 @@
-/** Days on which a controller crashes about each second and many small jobs are submitted at their beginning. */
+/** Simulated days on which a controller crashes about once a second, after a burst of small jobs at the beginning. */
 import { arrayJob, type Fault, Simulation, VirtualClock } from '@heathroad/testkit'
 
 const MACHINES = 12
 const FIRST_JOB = 100_000
 const JOBS_PER_SEED = 100
-/** The crashes, in seconds: from when until when, their distance, and how long a controller is down. */
+/** When crashes begin and end, the least time between two of them, and the least downtime of a controller, in seconds. */
 const CRASHES = { from: 2.5, until: 65, minDistance: 0.5, minDown: 0.4 }
 const UNTIL_S = 75
 
-/** Controllers and jobs of every such day. */
+/** Number of controllers and jobs of every such day. */
 export const CRASH_DAY = { controllers: 3, jobs: 30 }
 
 const crashesOf = (seed: number): Fault[] => {
@@ -36,7 +36,7 @@
 		}),
 	}))
 
-/** The day of a seed, ready to be played. */
+/** Returns the simulated day of a seed, ready to run. */
 export const crashDay = (seed: number): Simulation =>
 	new Simulation({
 		seed,
--- a/tests/crash-each-second.test.ts
+++ b/tests/crash-each-second.test.ts
@@ -1,30 +1,30 @@
 /**
- * Small jobs while a controller crashes about each second (incident 28). Owners of a shard live for a second or two; its
- * machines are up and empty, but none reached an owner while it lived. The job then migrated to a shard whose machines were
- * being returned, which had to rent one and boot it under owners as short-lived.
+ * Small jobs must finish although a controller crashes about once a second (incident 28). Each owner of a shard lasted a
+ * second or two, and none of the shard's idle machines reached an owner in that time. The job then migrated to a shard whose
+ * machines were being released, which had to rent one and boot it under owners that crashed as soon.
  *
  * On seed 49 a job of a third of a second, accepted at 12.6 s, migrated at 17.0 s from shard 0, whose machines were up,
- * to shard 1, whose three machines were returned from 16.0 s on, and had not run at 75 s.
+ * to shard 1, whose three machines were released from 16.0 s on, and had not run at 75 s.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { CRASH_DAY, crashDay } from './crash-days.js'
 
 const SEEDS = [39, 49, 166]
-/** Every job has to be over so long after its acceptance, in ms: the time that the check of streams allows. */
+/** Longest time from a job's acceptance to its terminal state, in ms; the check of streams allows as much. */
 const MAX_MS = 60_000
 
-/** Moments at which controllers logged an event of a job, in ms, the first of each job. */
-const momentsOf = (log: readonly string[], event: string): Map<string, number> => {
-	const moments = new Map<string, number>()
+/** Returns when controllers first logged the event for each job, in ms. */
+const firstLoggedMs = (log: readonly string[], event: string): Map<string, number> => {
+	const loggedMs = new Map<string, number>()
 	for (const line of log) {
 		const [, atMs, uid] = new RegExp(`^(\\d+) ctl-\\d ${event} .*"uid":"(job-\\d+)"`).exec(line) ?? []
-		if (uid !== undefined && !moments.has(uid)) moments.set(uid, Number(atMs))
+		if (uid !== undefined && !loggedMs.has(uid)) loggedMs.set(uid, Number(atMs))
 	}
-	return moments
+	return loggedMs
 }
 
-test('small jobs are over within a minute while controllers crash each second', async () => {
+test('small jobs finish within a minute while controllers crash each second', async () => {
 	const late: string[] = []
 	for (const seed of SEEDS) {
 		const simulation = crashDay(seed)
@@ -32,11 +32,11 @@
 		simulation.tell = (line) => log.push(line)
 		await simulation.play()
 		assert.deepEqual(simulation.invariants.violations, [], `seed ${seed}`)
-		const ended = momentsOf(log, 'job terminal')
-		const accepted = momentsOf(log, 'job accepted')
+		const finished = firstLoggedMs(log, 'job terminal')
+		const accepted = firstLoggedMs(log, 'job accepted')
 		assert.ok(accepted.size >= CRASH_DAY.jobs - CRASH_DAY.controllers, `seed ${seed}: ${accepted.size} jobs`)
 		for (const [uid, acceptedAt] of accepted) {
-			const tookMs = (ended.get(uid) ?? Number.POSITIVE_INFINITY) - acceptedAt
+			const tookMs = (finished.get(uid) ?? Number.POSITIVE_INFINITY) - acceptedAt
 			if (tookMs > MAX_MS) late.push(`seed ${seed}: ${uid} took ${tookMs} ms`)
 		}
 	}
--- a/tests/full-read-overlaps.test.ts
+++ b/tests/full-read-overlaps.test.ts
@@ -1,11 +1,11 @@
 /**
- * States that were lost where a full read of several requests, or another slow request, overlapped a move.
+ * Terminal states were lost where a full read of several requests, or another slow request, overlapped a move of a state.
  *
- * Each test holds one answer back and lets a state move meanwhile. Taken for proofs of absence were: an archive page that was
- * read before a move which the full read covered; a full read that no longer knew of the batches it had met, since another
- * one was applied; the archival epoch at the first revision of a full read, though another one began during it. A state that
- * had left memory again before its stream began was never delivered, and a confirmation of a write that came later than
- * the watch brought a deleted key back.
+ * Each test holds one response back and moves a state meanwhile. Three things were wrongly taken for proof of absence: an
+ * archive page read before a move that the full read covered; a full read that lost the accepted batches it had seen, as
+ * another one was applied; the archival epoch at the first revision of a full read, though another one began during it. A
+ * state that left memory before its stream was opened was never delivered, and a write that was confirmed after the watch
+ * had delivered the deletion of its key brought the key back.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -22,14 +22,14 @@
 import { Records, SteppedController, Stream } from './stepped-controller.js'
 
 const TEAM = { team: 'core' }
-/** So long the requests that are not held back take to be answered, in ms. */
+/** Time in which requests that are not held back are answered, in ms. */
 const SETTLED_MS = 20
 const LOST = 'job-000500'
 const OTHER = 'job-000600'
 const settle = () => new Promise((done) => setTimeout(done, SETTLED_MS))
 
 for (const isKnownBefore of [true, false])
-	test(`an archive read of before a move that a full read of two requests covers; the page was in memory before: ${isKnownBefore}`, async () => {
+	test(`an archive page read before a move that a full read of two requests covers is no proof of absence; the page was in memory before: ${isKnownBefore}`, async () => {
 		const records = new Records(50)
 		const controller = new SteppedController(records)
 		records.fillFirstPage()
@@ -45,7 +45,7 @@
 			records.endOnPage(LOST)
 			records.removeAcceptance(LOST)
 		}
-		// The watch has to begin anew, with a full read of two pages.
+		// The watch has to restart, with a full read of two pages.
 		records.makeChanges(200)
 		let firstPage: (() => void) | null = null
 		let archivePage: (() => void) | null = null
@@ -69,10 +69,10 @@
 		}
 		const fullRead = controller.read()
 		await settle()
-		assert.ok(firstPage !== null, 'the first page is read, its answer under way')
+		assert.ok(firstPage !== null, 'the first page is read, its response in flight')
 		const other = Effect.runPromise(controller.service.jobLocator.locate(OTHER))
 		await settle()
-		assert.ok(archivePage !== null, `the archive is read, its answer is under way: ${paths.join(' ')}`)
+		assert.ok(archivePage !== null, `the archive is read, its response in flight: ${paths.join(' ')}`)
 		records.archive()
 		;(firstPage as () => void)()
 		await fullRead
@@ -85,14 +85,14 @@
 
 const isFullRead = (path: string) => path.startsWith('/store') && path.includes('page=1000')
 
-test('a full read that is applied empties what another one knows of the batches: a finished job is open again', async () => {
+test('a full read keeps the accepted batches it has seen when another one is applied: no finished job is open again', async () => {
 	const records = new Records()
 	const controller = new SteppedController(records)
 	records.fillFirstPage()
 	records.write(...Array.from({ length: 1000 }, (_, index) => ({ set: `intakf/${index}`, data: 0 })))
 	await controller.read()
 	records.makeChanges(3)
-	// A is answered late: its last page is served, its answer is under way.
+	// Full read A is answered late: its last page is served, the response is in flight.
 	let deliverA = () => {}
 	let pages = 0
 	controller.delayAnswer = (path) =>
@@ -108,7 +108,7 @@
 		isFullRead(path) && ++pages === 3 ? new Promise((done) => (deliverB = done)) : null
 	const second = controller.readAll()
 	await settle()
-	assert.equal(pages, 3, 'B has met the batch, and its last page is under way')
+	assert.equal(pages, 3, 'full read B has seen the batch, and its last page is in flight')
 	deliverA()
 	await first
 	deliverB()
@@ -118,7 +118,7 @@
 	assert.ok(!controller.service.jobs.openJobs.has(LOST), `${LOST} is ${location.kind}`)
 })
 
-test('a state that is archived during a full read, within an epoch that begins during it, is no silent gap of a team', async () => {
+test('a state archived during a full read, in an epoch that begins during it, leaves no silent gap in a team stream', async () => {
 	const records = new Records(50)
 	const controller = new SteppedController(records)
 	records.fillFirstPage()
@@ -144,7 +144,7 @@
 	if (outcome !== 'out of range' && outcome !== 'null') assert.deepEqual(outcome, [LOST])
 })
 
-test('a repeated cancellation of long ago is confirmed at once, also once its state has moved to a page', async () => {
+test('a repeated cancellation of long ago is confirmed at once, also after its state has moved to a page', async () => {
 	const records = new Records()
 	const controller = new SteppedController(records)
 	records.setFormat(true)
@@ -164,7 +164,7 @@
 	assert.equal(after, before)
 })
 
-test('a write of its own that is confirmed late does not bring back a key that was deleted since', async () => {
+test('an own write that is confirmed late does not restore a key that was deleted since', async () => {
 	const records = new Records()
 	const controller = new SteppedController(records)
 	const revision = records.endUnderOwnKey(LOST)
@@ -179,9 +179,9 @@
 	assert.equal(controller.service.cache.get(jobKey(LOST)), undefined)
 })
 
-test('a named job that was located on a page, and archived during the search for another one, is told', async () => {
-	const KEY = `page=1`
-	const NEVER = 'job-000900'
+test('the terminal state of a job by id that was located on a page and archived during the lookup of another one is delivered', async () => {
+	const SINGLE_KEY = `page=1`
+	const UNKNOWN = 'job-000900'
 	const records = new Records()
 	const controller = new SteppedController(records, 1)
 	records.setFormat(true)
@@ -192,17 +192,18 @@
 	}
 	await controller.read()
 	await controller.read()
-	const isKeyRead = (path: string, uid: string) => path.includes(`job/${uid}`) && path.endsWith(KEY)
+	const isKeyRead = (path: string, uid: string) => path.includes(`job/${uid}`) && path.endsWith(SINGLE_KEY)
 	controller.beforeRequest = (path) => {
 		if (isKeyRead(path, LOST)) records.moveToPage(LOST, revision)
 	}
 	let deliver: (() => void) | null = null
-	controller.delayAnswer = (path) => (isKeyRead(path, NEVER) ? new Promise((done) => (deliver = done)) : null)
-	const opening = controller.open({ uids: [LOST, NEVER] })
+	controller.delayAnswer = (path) =>
+		isKeyRead(path, UNKNOWN) ? new Promise((done) => (deliver = done)) : null
+	const opening = controller.open({ uids: [LOST, UNKNOWN] })
 	await settle()
 	await controller.read()
 	await settle()
-	assert.ok(deliver !== null, 'the second key is read, its answer is under way')
+	assert.ok(deliver !== null, 'the second key is read, its response in flight')
 	assert.ok(controller.service.jobs.isOnTerminalPage(LOST), 'the first is located on a page')
 	records.archive()
 	for (const uid of ['job-000701', 'job-000702']) records.removeAcceptance(uid)
--- a/tests/held-state.ts
+++ b/tests/held-requests.ts
@@ -1,6 +1,6 @@
 /**
- * The fake state service as a test orders it: requests of controllers are held back at will, and what other controllers
- * would write is written in between, by the same transactions.
+ * Lets a test hold back requests of controllers to the fake state service, and write in between what other controllers
+ * would write, with the same transactions.
  */
 import assert from 'node:assert/strict'
 import {
@@ -18,14 +18,14 @@
 import { encodeTransaction, parseRangeResponse } from '@heathroad/wire'
 import { Effect } from 'effect'
 
-/** A request of a controller that the state service has not carried out yet. */
+/** A request of a controller that the state service has not executed yet. */
 export interface HeldRequest {
 	method: string
 	path: string
 	body: unknown
 	/** index of the controller */
 	client: number | null
-	/** Carries the request out now; `deliver` takes the response, by default the controller does at once. */
+	/** Executes the request now; `deliver` receives the response, which by default goes to the controller at once. */
 	serve(deliver?: (response: FakeResponse) => void): void
 	/** Sends a response to the controller. */
 	reply(response: FakeResponse): void
@@ -33,7 +33,7 @@
 
 type Handle = FakeStateStore['handle']
 
-/** Passes every request to `onRequest`, which serves it, then or later. Returns what handles requests unheld. */
+/** Passes every request to `onRequest`, which serves it then or later. Returns a handler that holds nothing back. */
 export const holdRequests = (state: FakeStateStore, onRequest: (request: HeldRequest) => void): Handle => {
 	const handle: Handle = state.handle.bind(state)
 	state.handle = (method, path, body, reply, client = null) =>
@@ -48,11 +48,11 @@
 	return handle
 }
 
-/** One state on a page, so that the next one closes it. */
+/** Limits a page to one state, so that the next one closes it. */
 const ONE_STATE = { maxValueChars: 8000, maxJobs: 1 }
 const ARCHIVE_LIMITS = { maxOperations: 8, maxValueChars: 8000, maxBytes: 40_000 }
 
-/** What another controller does that owns the shard: it reads and writes the present records. */
+/** Reads and writes the current records as another controller that owns the shard does. */
 export class OtherController {
 	constructor(
 		private readonly handle: Handle,
@@ -84,14 +84,14 @@
 		return this.get(key)?.modRevision ?? 0
 	}
 
-	/** Writes a transaction, which must succeed. */
+	/** Writes a transaction, which must succeed; returns its revision. */
 	write({ conditions, mutations }: TransactionContent): number {
 		const { status, body } = this.call('POST', '/txn', encodeTransaction(conditions, mutations))
 		assert.equal(status, 200, JSON.stringify(body))
 		return Number((body as { epoch: unknown }).epoch)
 	}
 
-	/** Moves a terminal state from its own key to a page, as the migration does; closes the page before. */
+	/** Moves a terminal state from its own key to a page, as the migration does; closes the previous page. */
 	moveToPage(uid: string): void {
 		const entry = this.get(jobKey(uid))
 		const record = decodeJobRecord(entry?.data)
--- a/tests/missed-changes.test.ts
+++ b/tests/missed-changes.test.ts
@@ -1,11 +1,10 @@
 /**
- * Jobs that stayed open for ever at a controller that missed changes of the records.
+ * Jobs stayed open for ever at a controller that missed changes of the records.
  *
- * The state service keeps a bounded number of changes for watches. A controller that is cut off for longer reads all keys
- * anew. A job of which it held only the acceptance may be over and archived by then, and the record of its acceptance be
- * removed: nothing that is left names the job. The controller went on to hold it for open. It answered that a done job is
- * pending, streams of the job never got its terminal state, and as the owner of the job's shard it would have started the
- * job again.
+ * The state service keeps a bounded number of changes for watches. A controller that is partitioned from it for longer
+ * reads all keys again. A job that it knew only from an accepted batch may be finished and archived by then and the batch
+ * deleted, so that no remaining key names the job. The controller still considered it open: it reported a done job as
+ * pending, streams never delivered its terminal state, and as the owner of its shard it would have started the job again.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -17,9 +16,9 @@
 import { Effect } from 'effect'
 
 const CONTROLLERS = 3
-/** This controller is cut off from the state service, and misses more changes than are kept for watches. */
-const CUT_OFF = 2
-const CUT = { atS: 6, forS: 200 }
+/** The controller that is partitioned from the state service, and misses more changes than are kept for watches. */
+const PARTITIONED_CONTROLLER = 2
+const PARTITION = { atS: 6, forS: 200 }
 const UNTIL_S = 330
 const WATCH_LOG = 20
 const SMALL_ARCHIVE = { archiveBatchSize: 4, writeRateShare: 0.5, pageCacheMb: 0.1 }
@@ -29,7 +28,7 @@
 	spec: arrayJob(`job-0009${String(index).padStart(2, '0')}`, { tasks: 2, expectedS: 20 }),
 	...(index === 5 ? { cancelAtS: 20 } : {}),
 }))
-/** They keep the records changing while the controller is cut off, and let the early ones be archived. */
+/** Jobs that keep the records changing during the partition, so that the early ones are archived. */
 const later = Array.from({ length: 30 }, (_, index) => ({
 	atS: 30 + index * 5,
 	spec: arrayJob(`job-0019${String(index).padStart(2, '0')}`, { tasks: 1, expectedS: 2 }),
@@ -37,12 +36,20 @@
 const jobs = [...early, ...later]
 const uids = jobs.map((job) => job.spec.uid)
 
-const playDay = async (seed: number) => {
+const runDay = async (seed: number) => {
 	const simulation = new Simulation({
 		seed,
 		untilS: UNTIL_S,
 		jobs,
-		faults: [{ atS: CUT.atS, kind: 'cut', who: [CUT_OFF], from: ['state'], forS: CUT.forS }],
+		faults: [
+			{
+				atS: PARTITION.atS,
+				kind: 'cut',
+				who: [PARTITIONED_CONTROLLER],
+				from: ['state'],
+				forS: PARTITION.forS,
+			},
+		],
 		history: SMALL_ARCHIVE,
 		watchLog: WATCH_LOG,
 	})
@@ -63,17 +70,19 @@
 	const statuses = new Map<string, unknown>()
 	simulation.clock.after((UNTIL_S - 10) * 1000, () => {
 		for (const uid of uids)
-			void simulation.sendRequest(CUT_OFF, 'GET', `/v2/runs/${uid}`, undefined).then((response) => {
-				statuses.set(uid, (response?.body as { status?: string } | undefined)?.status ?? response?.status)
-			})
+			void simulation
+				.sendRequest(PARTITIONED_CONTROLLER, 'GET', `/v2/runs/${uid}`, undefined)
+				.then((response) => {
+					statuses.set(uid, (response?.body as { status?: string } | undefined)?.status ?? response?.status)
+				})
 	})
 	await simulation.play()
 	return { simulation, readers, statuses }
 }
 
-test('a controller that missed too many changes knows the jobs that were archived meanwhile for over', async () => {
+test('a controller that missed too many changes knows that the jobs archived meanwhile are terminal', async () => {
 	for (const seed of [91, 92, 93]) {
-		const { simulation, readers, statuses } = await playDay(seed)
+		const { simulation, readers, statuses } = await runDay(seed)
 		assert.deepEqual(simulation.invariants.violations, [], `seed ${seed}`)
 		assert.deepEqual(simulation.invariants.unfinishedJobs(), [], `seed ${seed}`)
 		assert.ok(simulation.state.countKeys('heathroad-past/') > 0, 'states were archived')
@@ -81,7 +90,7 @@
 		assert.deepEqual(
 			open.map((uid) => `${uid} ${statuses.get(uid)}`),
 			[],
-			`seed ${seed}: at the controller that was cut off`,
+			`seed ${seed}: open at the partitioned controller`,
 		)
 		for (const { name, terminalStates } of readers)
 			assert.deepEqual(
@@ -93,14 +102,14 @@
 })
 
 /**
- * A stream of two jobs is prepared: the first is looked up in the archive, the second is in memory. Meanwhile the second
- * leaves memory as well. A stream that began then would know nothing of it, and never deliver its terminal state.
+ * A stream of two jobs is prepared: the first is looked up in the archive while the second is in memory. The second leaves
+ * memory during the lookup. A stream opened then would not find it, and never deliver its terminal state.
  */
-test('a stream does not begin if a job leaves memory while others are looked up', async () => {
+test('a stream is not opened if a job leaves memory while others are looked up', async () => {
 	const [archived, inMemory] = ['job-000901', 'job-000902']
 	const known = new Set([inMemory])
-	let finishLookUp: (found: ArchiveLookup) => void = () => {}
-	const parts = {
+	let finishLookup: (found: ArchiveLookup) => void = () => {}
+	const dependencies = {
 		jobs: {
 			get: (uid: string) => (known.has(uid) ? { record: { shardId: 0 }, modRevision: 1 } : undefined),
 			terminalRecord: () => undefined,
@@ -114,19 +123,19 @@
 			provesAbsent: () => false,
 			lookUp: () =>
 				Effect.callback<ArchiveLookup>((resume) => {
-					finishLookUp = (found) => resume(Effect.succeed(found))
+					finishLookup = (found) => resume(Effect.succeed(found))
 				}),
 		},
 	}
-	const jobLocator = new JobLocator(parts as unknown as Service, 1000)
-	const service = { ...parts, jobLocator } as unknown as Service
+	const jobLocator = new JobLocator(dependencies as unknown as Service, 1000)
+	const service = { ...dependencies, jobLocator } as unknown as Service
 	const records = new ServiceRecords(service, 10)
 	const found = { ordinal: ordinalOf(archived), aborted: false, taskCount: 1, doneCount: 1, revision: 3 }
-	const prepare = (whileLookingUp: () => void) =>
+	const prepare = (duringLookup: () => void) =>
 		new Promise<boolean>((done) => {
 			records.prepare({ uids: [archived, inMemory] }, done)
-			whileLookingUp()
-			finishLookUp(found)
+			duringLookup()
+			finishLookup(found)
 		})
 	assert.equal(await prepare(() => known.delete(inMemory)), false)
 	known.add(inMemory)
--- a/tests/omitted-states.test.ts
+++ b/tests/omitted-states.test.ts
@@ -1,19 +1,19 @@
 /**
- * Terminal events that were lost at a controller which restarted (incident 27).
+ * Terminal events were lost at a restarted controller (incident 27).
  *
- * A full read leaves terminal states under jobs' own keys out of memory, as there may be hundreds of thousands of them.
- * The restarted controller then behaved as if it had all of them:
+ * A full read does not load terminal states under jobs' own keys, as there may be hundreds of thousands of them. The
+ * restarted controller then behaved as if it had loaded all of them:
  *
- * - As long as no record of the format exists, it took every job that is not in memory for one that was never accepted,
- *   without a look-up. A stream by ids therefore began without the terminal state of a job that was cancelled before the
+ * - Until a record of the format existed, it took every job that was not in memory for one that was never accepted,
+ *   without a lookup. A stream by ids was therefore opened without the terminal state of a job cancelled before the
  *   restart, and ended as complete or never. In a failed run of the check of streams: `job/job-703008` final at revision
- *   22, `history` written at 77; a stream at a controller restarted before 77 began without the state of job-703008.
- * - The log of terminal states of a team began empty, but claimed to hold all there ever were. A reader by team that
- *   resumed there never heard of the jobs that ended since its cursor: in another run, cursor at revision 50, seven jobs
- *   final at 70, stream resumed at a controller restarted at 86, no event until the deadline.
+ *   22, `history` written at 77; a stream at a controller restarted before 77 was opened without the state of job-703008.
+ * - A team's log of terminal states was empty after the restart, but claimed to be complete. A reader by team that resumed
+ *   there never received the jobs that finished after its cursor: in another run, cursor at revision 50, seven jobs final
+ *   at 70, stream resumed at a controller restarted at 86, no event until the deadline.
  *
- * Archived states are missing in the same way. Here one controller of three stays down, so that the format is not
- * changed, while the two others crash in turn.
+ * Archived states are missing in the same way. Here one of three controllers stays down, so that the format does not
+ * change, while the two others crash in turn.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -21,7 +21,7 @@
 import { arrayJob, Simulation, StreamReader, streamsOf } from '@heathroad/testkit'
 
 const CONTROLLERS = 3
-/** Terminal states leave memory from this number on. */
+/** Limits so small that terminal states are archived, and leave memory, after a few jobs. */
 const SMALL_ARCHIVE = { archiveBatchSize: 4, writeRateShare: 0.5, pageCacheMb: 0.1 }
 const JOBS = 24
 const UNTIL_S = 240
@@ -33,7 +33,7 @@
 }))
 const uids = jobs.map((job) => job.spec.uid)
 
-/** Two controllers crash in turn, well after the jobs of a while ago are over. */
+/** Two controllers crash in turn; earlier jobs are long finished by then. */
 const crashes = Array.from({ length: 10 }, (_, index) => ({
 	atS: 30 + index * 12,
 	kind: 'crash' as const,
@@ -41,7 +41,7 @@
 	forS: 3,
 }))
 
-test('readers hear of every terminal state though the controllers that tell them were restarted after it', async () => {
+test('readers receive every terminal state, also from controllers that restarted after it', async () => {
 	for (const seed of [81, 82, 83]) {
 		const simulation = new Simulation({
 			seed,
@@ -71,16 +71,16 @@
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.deepEqual(simulation.invariants.unfinishedJobs(), [])
 		assert.deepEqual(refused, [], `seed ${seed}`)
-		assert.ok(simulation.state.countKeys('heathroad/job/') > 0, 'terminal states stand under own keys')
+		assert.ok(simulation.state.countKeys('heathroad/job/') > 0, 'terminal states are under own keys')
 		assert.equal(simulation.state.countKeys('heathroad/history'), 0, 'the format was not changed')
-		// A team's stream begins with what is open; the first job may be over before a reader began.
+		// A team's stream starts with the open jobs; the first job may be finished before a reader starts.
 		for (const { name, selection, terminalStates } of readers)
 			for (const uid of 'uids' in selection ? uids : uids.slice(1))
 				assert.ok(terminalStates.has(uid), `seed ${seed}, ${name}: no terminal state of ${uid}`)
 	}
 })
 
-test('a reader by team is told that it missed archived states, at a controller that restarted since, and only there', async () => {
+test('a reader by team learns that it missed archived states only at a controller that restarted since', async () => {
 	const simulation = new Simulation({
 		seed: 84,
 		untilS: UNTIL_S,
@@ -102,10 +102,10 @@
 			})
 			if (subscription === undefined || typeof subscription === 'string')
 				return done('', String(subscription))
-			const heard = new Set<string>()
+			const terminalUids = new Set<string>()
 			for (let event = subscription.next(); event !== null; event = subscription.next())
-				if (event.state === 'done' || event.state === 'cancelled') heard.add(event.uid)
-			done(subscription.cursor(), `heard of ${heard.size}`)
+				if (event.state === 'done' || event.state === 'cancelled') terminalUids.add(event.uid)
+			done(subscription.cursor(), `received ${terminalUids.size}`)
 			subscription.end(null)
 		})
 	}
@@ -115,7 +115,7 @@
 				subscribe(0, oldCursor, (_, outcome) => outcomes.push(`restarted: ${outcome}`))
 				subscribe(1, oldCursor, (newCursor, outcome) => {
 					outcomes.push(`never restarted: ${outcome}`)
-					subscribe(0, newCursor, (__, later) => outcomes.push(`restarted, from the present: ${later}`))
+					subscribe(0, newCursor, (__, later) => outcomes.push(`restarted, from the current state: ${later}`))
 				})
 			})
 		}),
@@ -125,8 +125,8 @@
 	assert.deepEqual(simulation.invariants.unfinishedJobs(), [])
 	assert.ok(simulation.state.countKeys('heathroad-past/') > 0, 'states were archived')
 	assert.deepEqual(outcomes.sort(), [
-		`never restarted: heard of ${JOBS}`,
-		'restarted, from the present: heard of 0',
+		`never restarted: received ${JOBS}`,
+		'restarted, from the current state: received 0',
 		'restarted: out of range',
 	])
 })
--- a/tests/simulated-jobs.ts
+++ b/tests/simulated-jobs.ts
@@ -1,6 +1,6 @@
 import { arrayJob, type SimulatedDay } from '@heathroad/testkit'
 
-/** Job arrays of several sizes, priorities and zones, one every `everyS` seconds; some are cancelled. */
+/** Job arrays of several sizes, priorities and zones, one submitted every `everyS` seconds; some are cancelled. */
 export const mixedJobs = (count: number, everyS = 4): SimulatedDay['jobs'] =>
 	Array.from({ length: count }, (_, index) => ({
 		atS: 1 + index * everyS,
@@ -10,7 +10,7 @@
 			priority: index % 4 === 0 ? 'urgent' : 'normal',
 			zone: index % 5 === 0 ? 'a' : null,
 			spot: index % 6 !== 0,
-			// Some run so long that only a cancellation can have ended them in time.
+			// Some run so long that only a cancellation ends them within the simulated day.
 			expectedS: index % 7 === 3 ? 300 : 6 + (index % 4) * 5,
 		}),
 		cancelAtS: index % 7 === 3 ? 30 + index * everyS : undefined,
--- a/tests/simulation-scenarios.test.ts
+++ b/tests/simulation-scenarios.test.ts
@@ -3,7 +3,7 @@
 import { arrayJob, Simulation } from '@heathroad/testkit'
 import { mixedJobs } from './simulated-jobs.js'
 
-test('a dead machine gets no more work, and its release is not hammered (incident 2)', async () => {
+test('a crashed machine gets no more work, and its release is not retried without pause (incident 2)', async () => {
 	const simulation = new Simulation({
 		seed: 21,
 		untilS: 120,
@@ -21,20 +21,22 @@
 	}
 	await simulation.play()
 	assert.deepEqual(simulation.invariants.violations, [])
-	const overs = [...seen].filter(([line]) => line.startsWith('agent lease expired'))
-	assert.ok(overs.length > 0, 'some task was lost with its machine')
-	for (const [line, n] of overs) assert.equal(n, 1, `${line} was said ${n} times`)
-	for (const [line, n] of seen) assert.ok(n <= 40, `${line} was said ${n} times`)
+	const expiries = [...seen].filter(([line]) => line.startsWith('agent lease expired'))
+	assert.ok(expiries.length > 0, 'some task was lost with its machine')
+	for (const [line, times] of expiries) assert.equal(times, 1, `${line} was logged ${times} times`)
+	for (const [line, times] of seen) assert.ok(times <= 40, `${line} was logged ${times} times`)
 })
 
-/** Of a shard with fewer machines, one is more than the quarter up to which missing machines are returned (incident 3). */
-const MIN_MACHINES_TO_RETURN_ONE = 4
+/** Up to a quarter of a shard's machines are released as missing (incident 3); in a smaller shard one machine is more. */
+const MIN_MACHINES_TO_RELEASE_ONE = 4
 const AGENT_LEASE_S = 20
-/** On seed 22 the machine dies in a shard of three, on the others in larger ones. */
-const DEAD_MACHINE_SEEDS = [22, 31, 35, 36, 37, 38, 39, 40, 41]
+/** On seed 22 the crashed machine is in a shard of three, on the others in larger ones. */
+const CRASHED_MACHINE_SEEDS = [22, 31, 35, 36, 37, 38, 39, 40, 41]
 
-/** Plays a day on which a machine dies just before all controllers restart; returns how long each rebuild took. */
-const rebuildsWithDeadMachine = async (seed: number): Promise<{ machines: number; afterMs: number }[]> => {
+/** Crashes a machine just before all controllers restart; returns how long each shard's reconciliation took. */
+const reconciliationsWithCrashedMachine = async (
+	seed: number,
+): Promise<{ machines: number; afterMs: number }[]> => {
 	const simulation = new Simulation({
 		seed,
 		untilS: 90,
@@ -46,33 +48,33 @@
 		],
 	})
 	const machinesOfShard = new Map<string, number>()
-	const rebuilds: { machines: number; afterMs: number }[] = []
+	const reconciliations: { machines: number; afterMs: number }[] = []
 	simulation.tell = (line) => {
-		const begun = /shard reconciling {"part":(\d+),.*"machines":(\d+)/.exec(line)
-		if (begun !== null) machinesOfShard.set(begun[1], Number(begun[2]))
-		const ended = /^(\d+) .* shard reconciled {"part":(\d+),"afterMs":(\d+)/.exec(line)
-		if (ended === null || Number(ended[1]) <= 41_000) return
-		rebuilds.push({ machines: machinesOfShard.get(ended[2]) ?? 0, afterMs: Number(ended[3]) })
+		const started = /shard reconciling {"part":(\d+),.*"machines":(\d+)/.exec(line)
+		if (started !== null) machinesOfShard.set(started[1], Number(started[2]))
+		const finished = /^(\d+) .* shard reconciled {"part":(\d+),"afterMs":(\d+)/.exec(line)
+		if (finished === null || Number(finished[1]) <= 41_000) return
+		reconciliations.push({ machines: machinesOfShard.get(finished[2]) ?? 0, afterMs: Number(finished[3]) })
 	}
 	await simulation.play()
 	assert.deepEqual(simulation.invariants.violations, [], `seed ${seed}`)
-	return rebuilds
+	return reconciliations
 }
 
-test('an unreachable machine does not hold a rebuild up for its whole lease (incident 3)', async () => {
-	for (const seed of DEAD_MACHINE_SEEDS) {
-		const rebuilds = await rebuildsWithDeadMachine(seed)
-		const text = `seed ${seed}: rebuilds took ${JSON.stringify(rebuilds)}`
-		assert.ok(Math.max(...rebuilds.map(({ afterMs }) => afterMs)) > 1000, `${text}; none was held up`)
-		for (const { machines, afterMs } of rebuilds) {
-			const maxMs = machines >= MIN_MACHINES_TO_RETURN_ONE ? 10_000 : (AGENT_LEASE_S + 1) * 1000
+test('an unreachable machine does not delay reconciliation for its whole agent lease (incident 3)', async () => {
+	for (const seed of CRASHED_MACHINE_SEEDS) {
+		const reconciliations = await reconciliationsWithCrashedMachine(seed)
+		const text = `seed ${seed}: reconciliations took ${JSON.stringify(reconciliations)}`
+		assert.ok(Math.max(...reconciliations.map(({ afterMs }) => afterMs)) > 1000, `${text}; none was delayed`)
+		for (const { machines, afterMs } of reconciliations) {
+			const maxMs = machines >= MIN_MACHINES_TO_RELEASE_ONE ? 10_000 : (AGENT_LEASE_S + 1) * 1000
 			assert.ok(afterMs < maxMs, text)
 		}
 	}
 })
 
 test('a faulty machine is drained, and jobs that fail everywhere cost no healthy machine (incident 8)', async () => {
-	// One is wider than the fleet: it has started nearly everywhere before its first error is known.
+	// One has more tasks than the fleet has slots: it starts nearly everywhere before its first failure is known.
 	const broken = [5, 120].map((tasks, i) =>
 		arrayJob(`job-00090${i}`, { jobClass: 'broken', tasks, expectedS: 1 }),
 	)
@@ -92,22 +94,22 @@
 	}
 	await simulation.play()
 	assert.deepEqual(simulation.invariants.violations, [])
-	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job ends')
-	assert.ok(drained.size >= 1, 'some faulty machine is found')
-	for (const id of drained) assert.ok(simulation.faulty.has(id), `${id} is drained and healthy`)
+	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job reaches a terminal state')
+	assert.ok(drained.size >= 1, 'at least one faulty machine is detected')
+	for (const id of drained) assert.ok(simulation.faulty.has(id), `${id} is drained although it is healthy`)
 	const [narrow, wide] = broken.map((b) => failed.get(b.uid) ?? 0)
 	assert.ok(narrow >= 5 && narrow < 20, `the narrow job failed ${narrow} times in 130 s`)
 	assert.ok(wide > 10 && wide < 60, `the wide job of 120 tasks failed ${wide} times in 80 s`)
 })
 
-test('a dead machine is returned in its turn while rentals lack calls to the cloud', async () => {
+test('a crashed machine is released in its turn while scale-out uses up the rate of cloud calls', async () => {
 	const simulation = new Simulation({
 		seed: 29,
 		untilS: 48,
 		controllers: 1,
 		capacity: 400,
 		cloudRps: 0.3,
-		// Always more wanted, in two zones, than the next call can ask for.
+		// In each of two zones, more machines are always wanted than the next call can request.
 		jobs: Array.from({ length: 40 }, (_, i) => ({
 			atS: 1 + i,
 			spec: arrayJob(`job-0006${String(i).padStart(2, '0')}`, {
@@ -119,17 +121,17 @@
 		})),
 		faults: [25, 26, 27].map((atS) => ({ atS, kind: 'machineDies' })),
 	})
-	const returned: number[] = []
+	const releasedAt: number[] = []
 	simulation.tell = (line) => {
 		const at = /^(\d+) .* releasing .*silent/.exec(line)
-		if (at !== null) returned.push(Number(at[1]) / 1000)
+		if (at !== null) releasedAt.push(Number(at[1]) / 1000)
 	}
 	await simulation.play()
 	assert.deepEqual(simulation.invariants.violations, [])
-	assert.ok(returned.length > 0 && returned[0] < 40, `dead since 25 s, returned at ${returned}`)
+	assert.ok(releasedAt.length > 0 && releasedAt[0] < 40, `crashed at 25 s, released at ${releasedAt}`)
 })
 
-test('machines that cannot reach their owner but others are handed to one of those (incident 10)', async () => {
+test('a shard whose machines cannot reach its owner is handed to a controller that they reach (incident 10)', async () => {
 	const simulation = new Simulation({
 		seed: 26,
 		untilS: 200,
@@ -148,14 +150,18 @@
 	}
 	await simulation.play()
 	assert.deepEqual(simulation.invariants.violations, [])
-	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job ends')
-	assert.equal(seen.get('machines reach'), 1, 'the part went to who hears its machines, once')
-	assert.equal(seen.get('agent lease expired') ?? 0, 0, 'no task lost its lease')
+	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job reaches a terminal state')
+	assert.equal(
+		seen.get('machines reach'),
+		1,
+		'the shard was handed once to a controller that its machines reach',
+	)
+	assert.equal(seen.get('agent lease expired') ?? 0, 0, 'no agent lease expired')
 	assert.equal(seen.get('workers reachable again'), 1)
 	assert.equal(seen.get('handed back to ctl-0'), 1)
 })
 
-test('some 200 machines and bursts of arrays: every job ends, and what is written follows jobs and rentals', async () => {
+test('some 200 machines and bursts of arrays: every job finishes, and writes are proportional to jobs and rentals', async () => {
 	const simulation = new Simulation({
 		seed: 24,
 		untilS: 260,
@@ -183,28 +189,31 @@
 	}
 	await simulation.play()
 	assert.deepEqual(simulation.invariants.violations, [])
-	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job ends')
+	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job reaches a terminal state')
 	const machines = count.get('machine booted') ?? 0
-	assert.ok(machines > 150, `${machines} machines came up`)
-	// Three changes a machine and two a job were the rule once: more than the state takes in the time.
+	assert.ok(machines > 150, `${machines} machines booted`)
+	// Three changes per machine and two per job, as they once were, exceed the state service's write rate.
 	const fleet = simulation.state.countChanges('fleet/')
 	const changes = fleet.set + fleet.deleted
-	assert.ok(changes < machines * 2, `${changes} changes of ${machines} machines' records`)
-	// An outcome is one change; progress has what is left of the rate.
+	assert.ok(changes < machines * 2, `${changes} changes to the records of ${machines} machines`)
+	// A terminal state is one change; progress is written with what is left of the write rate.
 	const own = simulation.state.countChanges('job/')
-	assert.ok(own.set < 60 * 6, `${own.set} changes of 60 jobs' own keys`)
-	// 40 of the 60 jobs come in one burst.
+	assert.ok(own.set < 60 * 6, `${own.set} changes to the own keys of 60 jobs`)
+	// 40 of the 60 jobs are submitted in one burst.
 	const intake = simulation.state.countChanges('intake/')
 	assert.ok(intake.set < 45, `${intake.set} changes for 60 acceptances`)
-	assert.ok(intake.deleted > intake.set / 2, `${intake.deleted} of ${intake.set} records are gone at the end`)
+	assert.ok(
+		intake.deleted > intake.set / 2,
+		`${intake.deleted} of ${intake.set} records are deleted at the end`,
+	)
 })
 
-for (const [who, more, by] of [
+for (const [urgency, overrides, maxDoneS] of [
 	['urgent', { priority: 'urgent' }, 100],
-	['lifted', { priority: 'idle', jobClass: 'letters' }, 130],
+	['raised', { priority: 'idle', jobClass: 'letters' }, 130],
 ] as const)
-	test(`${who} tasks that need several slots of one machine do not wait behind small ones (incidents 5 and 13)`, async () => {
-		const wide = arrayJob('job-000701', { tasks: 4, cpus: 4, expectedS: 5, ...more })
+	test(`${urgency} tasks that need several slots of one machine do not wait behind small ones (incidents 5 and 13)`, async () => {
+		const wide = arrayJob('job-000701', { tasks: 4, cpus: 4, expectedS: 5, ...overrides })
 		const simulation = new Simulation({
 			seed: 25,
 			untilS: 300,
@@ -224,12 +233,12 @@
 		}
 		await simulation.play()
 		assert.deepEqual(simulation.invariants.violations, [])
-		assert.ok(doneAt > 0 && doneAt < by, `the job of 60 s ended at ${doneAt} s`)
+		assert.ok(doneAt > 0 && doneAt < maxDoneS, `the job submitted at 60 s finished at ${doneAt} s`)
 	})
 
-test('a team gets its guarantee from a guest whose tasks cannot save, and no more than that', async () => {
+test('a team gets its guarantee by preempting a guest team without checkpoints, and no more than that', async () => {
 	const lab = arrayJob('job-000720', { team: 'lab', priority: 'idle', tasks: 32, expectedS: 500 })
-	// The guarantee has room for one of them beside the other: what the second wants beyond it waits.
+	// The guarantee has room for only one of the two jobs: the other waits.
 	const own = [721, 722].map((n) => arrayJob(`job-000${n}`, { tasks: 12, expectedS: 20 }))
 	const simulation = new Simulation({
 		seed: 29,
@@ -244,20 +253,23 @@
 		faults: [],
 	})
 	const doneAt: number[] = []
-	let stopped = 0
+	let preempted = 0
 	simulation.tell = (line) => {
 		const at = /^(\d+) .* job terminal .*job-00072[12]/.exec(line)
 		if (at !== null) doneAt.push(Number(at[1]) / 1000)
-		if (line.includes('tasks preempted')) stopped++
+		if (line.includes('tasks preempted')) preempted++
 	}
 	await simulation.play()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.equal(doneAt.length, 2)
-	assert.ok(doneAt[0] < 100 && doneAt[1] < 140, `work of 20 s that came at 60 s ended at ${doneAt}`)
-	assert.ok(stopped >= 8 && stopped <= 16, `${stopped} tasks of the guest's were stopped for 12 CPUs`)
+	assert.ok(doneAt[0] < 100 && doneAt[1] < 140, `jobs of 20 s submitted at 60 s finished at ${doneAt}`)
+	assert.ok(
+		preempted >= 8 && preempted <= 16,
+		`${preempted} tasks of the guest team were preempted for 12 CPUs`,
+	)
 })
 
-test('a swarm of single jobs: many outcomes share a change, and nothing is left of them in memory', async () => {
+test('many one-task jobs: terminal states share changes, and no progress is written', async () => {
 	const simulation = new Simulation({
 		seed: 28,
 		untilS: 150,
@@ -270,12 +282,12 @@
 	})
 	await simulation.play()
 	assert.deepEqual(simulation.invariants.violations, [])
-	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job ends')
-	assert.equal(simulation.state.countChanges('job/').set, 0, 'no progress of a job with one task')
+	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job reaches a terminal state')
+	assert.equal(simulation.state.countChanges('job/').set, 0, 'no progress is written for a job with one task')
 	const pages = simulation.state.countChanges('over/')
 	assert.ok(
 		pages.set + pages.deleted < 150,
-		`${pages.set} changes for 150 outcomes, ${pages.deleted} removals`,
+		`${pages.set} changes for 150 terminal states, ${pages.deleted} deletions`,
 	)
 	const intake = simulation.state.countChanges('intake/')
 	assert.ok(intake.set <= 150, `${intake.set} changes for 150 acceptances`)
@@ -300,12 +312,16 @@
 		faults: [{ atS: 50, kind: 'crash', who: [0, 1, 2] }],
 	})
 	await simulation.play()
-	// The invariant checker counts what each team uses at any time.
+	// The invariant checker compares each team's use with its limit throughout.
 	assert.deepEqual(simulation.invariants.violations, [])
-	assert.deepEqual(simulation.invariants.unfinishedJobs(), [tooLarge.uid], 'all but what can never run')
+	assert.deepEqual(
+		simulation.invariants.unfinishedJobs(),
+		[tooLarge.uid],
+		'all jobs finish but the one that can never run',
+	)
 })
 
-test('a report that comes late to any controller, with an older counter than others have seen, moves no task', async () => {
+test('a late heartbeat with an older sequence than a controller has seen moves no task', async () => {
 	const simulation = new Simulation({
 		seed: 34,
 		untilS: 400,
@@ -315,32 +331,32 @@
 			{ atS: 62, kind: 'crash', who: [2] },
 		],
 	})
-	const old: unknown[] = []
+	const oldHeartbeats: unknown[] = []
 	for (const atS of [15, 20, 25, 30, 35, 45, 55])
 		simulation.clock.after(atS * 1000, () => {
-			for (const w of simulation.workers.values())
-				if (!w.stopped) old.push(w.handle('/inspect', undefined).body)
+			for (const worker of simulation.workers.values())
+				if (!worker.stopped) oldHeartbeats.push(worker.handle('/inspect', undefined).body)
 		})
 	let repeated = 0
 	for (const atS of [38, 42, 46, 50, 58, 64, 68, 75])
 		simulation.clock.after(atS * 1000, () => {
-			for (const body of old)
+			for (const body of oldHeartbeats)
 				for (const i of [0, 1, 2])
 					void simulation.sendRequest(i, 'POST', '/checkin', body).then(() => repeated++)
 		})
 	await simulation.play()
 	assert.deepEqual(simulation.invariants.violations, [])
-	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job ends')
-	assert.ok(repeated > 400, `${repeated} late reports`)
-	// No machine dies on this day: beside a few that were moved, a task that starts twice was taken for lost.
-	const tasks = mixedJobs(16).reduce((n, j) => n + j.spec.tasks, 0)
+	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job reaches a terminal state')
+	assert.ok(repeated > 400, `${repeated} late heartbeats`)
+	// No machine crashes here: apart from a few that moved, a task that starts twice was wrongly taken for lost.
+	const tasks = mixedJobs(16).reduce((sum, submission) => sum + submission.spec.tasks, 0)
 	assert.ok(
 		simulation.invariants.taskPlacements <= tasks * 1.1,
 		`${simulation.invariants.taskPlacements} starts of ${tasks} tasks`,
 	)
 })
 
-test('an array of 100,000 tasks ends, over a crash of all controllers', async () => {
+test('an array of 100,000 tasks finishes across a crash of all controllers', async () => {
 	const spec = arrayJob('job-000640', { tasks: 100_000, cpus: 0.1, ramGb: 0.1, expectedS: 3, imageGb: 0.5 })
 	const simulation = new Simulation({
 		seed: 31,
@@ -351,9 +367,9 @@
 	})
 	await simulation.play()
 	assert.deepEqual(simulation.invariants.violations, [])
-	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'it ends')
-	// 98 keys of ranges, each written when its turn comes, and deleted at the end.
+	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'the array finishes')
+	// 98 keys of task ranges, each written when the write rate permits, and deleted at the end.
 	const progress = simulation.state.countChanges('done/')
-	assert.ok(progress.set > 97 && progress.set < 3000, `${progress.set} changes of its progress`)
-	assert.equal(progress.deleted, 97, 'nothing of it stays')
+	assert.ok(progress.set > 97 && progress.set < 3000, `${progress.set} changes of progress`)
+	assert.equal(progress.deleted, 97, 'no progress remains')
 })
--- a/tests/simulation.test.ts
+++ b/tests/simulation.test.ts
@@ -13,8 +13,8 @@
 	up?: number
 	drift?: boolean
 }[] = [
-	{ name: 'a quiet day', faults: [], seeds: [1, 2] },
-	{ name: 'lost and late messages', faults: [], loss: 0.03, seeds: [3, 4] },
+	{ name: 'no faults', faults: [], seeds: [1, 2] },
+	{ name: 'lost and delayed messages', faults: [], loss: 0.03, seeds: [3, 4] },
 	{
 		name: 'one, two and all controllers crash',
 		faults: [
@@ -26,7 +26,7 @@
 		seeds: [5, 6],
 	},
 	{
-		name: 'the state is down, also during a crash',
+		name: 'the state service is down, also during a crash',
 		drift: true,
 		faults: [
 			{ atS: 25, kind: 'stateDown', forS: 12 },
@@ -37,7 +37,7 @@
 		seeds: [7, 8],
 	},
 	{
-		name: 'controllers cut from everything, the state, the workers and their peers',
+		name: 'controllers are partitioned from everything, the state service, the machines and their peers',
 		drift: true,
 		faults: [
 			{ atS: 25, kind: 'cut', who: [0], forS: 20 },
@@ -49,7 +49,7 @@
 		seeds: [9, 10],
 	},
 	{
-		name: 'machines die while the cloud is down',
+		name: 'machines crash while the cloud API is down',
 		faults: [
 			{ atS: 25, kind: 'machineDies' },
 			{ atS: 30, kind: 'cloudDown', forS: 20 },
@@ -61,7 +61,7 @@
 		seeds: [11, 12],
 	},
 	{
-		name: 'controllers crash while half of the machines cannot be reached',
+		name: 'controllers crash while half of the machines are unreachable',
 		faults: [
 			{ atS: 30, kind: 'machinesCut', forS: 8 },
 			{ atS: 31, kind: 'crash', who: [0, 1], forS: 3 },
@@ -71,7 +71,7 @@
 		seeds: [14, 15],
 	},
 	{
-		name: 'the state is slow while controllers crash, lose their peers or the state alone',
+		name: 'the state service is slow while controllers crash or are partitioned from their peers or from it',
 		faults: [
 			{ atS: 20, kind: 'slowState', forS: 70 },
 			{ atS: 30, kind: 'crash', who: [0] },
@@ -82,7 +82,7 @@
 		seeds: [16, 17],
 	},
 	{
-		name: 'spot notices, and errors of a controller of its own',
+		name: 'preemption notices of spot machines, and internal errors of controllers',
 		faults: [
 			{ atS: 25, kind: 'spotNotice', forS: 8 },
 			{ atS: 27, kind: 'internalError', who: [0, 1] },
@@ -93,7 +93,7 @@
 		seeds: [18, 19],
 	},
 	{
-		name: 'five controllers, machines that are up before them, four crashes during an outage',
+		name: 'five controllers, machines that are up before them, four controllers crash during a state outage',
 		faults: [
 			{ atS: 25, kind: 'crash', who: [0, 3] },
 			{ atS: 45, kind: 'stateDown', forS: 8 },
@@ -106,7 +106,7 @@
 		seeds: [20, 21],
 	},
 	{
-		name: 'controllers stand still for less than a report, around the grant and longer than a lease',
+		name: 'controllers stand still for less than a heartbeat interval, about a controller lease and longer than an agent lease',
 		drift: true,
 		faults: [
 			{ atS: 20, kind: 'freeze', who: [0], forS: 0.7 },
@@ -121,7 +121,7 @@
 		seeds: [30, 31],
 	},
 	{
-		name: 'a standstill, a crash and cuts from the workers or the state while machines boot late or at once',
+		name: 'a standstill, a crash and partitions from the machines or the state service while machines boot late or at once',
 		faults: [
 			{ atS: 1, kind: 'bootTimes', forS: 30, factor: 0.05 },
 			{ atS: 25, kind: 'cut', who: [0], from: 'workers', forS: 20 },
@@ -135,7 +135,7 @@
 		seeds: [32, 33],
 	},
 	{
-		name: 'a zone is cut off with controllers and machines inside, for a lease and for many, also during a crash',
+		name: 'a zone with controllers and machines is partitioned, for one lease and for many, also during a crash',
 		drift: true,
 		faults: [
 			{ atS: 20, kind: 'zoneCut', zone: 'b', who: [1], forS: 12 },
@@ -149,26 +149,26 @@
 		seeds: [34, 35, 36],
 	},
 	{
-		name: "a team's limit, over a takeover",
+		name: "a team's limit holds across a takeover",
 		faults: [{ atS: 30, kind: 'crash', who: [0, 1] }],
 		seeds: [13],
 		limit: 12,
 	},
 ]
 
-for (const c of cases)
-	for (const seed of c.seeds)
-		test(`the invariants hold: ${c.name}, seed ${seed}`, async () => {
+for (const testCase of cases)
+	for (const seed of testCase.seeds)
+		test(`the invariants hold: ${testCase.name}, seed ${seed}`, async () => {
 			const simulation = new Simulation({
 				seed,
 				untilS: 400,
 				jobs: mixedJobs(16),
-				faults: c.faults,
-				loss: c.loss,
-				controllers: c.controllers,
-				up: c.up,
-				drift: c.drift,
-				limits: c.limit === undefined ? undefined : new Map([['core', c.limit]]),
+				faults: testCase.faults,
+				loss: testCase.loss,
+				controllers: testCase.controllers,
+				up: testCase.up,
+				drift: testCase.drift,
+				limits: testCase.limit === undefined ? undefined : new Map([['core', testCase.limit]]),
 			})
 			await simulation.play()
 			assert.deepEqual(simulation.invariants.violations, [])
@@ -176,5 +176,5 @@
 				simulation.invariants.taskPlacements > 50,
 				`only ${simulation.invariants.taskPlacements} tasks started`,
 			)
-			assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job ends')
+			assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job reaches a terminal state')
 		})
--- a/tests/state-tools-moves.test.ts
+++ b/tests/state-tools-moves.test.ts
@@ -21,7 +21,7 @@
 import { arrayJob, FakeStateStore, VirtualClock } from '@heathroad/testkit'
 import type { HttpClient, HttpResponse } from '@heathroad/wire'
 import { Effect } from 'effect'
-import { OtherController } from './held-state.js'
+import { OtherController } from './held-requests.js'
 
 const directory = mkdtempSync(join(tmpdir(), 'heathroad-moves-'))
 after(() => rmSync(directory, { recursive: true }))
--- a/tests/terminal-events.test.ts
+++ b/tests/terminal-events.test.ts
@@ -1,9 +1,9 @@
 /**
- * The property behind the check of streams, over many seeds in virtual time: every reader gets exactly one terminal event
- * of every job, or is told that there is a gap; and a stream by ids never ends as complete without an event for each id.
+ * Checks over many seeds in virtual time that every reader receives exactly one terminal event of every job or is notified
+ * of a gap, and that a stream by ids never ends as complete without an event for each id.
  *
- * Guards against the missed terminal events of incidents 27 and 30 wherever they come from: controllers crash every few
- * seconds, just after the records changed their format, while states are archived, and while readers begin and resume.
+ * Guards against the missed terminal events of incidents 27 and 30, whatever their cause: controllers crash every few
+ * seconds, just after the record format changed, while states are archived, and while readers start and resume.
  */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
@@ -14,10 +14,10 @@
 const SEEDS = Array.from({ length: 8 }, (_, index) => 401 + index)
 const SMALL_ARCHIVE = { archiveBatchSize: 4, writeRateShare: 0.5, pageCacheMb: 0.1 }
 const JOBS = 24
-/** When crashes begin and end, and their mean distance, in seconds. */
+/** When crashes begin and end, and the mean time between two of them, in seconds. */
 const CRASHES = { from: 5, until: 80, everyS: 4 }
 const UNTIL_S = 160
-/** When readers by ids begin, in seconds; the last one after all crashes. */
+/** When readers by ids start, in seconds; the last one starts after all crashes. */
 const READERS_FROM_S = [0, 15, 35, 55, 110]
 const TEAM_READERS = 4
 
@@ -28,10 +28,10 @@
 }))
 const uids = jobs.map((job) => job.spec.uid)
 
-/** One controller is down at first: until all are up the records keep their first format. In seconds. */
+/** One controller is down at first, in seconds: records keep their first format until all controllers are up. */
 const FIRST_FORMAT = { from: 0.6, forS: 50 }
 
-/** Crashes at moments that follow from the seed alone. */
+/** Returns the crashes of a seed; they depend on the seed alone. */
 const crashesOf = (seed: number): Fault[] => {
 	const downAtFirst = seed % CONTROLLERS
 	const faults: Fault[] = [
@@ -48,9 +48,9 @@
 
 class Reader {
 	readonly terminalEvents = new Map<string, number>()
-	/** it was told that it cannot resume, and has to begin anew */
+	/** the reader was notified that it cannot resume, and has to restart its stream */
 	hasGap = false
-	readonly wrong: string[] = []
+	readonly completionErrors: string[] = []
 
 	constructor(
 		readonly name: string,
@@ -64,20 +64,23 @@
 
 	onComplete(): void {
 		const missing = uids.filter((uid) => !this.terminalEvents.has(uid))
-		if (missing.length > 0) this.wrong.push(`${this.name}: complete without ${missing.join(' ')}`)
+		if (missing.length > 0) this.completionErrors.push(`${this.name}: complete without ${missing.join(' ')}`)
 	}
 
-	/** What is wrong at the end; a team's stream begins with what is open, so the first job may be over before it. */
-	findings(): string[] {
-		if (this.hasGap) return this.wrong
+	/** Returns all errors; a team's stream starts with the open jobs, so the first job may be finished before it. */
+	errors(): string[] {
+		if (this.hasGap) return this.completionErrors
 		const expected = 'uids' in this.selection ? uids : uids.slice(1)
 		const counts = expected.map((uid) => ({ uid, count: this.terminalEvents.get(uid) ?? 0 }))
 		const unexpected = counts.filter(({ count }) => count !== 1)
-		return [...this.wrong, ...unexpected.map(({ uid, count }) => `${this.name}: ${count} events of ${uid}`)]
+		return [
+			...this.completionErrors,
+			...unexpected.map(({ uid, count }) => `${this.name}: ${count} events of ${uid}`),
+		]
 	}
 }
 
-test('every reader gets one terminal event of each job or is told of a gap, whenever controllers crash', async () => {
+test('every reader receives one terminal event of each job or is notified of a gap, whenever controllers crash', async () => {
 	let crashes = 0
 	for (const seed of SEEDS) {
 		const faults = crashesOf(seed)
@@ -103,7 +106,7 @@
 		assert.deepEqual(simulation.invariants.violations, [], `seed ${seed}`)
 		assert.deepEqual(simulation.invariants.unfinishedJobs(), [], `seed ${seed}`)
 		assert.deepEqual(
-			readers.flatMap((reader) => reader.findings()),
+			readers.flatMap((reader) => reader.errors()),
 			[],
 			`seed ${seed}`,
 		)
--- a/tests/trace.test.ts
+++ b/tests/trace.test.ts
@@ -1,12 +1,12 @@
-/** Traces of simulated days: repeatable by seed, sensitive to every byte, and without effect on the day. */
+/** Traces of simulations repeat by seed, show every byte that differs, and do not affect the simulation. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { arrayJob, digestMessages, Simulation, type TracedMessage, traceLine } from '@heathroad/testkit'
 
-/** Long enough for a crash, a drain and a cut, with jobs before and after. */
+/** Long enough for a crash, a drain and a partition, with jobs before and after. */
 const DAY_S = 90
 
-const world = (seed: number): Simulation =>
+const createSimulation = (seed: number): Simulation =>
 	new Simulation({
 		seed,
 		untilS: DAY_S,
@@ -27,12 +27,12 @@
 
 const digest = (seed: number, dump: ((line: string) => void) | null = null) =>
 	digestMessages((trace) => {
-		const played = world(seed)
-		played.trace = trace
-		return played.play()
+		const simulation = createSimulation(seed)
+		simulation.trace = trace
+		return simulation.play()
 	}, dump)
 
-test('a seed gives the same trace, whatever was played before in the process', async () => {
+test('a seed gives the same trace, whatever ran before in the process', async () => {
 	const first = await digest(7)
 	const other = await digest(8)
 	const again = await digest(7)
@@ -40,7 +40,7 @@
 	assert.notEqual(other.sha256, first.sha256)
 })
 
-test('a trace holds what goes over each boundary in both directions', async () => {
+test('a trace holds the messages over each boundary in both directions', async () => {
 	const lines: string[] = []
 	const { messages } = await digest(7, (line) => lines.push(line))
 	assert.equal(lines.length, messages)
@@ -65,20 +65,20 @@
 		)
 })
 
-test('a day goes the same way whether it is traced or not', async () => {
-	const [plain, traced] = [world(9), world(9)]
+test('a simulation has the same outcome whether it is traced or not', async () => {
+	const [plain, traced] = [createSimulation(9), createSimulation(9)]
 	traced.trace = () => {}
 	await plain.play()
 	await traced.play()
-	const outcome = ({ invariants: rules, state, clock }: Simulation) => [
-		rules.taskPlacements,
+	const outcome = ({ invariants: checker, state, clock }: Simulation) => [
+		checker.taskPlacements,
 		state.requests,
 		clock.random(),
 	]
 	assert.deepEqual(outcome(traced), outcome(plain))
 })
 
-test('a line tells a message to the byte', () => {
+test('a trace line contains the exact bytes of a message', () => {
 	const message: TracedMessage = {
 		atMs: 12.5,
 		controller: 'ctl-0',
