--- a/tests/absence-interleavings.ts
+++ b/tests/absence-interleavings.ts
@@ -7,7 +7,7 @@
 import { KEY_PREFIX } from '@heathroad/store'
 import { type FakeResponse, Simulation } from '@heathroad/testkit'
 import { isMap } from '@heathroad/wire'
-import { type HeldRequest, holdRequests, OtherController } from './held-state.js'
+import { type HeldRequest, holdRequests, OtherController } from './held-requests.js'
 
 /** Finished before the simulation starts; the full read at startup leaves its state out of memory. */
 export const FINISHED = 'job-000001'
