--- a/tests/stream-check-days.test.ts
+++ b/tests/stream-check-days.test.ts
@@ -20,5 +20,5 @@
 			readers.map(({ terminalStates: terminal }) => terminal.size >= JOBS),
 			Array.from({ length: READERS }, () => true),
 		)
-		assert.ok(completedAfterMs <= MAX_COMPLETION_MS, `completed after ${completedAfterMs} ms`)
+		assert.ok(completedAfterMs <= MAX_COMPLETION_MS, `took ${completedAfterMs} ms`)
 	})
