--- a/packages/testkit/src/history-growth.ts
+++ b/packages/testkit/src/history-growth.ts
@@ -106,7 +106,7 @@
 			})
 		})
 	}
-	await simulation.play()
+	await simulation.run()
 	const { invariants } = simulation
 	return { samples, broken: invariants.violations, unfinished: invariants.unfinished().length }
 }
--- a/packages/testkit/src/mass-restart.ts
+++ b/packages/testkit/src/mass-restart.ts
@@ -150,7 +150,7 @@
 	async run(): Promise<MassRestartResult> {
 		this.recordMachines()
 		this.observe()
-		await this.simulation.play()
+		await this.simulation.run()
 		return this.result()
 	}
 
@@ -232,6 +232,6 @@
 	}
 }
 
-/** Plays one mass restart and measures it. */
+/** Runs one mass restart and measures it. */
 export const measureMassRestart = (options: MassRestartOptions): Promise<MassRestartResult> =>
 	new MassRestart(options).run()
--- a/packages/testkit/src/plugin-days.ts
+++ b/packages/testkit/src/plugin-days.ts
@@ -161,10 +161,10 @@
 }
 
 /**
- * Plays a day with plug-ins. A checked job may start once a version released it, once its time limit is over, or where
+ * Runs a day with plug-ins. A checked job may start once a version released it, once its time limit is over, or where
  * the operator lets jobs start whose plug-in is unsure.
  */
-export const playPluginDay = async (
+export const runPluginDay = async (
 	day: PluginDay,
 	tell: (line: string) => void = () => {},
 	trace: ((message: TracedMessage) => void) | null = null,
@@ -199,7 +199,7 @@
 		result.hosts[controller]?.stop()
 		result.hosts[controller] = null
 	}
-	await simulation.play()
+	await simulation.run()
 	for (const host of result.hosts) host?.stop()
 	return result
 }
--- a/packages/testkit/src/random-day-runner.ts
+++ b/packages/testkit/src/random-day-runner.ts
@@ -1,6 +1,6 @@
-/** Plays days that follow from a seed, by kind, and reports what went wrong. */
+/** Runs days that follow from a seed, by kind, and reports what went wrong. */
 import { randomDoubleOutageDay } from './double-outage.js'
-import { playPluginDay } from './plugin-days.js'
+import { runPluginDay } from './plugin-days.js'
 import { randomCompoundFaultDay } from './random-compound-faults.js'
 import { randomDay } from './random-days.js'
 import { randomMigrationDay } from './random-migration-days.js'
@@ -14,7 +14,7 @@
  */
 export type RandomDayKind = 'any' | 'plugins' | 'gap' | 'meetings' | 'migration'
 
-/** What follows a day as it is played. */
+/** What observes a day while it runs. */
 export interface DayObservers {
 	/** takes the controllers' log lines */
 	tell?: (line: string) => void
@@ -34,13 +34,13 @@
 	eventCounts: Record<string, number>
 }
 
-/** Plays the day of a kind that follows from a seed. */
-export const playRandomDay = async (
+/** Runs the day of a kind that follows from a seed. */
+export const runRandomDay = async (
 	seed: number,
 	kind: RandomDayKind,
 	{ tell = () => {}, trace }: DayObservers = {},
 ): Promise<Simulation> => {
-	if (kind === 'plugins') return (await playPluginDay(randomPluginDay(seed), tell, trace)).simulation
+	if (kind === 'plugins') return (await runPluginDay(randomPluginDay(seed), tell, trace)).simulation
 	const createDay = {
 		any: randomDay,
 		gap: randomDoubleOutageDay,
@@ -50,11 +50,11 @@
 	const simulation = new Simulation(createDay(seed))
 	simulation.tell = tell
 	simulation.trace = trace ?? null
-	await simulation.play()
+	await simulation.run()
 	return simulation
 }
 
-/** Plays such a day and checks it; `countedEvents`: log events that are counted. */
+/** Runs such a day and checks it; `countedEvents`: log events that are counted. */
 export const checkRandomDay = async (
 	seed: number,
 	countedEvents: readonly string[] = [],
@@ -64,7 +64,7 @@
 	const tell = (line: string) => {
 		for (const event of countedEvents) if (line.includes(` ${event} {`)) eventCounts[event]++
 	}
-	const { invariants } = await playRandomDay(seed, kind, { tell })
+	const { invariants } = await runRandomDay(seed, kind, { tell })
 	return {
 		violations: [...invariants.violations, ...invariants.failures()],
 		unfinished: invariants.unfinished(),
--- a/packages/testkit/src/simulation.ts
+++ b/packages/testkit/src/simulation.ts
@@ -1,5 +1,5 @@
 /**
- * The simulation: controllers of the real service among fake services, machines and users. A day is played in virtual
+ * The simulation: controllers of the real service among fake services, machines and users. A day is run in virtual
  * time from a seed; with a real clock the same world serves demonstrations and measurements.
  */
 import type { Service } from '@heathroad/server'
@@ -152,11 +152,11 @@
 	}
 
 	/**
-	 * Plays the whole day in virtual time.
+	 * Runs the whole day in virtual time.
 	 * @throws Error if the simulation has a real clock
 	 */
-	async play(): Promise<void> {
-		if (!(this.clock instanceof VirtualClock)) throw new Error('a day is played in virtual time')
+	async run(): Promise<void> {
+		if (!(this.clock instanceof VirtualClock)) throw new Error('a simulated day needs a virtual clock')
 		await this.clock.run(this.day.untilS * 1000, () => this.schedule())
 		this.controllers.stopAll()
 	}
--- a/packages/testkit/src/stream-days.ts
+++ b/packages/testkit/src/stream-days.ts
@@ -197,8 +197,8 @@
 	}
 }
 
-/** Plays the day of random faults that follows from a seed, with readers who follow a team or half of the jobs. */
-export const playStreamDay = async (
+/** Runs the day of random faults that follows from a seed, with readers who follow a team or half of the jobs. */
+export const runStreamDay = async (
 	seed: number,
 	{ tell = () => {}, trace }: DayObservers = {},
 ): Promise<Simulation> => {
@@ -214,6 +214,6 @@
 		const observer = tracingObserver(simulation, reader, selection, trace)
 		new StreamReader(simulation, streams, day.controllers ?? DEFAULT_CONTROLLERS, selection, observer)
 	}
-	await simulation.play()
+	await simulation.run()
 	return simulation
 }
--- a/packages/testkit/src/trace.ts
+++ b/packages/testkit/src/trace.ts
@@ -4,8 +4,8 @@
  */
 import { createHash } from 'node:crypto'
 import { decode, encode } from '@heathroad/wire'
-import { playRandomDay, type RandomDayKind } from './random-day-runner.js'
-import { playStreamDay } from './stream-days.js'
+import { type RandomDayKind, runRandomDay } from './random-day-runner.js'
+import { runStreamDay } from './stream-days.js'
 
 /** One message that crosses the boundary of a controller. */
 export interface TracedMessage {
@@ -57,16 +57,16 @@
 }
 
 /**
- * The digest of the messages that `play` hands to its argument, in order. `dump` takes each message as a line of text
+ * The digest of the messages that `runDay` hands to its argument, in order. `dump` takes each message as a line of text
  * with its decoded body.
  */
 export const digestMessages = async (
-	play: (trace: (message: TracedMessage) => void) => Promise<unknown>,
+	runDay: (trace: (message: TracedMessage) => void) => Promise<unknown>,
 	dump: ((line: string) => void) | null = null,
 ): Promise<TraceDigest> => {
 	const hash = createHash('sha256')
 	let messages = 0
-	await play((message) => {
+	await runDay((message) => {
 		const line = traceLine(message)
 		messages++
 		hash.update(`${line}\n`)
@@ -82,6 +82,6 @@
 	dump: ((line: string) => void) | null = null,
 ): Promise<TraceDigest> =>
 	digestMessages(
-		(trace) => (kind === 'streams' ? playStreamDay(seed, { trace }) : playRandomDay(seed, kind, { trace })),
+		(trace) => (kind === 'streams' ? runStreamDay(seed, { trace }) : runRandomDay(seed, kind, { trace })),
 		dump,
 	)
--- a/tests/absence-orders.ts
+++ b/tests/absence-orders.ts
@@ -132,7 +132,7 @@
 		})
 		clock.after(HELD_UNTIL_S * 1000, () => this.releaseWatch())
 		this.lookForRuns()
-		await this.simulation.play()
+		await this.simulation.run()
 	}
 
 	/** Asks over HTTP; the answer is `STATUS` or `STATUS STATE`. */
--- a/tests/archival.test.ts
+++ b/tests/archival.test.ts
@@ -127,7 +127,7 @@
 		world.tell = (line) => {
 			if (line.includes(' jobs archived ')) archived += Number(/"jobs":(\d+)/.exec(line)?.[1])
 		}
-		await world.play()
+		await world.run()
 		assert.deepEqual(world.invariants.violations, [], `seed ${seed}`)
 		assert.deepEqual(world.invariants.unfinished(), [], `seed ${seed}`)
 		assert.ok(archived > 75, `${archived} of 150 were archived`)
@@ -174,7 +174,7 @@
 	world.started = (_, node) => {
 		world.clock.after(5000, () => jobKeysAfterStart.push([...node.cache.withPrefix('job/')].length))
 	}
-	await world.play()
+	await world.run()
 	assert.deepEqual(world.invariants.violations, [])
 	assert.deepEqual(world.invariants.unfinished(), [])
 	assert.deepEqual(wrongAnswers, [])
@@ -192,7 +192,7 @@
 		node.onUnsupportedFormat = (reason) => reasons.push(reason)
 	}
 	world.tell = () => {}
-	await world.play()
+	await world.run()
 	assert.ok(reasons.length >= 3)
 	assert.match(reasons[0], /form 3, which this version does not know/)
 })
--- a/tests/compound-faults.test.ts
+++ b/tests/compound-faults.test.ts
@@ -90,7 +90,7 @@
 			capacity: 5,
 			up: 5,
 		})
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.deepEqual(simulation.invariants.failures(), [])
 		assert.deepEqual(simulation.invariants.unfinished(), [], 'every job ends')
@@ -103,7 +103,7 @@
 
 test('compound faults that follow from a seed', async () => {
 	const simulation = new Simulation(randomCompoundFaultDay(1))
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinished(), [])
 })
--- a/tests/compound-user-faults.test.ts
+++ b/tests/compound-user-faults.test.ts
@@ -262,7 +262,7 @@
 			stateLimits: true,
 			...day,
 		})
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.deepEqual(simulation.invariants.failures(), [])
 		assert.deepEqual(simulation.invariants.unfinished(), [], 'every job ends')
@@ -301,7 +301,7 @@
 	}
 	for (let s = 45; s < 15 + forS; s += 5)
 		simulation.clock.after(s * 1000, () => records.push(simulation.state.count('heathroad/intake/')))
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinished(), [])
 	assert.ok(changes / ones.length < 3.2, `${changes} changes for ${ones.length} jobs`)
--- a/tests/crash-each-second.test.ts
+++ b/tests/crash-each-second.test.ts
@@ -30,7 +30,7 @@
 		const simulation = crashDay(seed)
 		const log: string[] = []
 		simulation.tell = (line) => log.push(line)
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [], `seed ${seed}`)
 		const ended = momentsOf(log, 'job terminal')
 		const accepted = momentsOf(log, 'job accepted')
--- a/tests/daemon.test.ts
+++ b/tests/daemon.test.ts
@@ -73,7 +73,7 @@
 			if (/ agent lease expired /.test(line)) expiredLeases++
 			if (/ drain phase changed .*"over"/.test(line)) drained++
 		}
-		await world.play()
+		await world.run()
 		assert.deepEqual(world.invariants.violations, [])
 		assert.deepEqual(world.invariants.unfinished(), [])
 		return { ...failedSubmissions(world), expiredLeases, drained }
@@ -132,7 +132,7 @@
 			const match = /^(\d+) \S+ drain phase changed .*"phase":"over"/.exec(line)
 			if (match !== null) drainedAtMs.push(Number(match[1]))
 		}
-		await world.play()
+		await world.run()
 		assert.deepEqual(world.invariants.violations, [], name)
 		assert.deepEqual(world.invariants.unfinished(), [], name)
 		assert.ok(
--- a/tests/double-outage.test.ts
+++ b/tests/double-outage.test.ts
@@ -68,7 +68,7 @@
 for (const { name, outage, seed } of cases)
 	test(`double outage: ${name}`, async () => {
 		const simulation = new Simulation(doubleOutageDay(seed, outage))
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.deepEqual(simulation.invariants.unfinished(), [], 'every job ends')
 		assert.ok(simulation.invariants.started > 50, `only ${simulation.invariants.started} tasks started`)
@@ -94,7 +94,7 @@
 				waited.push(simulation.clock.nowMs - durable.get(uid)!)
 			observeStatus.call(simulation.invariants, uid, status, state, known)
 		}
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.ok(waited.length > 20)
 		const least = Math.min(...waited)
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -55,7 +55,7 @@
 		simulation.clock.after(45_500, () => {
 			cutMachines = Math.floor(simulation.workers.size / 2)
 		})
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.deepEqual(simulation.invariants.unfinished(), [], 'every job ends')
 		// A shard of which fewer than two fifths are silent returns them: those are few.
@@ -91,7 +91,7 @@
 		if (name === 'job migrating') migratedUids.add(uid)
 		else if (!terminalAtS.has(uid)) terminalAtS.set(uid, Number(atMs) / 1000)
 	}
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinished(), [], 'every job ends')
 	const endedDuringCut = [...migratedUids].filter(
@@ -142,7 +142,7 @@
 		after.requests = simulation.state.requests
 		after.started = simulation.invariants.started
 	})
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.ok(machines >= 450, `${machines} machines`)
 	assert.equal(reconciledAtS.length, 5, 'every shard is owned and reconciled once')
--- a/tests/golden/days.ts
+++ b/tests/golden/days.ts
@@ -85,7 +85,7 @@
 	const world = new Simulation(day)
 	prepare(world)
 	recorder.attach(world)
-	await world.play()
+	await world.run()
 	return world
 }
 
--- a/tests/missed-changes.test.ts
+++ b/tests/missed-changes.test.ts
@@ -67,7 +67,7 @@
 				statuses.set(uid, (response?.body as { status?: string } | undefined)?.status ?? response?.status)
 			})
 	})
-	await simulation.play()
+	await simulation.run()
 	return { simulation, readers, statuses }
 }
 
--- a/tests/omitted-states.test.ts
+++ b/tests/omitted-states.test.ts
@@ -67,7 +67,7 @@
 		for (const atS of [0, 40, 80, 120, 170])
 			simulation.clock.after(atS * 1000, () => readers.push(startReader(`by ids, ${atS} s`, { uids })))
 		for (let index = 0; index < 6; index++) readers.push(startReader(`by team ${index}`, { team: 'core' }))
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.deepEqual(simulation.invariants.unfinished(), [])
 		assert.deepEqual(refused, [], `seed ${seed}`)
@@ -120,7 +120,7 @@
 			})
 		}),
 	)
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinished(), [])
 	assert.ok(simulation.state.count('heathroad-past/') > 0, 'states were archived')
--- a/tests/plugin-days.test.ts
+++ b/tests/plugin-days.test.ts
@@ -8,7 +8,7 @@
 	type Fault,
 	PLUGIN,
 	type PluginDay,
-	playPluginDay,
+	runPluginDay,
 } from '@heathroad/testkit'
 
 const release = { release: true }
@@ -116,7 +116,7 @@
 
 for (const row of days)
 	test(`checked jobs: ${row.name}`, async () => {
-		const { simulation, violations, starts, lateChecks } = await playPluginDay(day(row.day))
+		const { simulation, violations, starts, lateChecks } = await runPluginDay(day(row.day))
 		assert.deepEqual(violations, [])
 		assert.deepEqual(simulation.invariants.unfinished(), [], 'every job ends')
 		assert.equal(lateChecks, 0, 'nothing is asked about a job that has started')
@@ -141,7 +141,7 @@
 		{ atS: 40, kind: 'drain', who: [1], forS: 4 },
 		{ atS: 110, kind: 'drain', who: [2], forS: 4 },
 	]
-	const { simulation, violations, starts, hosts } = await playPluginDay(
+	const { simulation, violations, starts, hosts } = await runPluginDay(
 		day({ upgrades, faults: [...mixedFaults, ...drains], drift: true }),
 	)
 	assert.deepEqual(violations, [])
@@ -157,10 +157,10 @@
 		const own = [...firstStart].filter(([uid]) => Number(uid.slice(-4)) % 2 === 1)
 		return own.reduce((sum, [uid, ms]) => sum + ms - (1 + Number(uid.slice(-4)) * 1.5) * 1000, 0) / own.length
 	}
-	const without = await playPluginDay(day({ plugins: {}, directory: {} }))
+	const without = await runPluginDay(day({ plugins: {}, directory: {} }))
 	for (const behave of [() => {}, (c: FakeCall) => c.crash('no'), (c: FakeCall) => c.answer(hold(1))]) {
 		const ratio =
-			meanMs(await playPluginDay(day({ directory: { one: version('1', behave) } }))) / meanMs(without)
+			meanMs(await runPluginDay(day({ directory: { one: version('1', behave) } }))) / meanMs(without)
 		assert.ok(ratio < 1.2, `${ratio.toFixed(2)} of the wait without plug-ins`)
 	}
 })
@@ -172,12 +172,12 @@
 			: c.answer(Number(c.job.uid.slice(-4)) % 4 === 0 ? { refuse: 'no cut-off today' } : { pass: true })
 	const refused = jobs(40).filter((j) => Number(j.spec.uid.slice(-4)) % 4 === 0).length
 	const hooks = ['admit', 'release'] as const
-	const one = await playPluginDay(
+	const one = await runPluginDay(
 		day({ directory: { one: version('1', admit, { hooks }) }, faults: mixedFaults }),
 	)
 	assert.deepEqual(one.violations, [])
 	assert.equal(one.simulation.workload.submissions.get(422), refused)
-	const hung = await playPluginDay(day({ directory: { one: version('1', () => {}, { hooks }) } }))
+	const hung = await runPluginDay(day({ directory: { one: version('1', () => {}, { hooks }) } }))
 	assert.deepEqual(hung.violations, [])
 	assert.equal(hung.simulation.workload.submissions.get(422), undefined)
 	assert.deepEqual(hung.simulation.invariants.unfinished(), [])
--- a/tests/proof-of-absence.test.ts
+++ b/tests/proof-of-absence.test.ts
@@ -32,7 +32,7 @@
  */
 test('a day of crashes and a migration on which a job is asked for while its state moves', async () => {
 	const simulation = crashDay(2025)
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 })
 
@@ -470,7 +470,7 @@
 		clock.after(MIGRATION.questionEveryMs, ask)
 	}
 	clock.after(MIGRATION.fromS * 1000, ask)
-	await simulation.play()
+	await simulation.run()
 	const again = log.filter((line) => / job (accepted|terminal) /.test(line))
 	return { wrong, again, answers, left: unmoved.size, violations: simulation.invariants.violations }
 }
--- a/tests/simulated-watch.ts
+++ b/tests/simulated-watch.ts
@@ -225,7 +225,7 @@
 		})
 	Object.assign(timers, { setTimeout: virtualSleep })
 	try {
-		await simulation.play()
+		await simulation.run()
 	} finally {
 		Object.assign(timers, { setTimeout: realSleep })
 	}
--- a/tests/simulation-scenarios.test.ts
+++ b/tests/simulation-scenarios.test.ts
@@ -19,7 +19,7 @@
 		const at = /(agent lease expired|machines releasing) (.*)/.exec(line)
 		if (at !== null) seen.set(at[0], (seen.get(at[0]) ?? 0) + 1)
 	}
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	const overs = [...seen].filter(([line]) => line.startsWith('agent lease expired'))
 	assert.ok(overs.length > 0, 'some task was lost with its machine')
@@ -54,7 +54,7 @@
 		if (ended === null || Number(ended[1]) <= 41_000) return
 		rebuilds.push({ machines: machinesOfShard.get(ended[2]) ?? 0, afterMs: Number(ended[3]) })
 	}
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [], `seed ${seed}`)
 	return rebuilds
 }
@@ -90,7 +90,7 @@
 		const uid = /task failed .*"task":"([^/]+)/.exec(line)?.[1]
 		if (uid !== undefined) failed.set(uid, (failed.get(uid) ?? 0) + 1)
 	}
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinished(), [], 'every job ends')
 	assert.ok(drained.size >= 1, 'some faulty machine is found')
@@ -124,7 +124,7 @@
 		const at = /^(\d+) .* releasing .*silent/.exec(line)
 		if (at !== null) returned.push(Number(at[1]) / 1000)
 	}
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.ok(returned.length > 0 && returned[0] < 40, `dead since 25 s, returned at ${returned}`)
 })
@@ -146,7 +146,7 @@
 		)?.[0]
 		if (event !== undefined) seen.set(event, (seen.get(event) ?? 0) + 1)
 	}
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinished(), [], 'every job ends')
 	assert.equal(seen.get('machines reach'), 1, 'the part went to who hears its machines, once')
@@ -181,7 +181,7 @@
 		)?.[1]
 		if (event !== undefined) count.set(event, (count.get(event) ?? 0) + 1)
 	}
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinished(), [], 'every job ends')
 	const machines = count.get('machine booted') ?? 0
@@ -222,7 +222,7 @@
 			const at = /^(\d+) .* job terminal .*job-000701/.exec(line)
 			if (at !== null) doneAt = Number(at[1]) / 1000
 		}
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.ok(doneAt > 0 && doneAt < by, `the job of 60 s ended at ${doneAt} s`)
 	})
@@ -250,7 +250,7 @@
 		if (at !== null) doneAt.push(Number(at[1]) / 1000)
 		if (line.includes('tasks preempted')) stopped++
 	}
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.equal(doneAt.length, 2)
 	assert.ok(doneAt[0] < 100 && doneAt[1] < 140, `work of 20 s that came at 60 s ended at ${doneAt}`)
@@ -268,7 +268,7 @@
 		})),
 		faults: [],
 	})
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinished(), [], 'every job ends')
 	assert.equal(simulation.state.changes('job/').set, 0, 'no progress of a job with one task')
@@ -299,7 +299,7 @@
 		jobs: [...mixedJobs(8), { atS: 2, spec: guest }, { atS: 30, spec: tooLarge }],
 		faults: [{ atS: 50, kind: 'crash', who: [0, 1, 2] }],
 	})
-	await simulation.play()
+	await simulation.run()
 	// The invariant checker counts what each team uses at any time.
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinished(), [tooLarge.uid], 'all but what can never run')
@@ -327,7 +327,7 @@
 				for (const i of [0, 1, 2])
 					void simulation.sendRequest(i, 'POST', '/checkin', body).then(() => repeated++)
 		})
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinished(), [], 'every job ends')
 	assert.ok(repeated > 400, `${repeated} late reports`)
@@ -348,7 +348,7 @@
 		jobs: [{ atS: 1, spec }],
 		faults: [{ atS: 60, kind: 'crash', who: [0, 1, 2], forS: 4 }],
 	})
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinished(), [], 'it ends')
 	// 98 keys of ranges, each written when its turn comes, and deleted at the end.
--- a/tests/simulation.test.ts
+++ b/tests/simulation.test.ts
@@ -170,7 +170,7 @@
 				drift: c.drift,
 				limits: c.limit === undefined ? undefined : new Map([['core', c.limit]]),
 			})
-			await simulation.play()
+			await simulation.run()
 			assert.deepEqual(simulation.invariants.violations, [])
 			assert.ok(simulation.invariants.started > 50, `only ${simulation.invariants.started} tasks started`)
 			assert.deepEqual(simulation.invariants.unfinished(), [], 'every job ends')
--- a/tests/stream-days.test.ts
+++ b/tests/stream-days.test.ts
@@ -64,7 +64,7 @@
 			})
 			return { reader, terminalStates, selection }
 		})
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [], name)
 		assert.deepEqual(simulation.invariants.unfinished(), [], name)
 		assert.deepEqual(wrong.slice(0, 5), [], name)
--- a/tests/terminal-events.test.ts
+++ b/tests/terminal-events.test.ts
@@ -99,7 +99,7 @@
 		for (const fromS of READERS_FROM_S)
 			simulation.clock.after(fromS * 1000, () => start(new Reader(`by ids from ${fromS} s`, { uids })))
 		for (let index = 0; index < TEAM_READERS; index++) start(new Reader(`by team ${index}`, { team: 'core' }))
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [], `seed ${seed}`)
 		assert.deepEqual(simulation.invariants.unfinished(), [], `seed ${seed}`)
 		assert.deepEqual(
--- a/tests/trace.test.ts
+++ b/tests/trace.test.ts
@@ -29,7 +29,7 @@
 	digestMessages((trace) => {
 		const played = world(seed)
 		played.trace = trace
-		return played.play()
+		return played.run()
 	}, dump)
 
 test('a seed gives the same trace, whatever was played before in the process', async () => {
@@ -68,8 +68,8 @@
 test('a day goes the same way whether it is traced or not', async () => {
 	const [plain, traced] = [world(9), world(9)]
 	traced.trace = () => {}
-	await plain.play()
-	await traced.play()
+	await plain.run()
+	await traced.run()
 	const outcome = ({ invariants: rules, state, clock }: Simulation) => [
 		rules.started,
 		state.requests,
