--- a/packages/testkit/src/controller-http-client.ts
+++ b/packages/testkit/src/controller-http-client.ts
@@ -144,7 +144,7 @@
 	const { controller, to, path, body, reply } = request
 	const { network } = ports
 	const peer = ports.peerAt(to)
-	if (network.cutLinks.get(peer)?.has('peers')) return
+	if (network.partitionedLinks.get(peer)?.has('peers')) return
 	network.deliver({
 		link: { kind: 'peers', controller },
 		ends: { from: controller, to: peer },
--- a/packages/testkit/src/demo.ts
+++ b/packages/testkit/src/demo.ts
@@ -10,7 +10,7 @@
 const HTTP_LIMITS = { idleTimeoutMs: 20_000, requestTimeoutMs: 5000, maxSockets: 100 }
 
 const simulation = new Simulation({ seed: 1, untilS: 0, jobs: [], faults: [] }, new RealClock())
-simulation.tell = (line) => process.stderr.write(`${line}\n`)
+simulation.onLogLine = (line) => process.stderr.write(`${line}\n`)
 
 const main = async (): Promise<void> => {
 	const { GrpcServer } = await import('@heathroad/grpc')
--- a/packages/testkit/src/fault-injection.ts
+++ b/packages/testkit/src/fault-injection.ts
@@ -70,7 +70,7 @@
 const beginUserBehaviour =
 	(kind: 'cancelAtCompletion' | 'closeLooks'): FaultHandler =>
 	({ workload }, fault) =>
-		workload.chances.begin(kind, fault.share ?? 1, fault.forMs)
+		workload.randomFaults.begin(kind, fault.share ?? 1, fault.forMs)
 
 const controllerFaults = {
 	crash: ({ controllers }, { who, forS }) => {
@@ -91,8 +91,8 @@
 	cut: ({ clock, network }, { who, from, forMs }) => {
 		const links = from === undefined ? ALL_LINKS : [from].flat()
 		for (const index of who) {
-			network.cutLinks.set(index, new Set(links))
-			clock.after(forMs, () => network.cutLinks.delete(index))
+			network.partitionedLinks.set(index, new Set(links))
+			clock.after(forMs, () => network.partitionedLinks.delete(index))
 		}
 	},
 	zoneCut: ({ clock, network }, { zone, who, forMs }) => {
@@ -144,9 +144,9 @@
 
 const machineFaults = {
 	machineInboundLoss: (targets, { share, forMs }) =>
-		addFor(targets, targets.machines.deaf, someMachines(targets, share), forMs),
+		addFor(targets, targets.machines.inboundPartitioned, someMachines(targets, share), forMs),
 	machineOutboundLoss: (targets, { share, forMs }) =>
-		addFor(targets, targets.machines.mute, someMachines(targets, share), forMs),
+		addFor(targets, targets.machines.outboundPartitioned, someMachines(targets, share), forMs),
 	machinesCut: (targets, { forMs }) => {
 		const everySecond = [...targets.machines.workers.keys()].filter((_, index) => index % 2 === 0)
 		addFor(targets, targets.machines.disconnected, everySecond, forMs)
--- a/packages/testkit/src/grpc-servers.ts
+++ b/packages/testkit/src/grpc-servers.ts
@@ -15,11 +15,11 @@
 	constructor(simulation: Simulation, controllers: number) {
 		this.ports = Array.from({ length: controllers }, () => 0)
 		this.servers = this.ports.map(() => null)
-		simulation.started = (controller, node) => {
+		simulation.onStarted = (controller, node) => {
 			const settings = { ...defaultGrpcSettings('127.0.0.1:0'), minUpdateIntervalS: 0.1, maxOpensPerS: 200 }
 			this.start(controller, new GrpcServer(node, settings))
 		}
-		simulation.ended = (controller) => {
+		simulation.onEnded = (controller) => {
 			const server = this.servers[controller]
 			if (server !== null) this.stops.push(this.stop(server))
 			this.servers[controller] = null
--- a/packages/testkit/src/history-growth.ts
+++ b/packages/testkit/src/history-growth.ts
@@ -102,7 +102,7 @@
 				followed: simulation.state.count('heathroad/'),
 				archived: simulation.state.count('heathroad-past/'),
 				changes: { ...changes },
-				held: simulation.held(),
+				held: simulation.maxTerminalCount(),
 			})
 		})
 	}
--- a/packages/testkit/src/mass-restart.ts
+++ b/packages/testkit/src/mass-restart.ts
@@ -1,19 +1,19 @@
 /**
  * Measures a mass restart in virtual time: all controllers crash at one moment while every machine runs tasks, and boot
- * again. Tells what the restart costs the controllers, and when all machines are answered and all waiting jobs run.
+ * again. Reports what the restart costs the controllers, and when every machine has a response and all waiting jobs run.
  */
 import { VirtualClock } from './clock.js'
 import { arrayJob, BOX_MACHINE_TYPE, type SimulatedDay, ZONES } from './simulated-day.js'
 import { Simulation } from './simulation.js'
 
-/** What is restarted. */
+/** Size and seed of the simulated installation. */
 export interface MassRestartOptions {
 	machines: number
 	controllers: number
 	seed: number
 }
 
-/** What a restart took; counts and times are from the moment at which the controllers boot again. */
+/** Cost and duration of a restart; counts and times start when the controllers boot again. */
 export interface MassRestartResult {
 	machines: number
 	/** processor time of all controllers, and of the busiest one, in s */
@@ -21,41 +21,41 @@
 	busiestProcessorS: number
 	/** the largest processor time of one controller within a second of virtual time, in s */
 	peakProcessorS: number
-	/** memory of one controller's objects, in MB; null: the garbage collector is not exposed */
+	/** heap memory per controller, in MB; null: the garbage collector is not exposed */
 	controllerMb: number | null
-	/** messages that machines and controllers exchanged, for each machine */
+	/** messages between machines and controllers, per machine */
 	messagesPerMachine: number
-	/** changes of the state, for each machine */
+	/** writes to the state service, per machine */
 	writesPerMachine: number
-	/** time until every machine's heartbeat was answered by its owner, in s; null: not before the end */
+	/** time until every machine's heartbeat was answered by its owner, in s; null: not within the measurement */
 	allAnsweredS: number | null
-	/** time until tasks of every job run, in s; null: not before the end */
+	/** time until tasks of every job run, in s; null: not within the measurement */
 	allRunningS: number | null
-	/** share of all tasks that run at the end */
+	/** fraction of all tasks that run at the end */
 	runningShare: number
 	/** violations of the protocol */
 	violations: readonly string[]
 }
 
-/** Timing of heartbeats and leases. */
-const TIMES = { reportS: 3, leaseS: 15, cancelS: 35 }
-/** Machines of one group; a rental brings no more. */
+/** Intervals of heartbeats and durations of leases. */
+const WORKER_TIMES = { reportS: 3, leaseS: 15, cancelS: 35 }
+/** Machines in a machine group; a scale-out adds no more at once. */
 const MACHINES_PER_GROUP = 50
-/** Tasks of one job; each takes one CPU. */
+/** Tasks in a job; each uses one CPU. */
 const TASKS_PER_JOB = 100
 /**
- * Tasks of a machine: those that run for longer than the measurement, those that end about when the controllers crash, and
- * those that are submitted then and wait for room. They leave one of its eight CPUs free.
+ * Tasks per machine: those that outlast the measurement, those that finish at about the time of the crash, and those that
+ * are submitted then and wait for capacity. The running ones leave one of the machine's eight CPUs free.
  */
 const TASKS_PER_MACHINE = { lasting: 5, ending: 2, waiting: 2 }
 /** Run time of these tasks, in s. */
 const RUN_S = { lasting: 10_000, ending: 55, waiting: 10_000 }
-/** The jobs of the beginning arrive in this time, in s: before empty machines are returned. */
+/** When the first jobs are submitted, in s: before idle machines are released. */
 const SUBMISSION_S = { from: 0.6, until: 3 }
 /** Time of the crash and how long the controllers are down, in s. */
 const CRASH = { atS: 60, downS: 8 }
-/** The restart is followed for so long, in s: several leases of the agents. */
-const FOLLOWED_S = 60
+/** How long the restart is observed, in s: several agent leases. */
+const OBSERVATION_S = 60
 const MS_PER_S = 1000
 const BYTES_PER_MB = 1e6
 
@@ -64,7 +64,7 @@
 const jobCount = (machines: number, tasksPerMachine: number): number =>
 	Math.ceil((machines * tasksPerMachine) / TASKS_PER_JOB)
 
-/** Jobs whose arrivals are spread evenly over a time. */
+/** Jobs whose submissions are spread evenly over a period. */
 const jobsOf = (
 	kind: keyof typeof RUN_S,
 	first: number,
@@ -76,37 +76,37 @@
 		spec: arrayJob(jobId(first + index), { tasks: TASKS_PER_JOB, expectedS: RUN_S[kind], spot: false }),
 	}))
 
-/** Processor time of the controllers from a moment on. */
+/** Adds up the processor time of each controller, and its peak within a second of virtual time. */
 class ProcessorTime {
 	readonly totalMs: number[]
 	peakMs = 0
-	private second = -1
-	private readonly ofSecondMs: number[]
+	private currentSecond = -1
+	private readonly currentSecondMs: number[]
 
 	constructor(private readonly controllers: number) {
 		this.totalMs = Array.from({ length: controllers }, () => 0)
-		this.ofSecondMs = [...this.totalMs]
+		this.currentSecondMs = [...this.totalMs]
 	}
 
 	add(owner: number | null, realMs: number, nowMs: number): void {
 		if (owner === null || owner < 0 || owner >= this.controllers) return
 		const second = Math.floor(nowMs / MS_PER_S)
-		if (second !== this.second) this.ofSecondMs.fill(0)
-		this.second = second
+		if (second !== this.currentSecond) this.currentSecondMs.fill(0)
+		this.currentSecond = second
 		this.totalMs[owner] += realMs
-		this.ofSecondMs[owner] += realMs
-		this.peakMs = Math.max(this.peakMs, this.ofSecondMs[owner])
+		this.currentSecondMs[owner] += realMs
+		this.peakMs = Math.max(this.peakMs, this.currentSecondMs[owner])
 	}
 }
 
-/** One measurement under way. */
+/** A measurement in progress. */
 class MassRestart {
 	private readonly clock: VirtualClock
 	private readonly simulation: Simulation
 	private readonly processorTime: ProcessorTime
 	private readonly restartMs = (CRASH.atS + CRASH.downS) * MS_PER_S
 	private readonly answeredMachines = new Set<string>()
-	/** jobs that do not end before the measurement does */
+	/** jobs that outlast the measurement */
 	private readonly lastingJobs: readonly string[]
 	private messages = 0
 	private writes = 0
@@ -132,11 +132,11 @@
 		this.simulation = new Simulation(
 			{
 				seed,
-				untilS: CRASH.atS + CRASH.downS + FOLLOWED_S,
+				untilS: CRASH.atS + CRASH.downS + OBSERVATION_S,
 				controllers,
 				jobs,
 				faults: [{ atS: CRASH.atS, kind: 'crash', who, forS: CRASH.downS }],
-				report: TIMES,
+				report: WORKER_TIMES,
 				up: machines,
 				capacity: 0,
 				stateLimits: true,
@@ -154,7 +154,7 @@
 		return this.result()
 	}
 
-	/** The machines are in the records from the beginning, as if they had been rented long ago. */
+	/** Writes the records of the machine groups before the start, as if the machines had been rented long ago. */
 	private recordMachines(): void {
 		const { machines, controllers } = this.options
 		for (let first = 0, group = 0; first < machines; first += MACHINES_PER_GROUP, group++) {
@@ -193,7 +193,7 @@
 		return this.clock.nowMs >= this.restartMs
 	}
 
-	/** Checks regularly whether all machines are answered and all tasks run. */
+	/** Checks twice a second whether every machine has a response and every lasting job runs. */
 	private checkProgress(): void {
 		const { clock, simulation, answeredMachines } = this
 		const runningTasks = [...simulation.workers.values()].flatMap((worker) => [...worker.runningTasks()])
@@ -232,6 +232,6 @@
 	}
 }
 
-/** Runs one mass restart and measures it. */
+/** Runs a mass restart and measures it. */
 export const measureMassRestart = (options: MassRestartOptions): Promise<MassRestartResult> =>
 	new MassRestart(options).run()
--- a/packages/testkit/src/model-exploration.ts
+++ b/packages/testkit/src/model-exploration.ts
@@ -3,35 +3,35 @@
 /** A model: its initial state, its transitions and its invariant. */
 export interface Model<State, Action> {
 	start: State
-	/** what may happen next */
+	/** actions that are possible in this state */
 	actions(state: State): Iterable<Action>
-	/** the state afterwards; the one before is not changed */
+	/** the state after the action; doesn't change `state` */
 	step(state: State, action: Action): State
-	/** which invariant the state violates; null: none */
-	wrong(state: State): string | null
-	/** a text that is the same for states that are alike in every relevant respect */
+	/** description of the invariant that the state violates; null: none */
+	violatedInvariant(state: State): string | null
+	/** identifies the state; equivalent states have the same key */
 	key(state: State): string
 }
 
-/** What an exploration found. */
+/** Result of an exploration. */
 export interface Exploration<Action> {
 	/** number of distinct states */
 	states: number
-	/** the first violation, and the shortest history that leads to it; null: none */
-	fault: { what: string; history: Action[] } | null
+	/** the first violation, and a shortest sequence of actions that leads to it; null: none */
+	violation: { what: string; history: Action[] } | null
 }
 
 /** A state to visit, and how it was reached. */
 interface Visit<State, Action> {
 	state: State
-	/** the action that led to it; null: it is the initial state */
+	/** the action that led to it; null: this is the initial state */
 	action: Action | null
-	/** index of the visit before it */
+	/** index of the visit from which the action started */
 	previous: number
 }
 
 /**
- * Visits every reachable state once, those with the shortest histories first.
+ * Visits every reachable state once, in breadth-first order, up to the first violation.
  * @throws RangeError if there are more than `maxStates`
  */
 export const explore = <State, Action>(
@@ -42,8 +42,8 @@
 	const visits: Visit<State, Action>[] = [{ state: model.start, action: null, previous: -1 }]
 	for (let index = 0; index < visits.length; index++) {
 		const { state } = visits[index]
-		const what = model.wrong(state)
-		if (what !== null) return { states: seen.size, fault: { what, history: historyOf(visits, index) } }
+		const what = model.violatedInvariant(state)
+		if (what !== null) return { states: seen.size, violation: { what, history: historyOf(visits, index) } }
 		for (const action of model.actions(state)) {
 			const next = model.step(state, action)
 			const key = model.key(next)
@@ -53,10 +53,10 @@
 			visits.push({ state: next, action, previous: index })
 		}
 	}
-	return { states: seen.size, fault: null }
+	return { states: seen.size, violation: null }
 }
 
-/** The actions that led to a visit, in order. */
+/** Returns the actions that led to a visit, in order. */
 const historyOf = <State, Action>(visits: readonly Visit<State, Action>[], last: number): Action[] => {
 	const history: Action[] = []
 	let visit = visits[last]
--- a/packages/testkit/src/plain-settings.ts
+++ b/packages/testkit/src/plain-settings.ts
@@ -1,10 +1,10 @@
-/** Settings of a single controller for tests of less than a whole day. */
+/** Controller settings for tests that run no simulated day. */
 import { parseSettings, type Settings } from '@heathroad/config'
 
-/** Port of the first other controller's peer address. */
+/** Port of the first peer's address; further peers have the next ones. */
 const FIRST_PEER_PORT = 8090
 
-/** Settings of one of several controllers. `others`: names of the other ones. */
+/** Returns the settings of the controller `name`. `others`: names of its peers. */
 export const plainSettings = (name: string, others: readonly string[] = []): Settings =>
 	parseSettings({
 		host_name: name,
--- a/packages/testkit/src/plugin-days.ts
+++ b/packages/testkit/src/plugin-days.ts
@@ -1,4 +1,4 @@
-/** Days whose controllers have plug-ins: every start of a checked job is compared with what the plug-ins answered. */
+/** Simulated days with plug-ins: checks each start of a job of the checked class against the plug-ins' verdicts. */
 import type { PluginSettings } from '@heathroad/config'
 import type { PluginHost } from '@heathroad/plugins'
 import { type FakeCall, type FakeDirectory, type FakeVersion, fakePlugins } from './fake-plugins.js'
@@ -7,48 +7,48 @@
 import type { TracedMessage } from './trace.js'
 import type { DayJob } from './user-workload.js'
 
-/** A day with plug-ins. */
+/** Description of a simulated day with plug-ins. */
 export interface PluginDay extends SimulatedDay {
 	/** the operator's settings of the plug-ins, by name */
 	plugins: Record<string, PluginSettings>
 	directory: FakeDirectory
-	/** each controller sees an upgrade so many seconds after the one before it */
+	/** seconds between the times at which successive controllers see an upgrade */
 	lagS?: number
-	/** at so many seconds the directory holds another version; null: none */
+	/** changes of the directory, `atS` seconds after the start; `to` is the new version, or null to remove it */
 	upgrades?: readonly { atS: number; name: string; to: FakeVersion | null }[]
 }
 
-/** What came of a day with plug-ins. */
+/** Result of a simulated day with plug-ins. */
 export interface PluginDayResult {
 	simulation: Simulation
 	/** violations, including starts that neither a plug-in nor the operator's settings allowed */
 	violations: string[]
 	/** number of release checks */
 	releaseChecks: number
-	/** number of release checks about jobs that had started well before */
+	/** number of release checks of jobs that had started more than 5 s before */
 	lateChecks: number
-	/** starts of checked jobs, by what allowed them */
+	/** starts of checked jobs, by what permitted them: a verdict, the time limit, or the setting for unsure plug-ins */
 	starts: { released: number; limit: number; unsure: number }
-	/** when each job's first task was placed, in ms */
+	/** time at which each job's first task was placed, in ms */
 	firstStart: Map<string, number>
 	/** the plug-in hosts of the controllers' last incarnations; null: the controller is down */
 	hosts: (PluginHost | null)[]
 }
 
-/** Jobs of this class have to pass the day's plug-ins. */
-export const CHECKED = 'checked'
+/** Class of the jobs that need the plug-ins' permission to start. */
+export const CHECKED_CLASS = 'checked'
 
-/** Checks that were under way when their job started are no fault. */
-const UNDER_WAY_MS = 5000
-/** A controller's wall clock is behind by this share at the most, on days with drift. */
+/** A check that begins up to this long after its job's start may have been in flight, and doesn't count as late. */
+const IN_FLIGHT_CHECK_MS = 5000
+/** Slowest rate of a controller's clock relative to virtual time, on days with drift. */
 const DRIFT_FACTOR = 0.999
 /** Tolerance of the comparison of start times with the limit, in ms. */
 const LIMIT_TOLERANCE_MS = 100
 
-/** Takes a call, or with a value what the plug-in answers to it. */
+/** Receives each call with `answer` undefined, and again with each answer of the plug-in. */
 type CallObserver = (call: FakeCall, answer: unknown) => void
 
-/** A version whose calls and answers are observed before they take effect. */
+/** Wraps a version so that its calls and answers are observed before they take effect. */
 const observedVersion = (version: FakeVersion | null, observe: CallObserver): FakeVersion | null => {
 	if (version === null) return null
 	const { behave } = version
@@ -68,7 +68,7 @@
 	}
 }
 
-/** A call of a plug-in, or with a value what it answers. */
+/** The traced message of a call (`answer` is undefined) or of an answer. */
 const pluginMessage = (call: FakeCall, answer: unknown): TracedMessage => ({
 	atMs: call.nowMs,
 	controller: `ctl-${call.controller}`,
@@ -79,15 +79,15 @@
 	body: answer === undefined ? { job: call.job, facts: call.facts } : answer,
 })
 
-/** Compares the starts of checked jobs with the answers. */
+/** Checks each start of a checked job against the verdicts and settings that permit it. */
 class ReleaseChecker {
 	private readonly released = new Set<string>()
 	private readonly jobs: ReadonlyMap<string, DayJob>
-	/** the shortest limit of all plug-ins, after which a job starts whatever they answer */
+	/** the shortest hold limit of all plug-ins, after which a job may start whatever the verdicts */
 	private readonly limitMs: number
-	/** does the operator let jobs start whose plug-in is unsure? */
+	/** whether jobs may start while their plug-in is unsure */
 	private readonly unsureStarts: boolean
-	/** is an answer for the whole class of a job? */
+	/** whether a verdict applies to all jobs of a class */
 	private readonly perClass: boolean
 
 	constructor(
@@ -101,18 +101,18 @@
 		this.perClass = Object.values(day.directory).some((version) => version?.ask === 'class')
 	}
 
-	/** A call, or with a value what the plug-in answers. */
+	/** Counts release checks and records which jobs were released. */
 	observeCall(call: FakeCall, answer: unknown): void {
 		const { result } = this
 		const { uid } = call.job
 		if (answer === undefined && call.hook === 'release') {
 			result.releaseChecks++
 			const startedMs = result.firstStart.get(uid) ?? Number.POSITIVE_INFINITY
-			if (call.nowMs - startedMs > UNDER_WAY_MS) result.lateChecks++
+			if (call.nowMs - startedMs > IN_FLIGHT_CHECK_MS) result.lateChecks++
 		} else if (typeof answer === 'object' && answer !== null && 'release' in answer) this.released.add(uid)
 	}
 
-	/** A task is placed; the first one of a checked job needs a reason. */
+	/** Handles the placement of a task; a checked job's first start must be permitted. */
 	observeStart(task: string): void {
 		const { result } = this
 		const uid = task.split('/')[0]
@@ -120,7 +120,7 @@
 		const { nowMs } = result.simulation.clock
 		result.firstStart.set(uid, nowMs)
 		const job = this.jobs.get(uid)
-		if (job?.spec.jobClass !== CHECKED) return
+		if (job?.spec.jobClass !== CHECKED_CLASS) return
 		const limitAtMs = (job.atS * 1000 + this.limitMs) * DRIFT_FACTOR - LIMIT_TOLERANCE_MS
 		if (this.released.has(uid) || (this.perClass && this.released.size > 0)) result.starts.released++
 		else if (nowMs >= limitAtMs) result.starts.limit++
@@ -129,7 +129,7 @@
 	}
 }
 
-/** Fills each controller's directory and schedules its upgrades. */
+/** Creates each controller's plug-in directory and schedules its upgrades. */
 const createDirectories = (
 	day: PluginDay,
 	simulation: Simulation,
@@ -150,7 +150,7 @@
 	return directories
 }
 
-/** Calls `observe` with every task that is placed, before the invariants are checked. */
+/** Calls `observe` with every task that is placed, before the invariant checker sees it. */
 const observeStarts = (simulation: Simulation, observe: (task: string) => void): void => {
 	const { invariants } = simulation
 	const taskPlaced = invariants.taskPlaced.bind(invariants)
@@ -161,16 +161,16 @@
 }
 
 /**
- * Runs a day with plug-ins. A checked job may start once a version released it, once its time limit is over, or where
- * the operator lets jobs start whose plug-in is unsure.
+ * Runs a simulated day with plug-ins. A checked job may start once a version released it, once its hold limit has
+ * passed, or if the operator's settings release jobs whose plug-in is unsure.
  */
 export const runPluginDay = async (
 	day: PluginDay,
-	tell: (line: string) => void = () => {},
+	onLogLine: (line: string) => void = () => {},
 	trace: ((message: TracedMessage) => void) | null = null,
 ): Promise<PluginDayResult> => {
 	const simulation = new Simulation(day)
-	simulation.tell = tell
+	simulation.onLogLine = onLogLine
 	simulation.trace = trace
 	const { invariants, clock } = simulation
 	const result: PluginDayResult = {
@@ -188,14 +188,14 @@
 		checker.observeCall(call, answer)
 	})
 	const { mayWait } = invariants
-	invariants.mayWait = (spec) => spec.jobClass === CHECKED || mayWait(spec)
+	invariants.mayWait = (spec) => spec.jobClass === CHECKED_CLASS || mayWait(spec)
 	observeStarts(simulation, (task) => checker.observeStart(task))
-	simulation.started = (controller, node) => {
+	simulation.onStarted = (controller, node) => {
 		const host = fakePlugins(clock, controller, node, directories[controller], day.plugins)
 		result.hosts[controller] = host
 		node.checks = host
 	}
-	simulation.ended = (controller) => {
+	simulation.onEnded = (controller) => {
 		result.hosts[controller]?.stop()
 		result.hosts[controller] = null
 	}
--- a/packages/testkit/src/random-compound-faults.ts
+++ b/packages/testkit/src/random-compound-faults.ts
@@ -1,8 +1,8 @@
-/** Days on which two or three faults coincide, all of which follow from a seed. */
+/** Simulated days with compound faults: two or three faults at about the same time, generated from a seed. */
 import { seededDraws } from './random-faults.js'
 import { arrayJob, type Fault, type SimulatedDay } from './simulated-day.js'
 
-/** The faults of which two or three happen at the same time; each draws its own values. */
+/** Generators of the faults that are combined; the order of their random draws determines the day of a seed. */
 const COMPOUND_FAULTS: readonly ((random: () => number, who: number[]) => Omit<Fault, 'atS'>)[] = [
 	(random, who) => ({ kind: 'cut', who, from: ['state', 'peers'], forS: 2 + random() * 45 }),
 	(random) => ({ kind: 'delayedWorkerMessages', forS: 5 + random() * 30, share: 0.2 + random() * 0.5 }),
@@ -39,16 +39,16 @@
 
 const JOBS = 40
 
-/** A day on which faults coincide, with jobs of few tasks that end far apart, many of them cancelled. */
+/** Generates a day of compound faults; its jobs finish at very different times, and many are cancelled. */
 export const randomCompoundFaultDay = (seed: number): SimulatedDay => {
-	// Other seeds than those of the other kinds of days.
+	// The offset keeps the seeds apart from those of other kinds of days.
 	const { random, pick } = seededDraws(seed + 3_000_000)
 	const controllers = pick([3, 3, 5])
 	const randomControllers = () => {
 		const who = Array.from({ length: controllers }, (_, index) => index).filter(() => random() < 0.35)
 		return who.length > 0 ? who : [Math.floor(random() * controllers)]
 	}
-	// A team at its limit gets no more work than it can do within minutes.
+	// A team with a limit gets only as much work as it can finish within minutes.
 	const limited = random() < 0.2
 	const faults: Fault[] = []
 	for (let atS = 20; atS < 150; atS += 25 + random() * 30)
--- a/packages/testkit/src/random-day-runner.ts
+++ b/packages/testkit/src/random-day-runner.ts
@@ -1,4 +1,4 @@
-/** Runs days that follow from a seed, by kind, and reports what went wrong. */
+/** Generates simulated days of any kind from a seed, runs them and reports what went wrong. */
 import { randomDoubleOutageDay } from './double-outage.js'
 import { runPluginDay } from './plugin-days.js'
 import { randomCompoundFaultDay } from './random-compound-faults.js'
@@ -9,38 +9,38 @@
 import type { TracedMessage } from './trace.js'
 
 /**
- * Kinds of days: of any random faults, those with plug-ins, double outages (`gap`), compound faults (`meetings`), and a
- * late change of the record format (`migration`).
+ * Kinds of days: random faults (`any`), random faults with plug-ins, double outages (`gap`), compound faults (`meetings`),
+ * and a late change of the record format (`migration`).
  */
 export type RandomDayKind = 'any' | 'plugins' | 'gap' | 'meetings' | 'migration'
 
-/** What observes a day while it runs. */
+/** Observers of a simulated day. */
 export interface DayObservers {
 	/** takes the controllers' log lines */
-	tell?: (line: string) => void
+	onLogLine?: (line: string) => void
 	/** takes every message that a controller sends or receives */
 	trace?: (message: TracedMessage) => void
 }
 
-/** What came of a day. */
+/** Result of a day. */
 export interface RandomDayResult {
-	/** violations, and reasons why the day fails without one */
+	/** violations of invariants, and other failures */
 	violations: string[]
-	/** jobs that never ended */
+	/** jobs that reached no terminal state */
 	unfinished: string[]
 	/** number of task placements */
 	started: number
-	/** how often the controllers logged each event that was to be counted */
+	/** number of occurrences of each counted event in the controllers' logs */
 	eventCounts: Record<string, number>
 }
 
-/** Runs the day of a kind that follows from a seed. */
+/** Generates the day of this seed and kind, and runs it. */
 export const runRandomDay = async (
 	seed: number,
 	kind: RandomDayKind,
-	{ tell = () => {}, trace }: DayObservers = {},
+	{ onLogLine = () => {}, trace }: DayObservers = {},
 ): Promise<Simulation> => {
-	if (kind === 'plugins') return (await runPluginDay(randomPluginDay(seed), tell, trace)).simulation
+	if (kind === 'plugins') return (await runPluginDay(randomPluginDay(seed), onLogLine, trace)).simulation
 	const createDay = {
 		any: randomDay,
 		gap: randomDoubleOutageDay,
@@ -48,23 +48,23 @@
 		migration: randomMigrationDay,
 	}[kind]
 	const simulation = new Simulation(createDay(seed))
-	simulation.tell = tell
+	simulation.onLogLine = onLogLine
 	simulation.trace = trace ?? null
 	await simulation.run()
 	return simulation
 }
 
-/** Runs such a day and checks it; `countedEvents`: log events that are counted. */
+/** Generates a day, runs it and checks it. `countedEvents`: log events to count. */
 export const checkRandomDay = async (
 	seed: number,
 	countedEvents: readonly string[] = [],
 	kind: RandomDayKind = 'any',
 ): Promise<RandomDayResult> => {
 	const eventCounts: Record<string, number> = Object.fromEntries(countedEvents.map((event) => [event, 0]))
-	const tell = (line: string) => {
+	const onLogLine = (line: string) => {
 		for (const event of countedEvents) if (line.includes(` ${event} {`)) eventCounts[event]++
 	}
-	const { invariants } = await runRandomDay(seed, kind, { tell })
+	const { invariants } = await runRandomDay(seed, kind, { onLogLine })
 	return {
 		violations: [...invariants.violations, ...invariants.failures()],
 		unfinished: invariants.unfinished(),
--- a/packages/testkit/src/random-days.ts
+++ b/packages/testkit/src/random-days.ts
@@ -1,9 +1,9 @@
-/** Days of random faults, all of which follow from a seed. */
+/** Simulated days of random jobs and faults, generated from a seed. */
 import { seededDraws } from './random-faults.js'
 import { arrayJob, type Fault, type FaultKind, type SimulatedDay } from './simulated-day.js'
 import type { DayJob } from './user-workload.js'
 
-/** The kinds of faults on such a day. */
+/** The kinds of faults that are drawn; their order determines the day of a seed. */
 const KINDS: readonly FaultKind[] = [
 	'crash',
 	'drain',
@@ -23,12 +23,12 @@
 ]
 
 const JOBS = 30
-/** When random faults begin, and when the last one begins, in seconds. */
+/** Period in which faults begin, in seconds. */
 const FAULTS = { fromS: 15, untilS: 160 }
 
 type Draws = ReturnType<typeof seededDraws>
 
-/** A fault with everything about it drawn. */
+/** Draws a fault. */
 const randomFault = ({ random, pick }: Draws, atS: number, controllers: number): Fault => {
 	const kind = pick(KINDS)
 	const affected = Array.from({ length: controllers }, (_, index) => index).filter(() => random() < 0.4)
@@ -44,7 +44,7 @@
 	}
 }
 
-/** A job with everything about it drawn; every ninth runs so long that only a cancellation can have ended it. */
+/** Draws a job. Every ninth takes so long that a cancellation is expected to end it. */
 const randomJob = ({ random, pick }: Draws, index: number): DayJob => {
 	const long = index % 9 === 3
 	const atS = 1 + index * (1 + random() * 4)
@@ -64,7 +64,7 @@
 	}
 }
 
-/** A day of random faults of which everything follows from the seed. */
+/** Generates the day of random faults of a seed. */
 export const randomDay = (seed: number): SimulatedDay => {
 	const draws = seededDraws(seed)
 	const { random, pick } = draws
--- a/packages/testkit/src/random-faults.ts
+++ b/packages/testkit/src/random-faults.ts
@@ -1,9 +1,9 @@
-/** Random draws from a seed, and faults that happen with a probability. */
+/** Seeded random draws, and faults that occur with a probability. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import type { Clock } from './clock.js'
 
-/** Random draws that follow from a seed: numbers from 0 to 1, and elements of a list. */
+/** Returns functions that draw numbers from 0 (inclusive) to 1 (exclusive), and elements of a list, from a seed. */
 export const seededDraws = (seed: number) => {
 	const generator = xoroshiro128plus(seed)
 	const random = () => uniformFloat64(generator)
@@ -11,19 +11,19 @@
 	return { random, pick }
 }
 
-/** Faults that affect a share of messages, transactions or jobs for a while. */
+/** Faults that each affect a fraction of messages, transactions or jobs for a limited time. */
 export class RandomFaults<Kind extends string> {
 	private readonly shares = new Map<Kind, number>()
 
 	constructor(private readonly clock: Clock) {}
 
-	/** From now on, and for `forMs`, the fault affects a share of what it can affect. */
+	/** Starts a fault that occurs with probability `share` for the next `forMs`. */
 	begin(kind: Kind, share: number, forMs: number): void {
 		this.shares.set(kind, share)
 		this.clock.after(forMs, () => this.shares.delete(kind))
 	}
 
-	/** Does the fault happen now? Draws a random number only while the fault is under way. */
+	/** Returns whether the fault occurs now. Draws a random number only while the fault is active. */
 	happens(kind: Kind): boolean {
 		const share = this.shares.get(kind) ?? 0
 		return share > 0 && this.clock.random() < share
--- a/packages/testkit/src/random-migration-days.ts
+++ b/packages/testkit/src/random-migration-days.ts
@@ -1,8 +1,8 @@
 /**
- * Days on which the record format changes while controllers crash, all of which follow from a seed. Jobs end while the
- * first format holds, as one controller is down; crashes then leave their states out of the others' memory, since a full
- * read omits them. Once all controllers are up, the states move from jobs' own keys to pages, and on some days on to the
- * archive, while users ask about the jobs, submit them again and cancel them.
+ * Simulated days on which the record format changes while controllers crash, generated from a seed. While one controller
+ * is down, the first record format stays in use and jobs finish; crashes then remove their terminal states from the other
+ * controllers' memory, since a full read omits them. Once all controllers are up, the states move from the jobs' own keys
+ * to pages, and on some days to the archive, while users query the jobs, submit them again and cancel them.
  */
 import type { HistorySettings } from '@heathroad/config'
 import { seededDraws } from './random-faults.js'
@@ -11,40 +11,40 @@
 
 type Draws = ReturnType<typeof seededDraws>
 
-/** A span of virtual time, in seconds. */
+/** A period of virtual time, in seconds. */
 interface Span {
 	fromS: number
 	untilS: number
 }
 
-/** The seeds of other kinds of days are others. */
+/** Keeps the seeds apart from those of other kinds of days. */
 const SEED_OFFSET = 4_000_000
-/** When the controller that holds up the change of format crashes, and when it is up again, in seconds. */
-const HOLD_UP = { fromS: 0.6, upS: { min: 55, max: 85 } }
-/** The last of the jobs that are over before the migration is submitted so long before it, in seconds. */
-const LAST_JOB_BEFORE_S = 25
-/** Jobs of a day. */
+/** When the controller crashes whose absence delays the format change, and when it boots again, in seconds. */
+const BLOCKING_OUTAGE = { fromS: 0.6, upS: { min: 55, max: 85 } }
+/** Jobs are submitted until this long before the migration, in seconds, so that they finish before it. */
+const LAST_JOB_LEAD_S = 25
+/** Number of jobs of a day. */
 const JOBS = { min: 30, max: 60 }
-/** Share of the jobs that run until they are cancelled. */
+/** Fraction of the jobs that run until they are cancelled. */
 const CANCELLED_SHARE = 0.2
-/** How long they run if no cancellation reaches them: one may come before the job is accepted, and is not repeated. */
+/** Their run time in seconds if the cancellation is lost: one that precedes the acceptance of the job is not repeated. */
 const CANCELLED_RUN_S = 40
-/** Crashes before the migration begin so long before it: by then most jobs are over. */
-const CRASHES_BEFORE_S = 22
-/** Within so many seconds a controller boots and reads the records. */
+/** Crashes start this long before the migration, in seconds: by then most jobs are terminal. */
+const CRASHES_LEAD_S = 22
+/** Time in which a controller boots and reads the records, in seconds. */
 const BOOT_S = 2
-/** How long after the last controller's start users ask about finished jobs, in seconds. */
-const REQUESTS_S = 60
-/** After the last fault jobs have so long to end, and unanswered questions to be noticed, in seconds. */
-const QUIET_END_S = 100
-/** Workers whose leases, and with them the controllers', are short: archival epochs follow one another in seconds. */
-const SHORT_TIMES = { reportS: 0.5, leaseS: 6, cancelS: 14 }
-/** A batch of so few states is archived as soon as it may. */
+/** How long users send requests about finished jobs after the last controller's start, in seconds. */
+const REQUEST_PERIOD_S = 60
+/** Time after the last fault for jobs to finish and for unanswered queries to be detected, in seconds. */
+const QUIET_PERIOD_S = 100
+/** Short agent leases, and so short controller leases: archival epochs last only seconds. */
+const SHORT_WORKER_TIMES = { reportS: 0.5, leaseS: 6, cancelS: 14 }
+/** A batch of this few states is archived as soon as the archival rules permit. */
 const SMALL_ARCHIVE_BATCH = 4
 
 const between = ({ random }: Draws, min: number, max: number): number => min + random() * (max - min)
 
-/** A job of a few seconds, or one that runs until its user cancels it, submitted within a span. */
+/** Draws a job that takes a few seconds or runs until its user cancels it; it is submitted within `span`. */
 const shortJob = (draws: Draws, index: number, span: Span): DayJob => {
 	const { random } = draws
 	const atS = between(draws, span.fromS, span.untilS)
@@ -61,7 +61,7 @@
 	}
 }
 
-/** One crash after the other of a controller within a span; at the span's end it has been up for a while. */
+/** Draws successive crashes of a controller within a period, at whose end it has had time to boot. */
 const crashesOf = (draws: Draws, controller: number, { fromS, untilS }: Span, pauseS: number): Fault[] => {
 	const crashes: Fault[] = []
 	let atS = fromS + draws.random() * pauseS
@@ -73,7 +73,7 @@
 	}
 }
 
-/** The faults that may come while the states move. */
+/** Draws the faults that occur while the terminal states move. */
 const faultsOfMigration = (draws: Draws, controllers: readonly number[], span: Span): Fault[] => {
 	const { random, pick } = draws
 	const length = span.untilS - span.fromS
@@ -93,43 +93,48 @@
 	return faults
 }
 
-/** Archiving of a day: slow or fast, of small batches on half of the days. */
+/** Draws the archival settings: a slow or fast write rate, and small batches on half of the days. */
 const historyOf = ({ random, pick }: Draws): HistorySettings => ({
 	archiveBatchSize: random() < 0.5 ? SMALL_ARCHIVE_BATCH : 10,
 	writeRateShare: pick([0.2, 0.5, 0.8]),
 	pageCacheMb: 0.1,
 })
 
-/** A day on which the record format changes late, of which everything follows from the seed. */
+/** Generates the day of a seed on which the record format changes late. */
 export const randomMigrationDay = (seed: number): SimulatedDay => {
 	const draws = seededDraws(seed + SEED_OFFSET)
 	const { random, pick } = draws
 	const controllers = Array.from({ length: pick([3, 3, 4, 5]) }, (_, index) => index)
-	const heldDown = pick(controllers)
-	const upS = between(draws, HOLD_UP.upS.min, HOLD_UP.upS.max)
-	const others = controllers.filter((controller) => controller !== heldDown)
-	const requests: Span = { fromS: upS - 1, untilS: upS + REQUESTS_S }
+	const blockingController = pick(controllers)
+	const upS = between(draws, BLOCKING_OUTAGE.upS.min, BLOCKING_OUTAGE.upS.max)
+	const others = controllers.filter((controller) => controller !== blockingController)
+	const requests: Span = { fromS: upS - 1, untilS: upS + REQUEST_PERIOD_S }
 	const jobs = Array.from({ length: Math.floor(between(draws, JOBS.min, JOBS.max)) }, (_, index) =>
-		shortJob(draws, index, { fromS: 1, untilS: upS - LAST_JOB_BEFORE_S }),
+		shortJob(draws, index, { fromS: 1, untilS: upS - LAST_JOB_LEAD_S }),
 	)
 	const crashesBefore = others.flatMap((controller) =>
-		crashesOf(draws, controller, { fromS: upS - CRASHES_BEFORE_S, untilS: upS }, 8),
+		crashesOf(draws, controller, { fromS: upS - CRASHES_LEAD_S, untilS: upS }, 8),
 	)
 	return {
 		seed,
-		untilS: requests.untilS + QUIET_END_S,
+		untilS: requests.untilS + QUIET_PERIOD_S,
 		jobs,
 		faults: [
-			{ atS: HOLD_UP.fromS, kind: 'crash', who: [heldDown], forS: upS - HOLD_UP.fromS },
+			{
+				atS: BLOCKING_OUTAGE.fromS,
+				kind: 'crash',
+				who: [blockingController],
+				forS: upS - BLOCKING_OUTAGE.fromS,
+			},
 			...crashesBefore,
-			{ atS: requests.fromS, kind: 'finishedJobRequests', forS: REQUESTS_S },
+			{ atS: requests.fromS, kind: 'finishedJobRequests', forS: REQUEST_PERIOD_S },
 			...faultsOfMigration(draws, controllers, { fromS: upS + BOOT_S, untilS: requests.untilS }),
 		],
 		controllers: controllers.length,
 		capacity: 6,
 		up: 6,
 		drift: random() < 0.5,
-		report: random() < 0.5 ? SHORT_TIMES : DEFAULT_WORKER_TIMES,
+		report: random() < 0.5 ? SHORT_WORKER_TIMES : DEFAULT_WORKER_TIMES,
 		history: historyOf(draws),
 	}
 }
--- a/packages/testkit/src/random-plugin-days.ts
+++ b/packages/testkit/src/random-plugin-days.ts
@@ -1,10 +1,10 @@
-/** Days of random faults with plug-ins that change and fail, all of which follow from a seed. */
+/** Simulated days of random faults with plug-ins that change and fail, generated from a seed. */
 import { type FakeVersion, PLUGIN } from './fake-plugins.js'
-import { CHECKED, type PluginDay } from './plugin-days.js'
+import { CHECKED_CLASS, type PluginDay } from './plugin-days.js'
 import { randomDay } from './random-days.js'
 import { seededDraws } from './random-faults.js'
 
-/** What a version of a plug-in does with a call, from correct to faulty. */
+/** How a version of a plug-in handles a call, from correct to faulty: late, never or invalid answers, and errors. */
 const BEHAVIOURS: readonly NonNullable<FakeVersion['behave']>[] = [
 	(call) => call.answer({ release: true }),
 	(call) => call.answer(call.facts.waitedS < 6 ? { hold: 'not yet', againS: 2 } : { release: true }),
@@ -21,22 +21,25 @@
 
 const UPGRADES = 50
 
-/** A day of random faults on which half of the jobs have to pass plug-ins, which are upgraded all the time. */
+/** Generates a day of random faults on which plug-ins check half of the jobs and are upgraded frequently. */
 export const randomPluginDay = (seed: number): PluginDay => {
 	const day = randomDay(seed)
-	// Other seeds than those of the other kinds of days.
+	// The offset keeps the seeds apart from those of other kinds of days.
 	const { random, pick } = seededDraws(seed + 1_000_000)
 	const names = ['one', 'two'].slice(0, 1 + Math.floor(random() * 2))
 	let versions = 0
 	const nextVersion = (): FakeVersion => ({
 		version: `${++versions}`,
 		behave: random() < 0.1 ? null : pick(BEHAVIOURS),
-		classes: [CHECKED],
+		classes: [CHECKED_CLASS],
 		ask: 'job',
 	})
 	const whenUnsure = pick(['release', 'hold'] as const)
 	const plugins = Object.fromEntries(
-		names.map((name) => [name, { ...PLUGIN, maxHoldS: 20 + random() * 60, whenUnsure, classes: [CHECKED] }]),
+		names.map((name) => [
+			name,
+			{ ...PLUGIN, maxHoldS: 20 + random() * 60, whenUnsure, classes: [CHECKED_CLASS] },
+		]),
 	)
 	const upgrades: NonNullable<PluginDay['upgrades']> = Array.from({ length: UPGRADES }, (_, index) => ({
 		atS: 2 + index * 4 * random(),
@@ -46,7 +49,7 @@
 	return {
 		...day,
 		jobs: day.jobs.map((job) =>
-			random() < 0.5 ? job : { ...job, spec: { ...job.spec, jobClass: CHECKED } },
+			random() < 0.5 ? job : { ...job, spec: { ...job.spec, jobClass: CHECKED_CLASS } },
 		),
 		plugins,
 		directory: Object.fromEntries(names.map((name) => [name, nextVersion()])),
--- a/packages/testkit/src/simulated-controllers.ts
+++ b/packages/testkit/src/simulated-controllers.ts
@@ -22,40 +22,40 @@
 import { type SimulatedDay, SMALL_HISTORY, STATE_LIMITS, type WorkerTimes, ZONES } from './simulated-day.js'
 import type { TracedMessage } from './trace.js'
 
-/** Text of the errors that the `internalError` fault raises inside a controller. */
-export const INJECTED_ERROR = 'made by the day'
-/** Port of the users' and workers' requests, and that of the peers. */
+/** Message of the errors that the `internalError` fault raises in a controller. */
+export const INJECTED_ERROR = 'injected by the simulation'
+/** TCP ports of a controller: `service` for users and workers, `peer` for other controllers. */
 const PORTS = { service: 8080, peer: 8081 }
-/** Neighbouring controllers' clocks differ in speed by this share on a day with drift. */
+/** Relative difference in rate between the clocks of controllers with successive indexes, on days with drift. */
 const CLOCK_DRIFT = 0.0005
-/** Calls a second that the cloud accepts, of a day that does not say. */
+/** Calls per second that the cloud accepts, unless the day specifies it. */
 const DEFAULT_CLOUD_RPS = 4
 
 const address = (controller: number, port: number): string => `10.0.0.${controller + 1}:${port}`
 
-/** What the controllers need of the simulation. */
-export interface SimulatedControllersPorts {
+/** The collaborators and callbacks of the simulated controllers. */
+export interface SimulatedControllersDependencies {
 	clock: Clock
 	invariants: InvariantChecker
 	times: WorkerTimes
-	/** the HTTP client of the present incarnation of a controller */
+	/** creates the HTTP client for the current incarnation of a controller */
 	httpClient(controller: number): HttpClient
-	/** called with every new incarnation, before it begins */
+	/** called with every new incarnation, before it starts to run */
 	onStarted(controller: number, node: Service): void
 	/** called when an incarnation ends */
 	onEnded(controller: number): void
 	/** called when a user submits a job */
 	onSubmitted(spec: JobSpec): void
-	/** takes the controllers' log lines */
+	/** receives the controllers' log lines */
 	log(line: string): void
-	/** takes every message that a controller sends or receives; null: nobody follows them */
+	/** receives every message that a controller sends or receives; null: messages are not traced */
 	tracer(): ((message: TracedMessage) => void) | null
 }
 
 /** All controllers, by index. */
 export class SimulatedControllers {
 	readonly names: readonly string[]
-	/** the present incarnations; null: the controller is down */
+	/** the current incarnations; null: the controller is down */
 	private readonly nodes: (Service | null)[]
 	/** incremented whenever an incarnation begins or ends */
 	private readonly incarnations: number[]
@@ -63,35 +63,35 @@
 	constructor(
 		count: number,
 		private readonly day: SimulatedDay,
-		private readonly ports: SimulatedControllersPorts,
+		private readonly dependencies: SimulatedControllersDependencies,
 	) {
 		this.names = Array.from({ length: count }, (_, index) => `ctl-${index}`)
 		this.nodes = this.names.map(() => null)
 		this.incarnations = this.names.map(() => 0)
 	}
 
-	/** The controllers that are up. */
+	/** Returns the controllers that are up. */
 	running(): Service[] {
 		return this.nodes.filter((node) => node !== null)
 	}
 
-	/** The present incarnation of a controller; null: it is down. */
+	/** Returns the current incarnation of a controller; null: it is down. */
 	get(controller: number): Service | null {
 		return this.nodes[controller]
 	}
 
-	/** Index of the controller with this peer address; -1: none. */
+	/** Returns the index of the controller with this peer address; -1: none. */
 	peerAt(to: string): number {
 		return this.names.findIndex((_, index) => address(index, PORTS.peer) === to)
 	}
 
-	/** Returns whether the present incarnation of a controller still runs. */
+	/** Returns a check of whether the incarnation that is current now still runs. */
 	aliveCheck(controller: number): () => boolean {
 		const incarnation = this.incarnations[controller]
 		return () => this.nodes[controller] !== null && this.incarnations[controller] === incarnation
 	}
 
-	/** Sends a request to a controller; null: it is down. `from` appears in traces only. */
+	/** Sends a request to a controller; resolves to null if it is down. `from` is used only in traces. */
 	sendRequest(
 		controller: number,
 		method: string,
@@ -114,7 +114,7 @@
 		)
 	}
 
-	/** A controller's response to a peer; null: none. */
+	/** Delivers a peer's request to a controller and returns the response; null: none. */
 	answerPeer(from: number, to: number, path: string, body: unknown): FakeResponse | null {
 		const other = this.names[from]
 		this.trace(to, { other, direction: 'in', kind: 'request', head: path, body })
@@ -124,18 +124,18 @@
 		return { status: 200, body: answer }
 	}
 
-	/** Hands a message to whoever traces the day. */
+	/** Passes a message to the tracer, if there is one. */
 	trace(controller: number, message: Omit<TracedMessage, 'atMs' | 'controller'>): void {
-		this.ports.tracer()?.({
+		this.dependencies.tracer()?.({
 			...message,
-			atMs: this.ports.clock.nowMs,
+			atMs: this.dependencies.clock.nowMs,
 			controller: this.names[controller],
 		})
 	}
 
 	/** Starts a new incarnation of a controller. */
 	boot(controller: number): Service {
-		const { clock } = this.ports
+		const { clock } = this.dependencies
 		const settings = this.settings(controller)
 		const config = {
 			settings: { ...settings, services: { cloud: CLOUD_ADDRESS, state: STATE_ADDRESS } },
@@ -144,17 +144,17 @@
 			limits: deriveLimits(settings),
 		}
 		this.incarnations[controller]++
-		const pace = this.day.drift ? 1 + (controller - (this.names.length - 1) / 2) * CLOCK_DRIFT : 1
+		const clockRate = this.day.drift ? 1 + (controller - (this.names.length - 1) / 2) * CLOCK_DRIFT : 1
 		const node = new Service(
 			config,
 			this.logger(controller),
-			() => clock.nowMs * pace,
-			this.ports.httpClient(controller),
+			() => clock.nowMs * clockRate,
+			this.dependencies.httpClient(controller),
 		)
 		this.nodes[controller] = node
 		this.observeSubmissions(node)
-		this.ports.onStarted(controller, node)
-		// An incarnation that crashes before it begins must not begin afterwards: it would act, and run, for ever.
+		this.dependencies.onStarted(controller, node)
+		// An incarnation that crashed before it began must not begin afterwards: it would keep running and acting forever.
 		const begin = () => {
 			if (this.nodes[controller] === node) node.begin()
 		}
@@ -162,17 +162,17 @@
 		return node
 	}
 
-	/** Ends a controller without notice, and boots it again after `restartS` seconds. */
+	/** Crashes a controller, and boots it again after `restartS` seconds. */
 	crash(controller: number, restartS: number): void {
 		const node = this.nodes[controller]
-		if (node !== null) this.ports.onEnded(controller)
+		if (node !== null) this.dependencies.onEnded(controller)
 		this.nodes[controller] = null
 		this.incarnations[controller]++
 		void node?.stop()
-		this.ports.clock.after(restartS * 1000, () => this.boot(controller))
+		this.dependencies.clock.after(restartS * 1000, () => this.boot(controller))
 	}
 
-	/** Drains a controller as an operator does, and boots it again `restartS` seconds after its end. */
+	/** Drains a controller as an operator does, and boots it again `restartS` seconds after it has stopped. */
 	drain(controller: number, restartS: number): void {
 		const node = this.nodes[controller]
 		if (node === null) return
@@ -180,20 +180,20 @@
 		const drain = new Drain(node, node.config.daemon, node.log)
 		const end = async () => {
 			if (!isAlive()) return
-			// As the daemon does: nothing of it acts any more when its lease is revoked.
+			// As the daemon does: the controller has stopped acting when its lease is revoked.
 			const stopped = node.stop()
 			await node.revokeLease()
 			await stopped
 			if (!isAlive()) return
-			this.ports.onEnded(controller)
+			this.dependencies.onEnded(controller)
 			this.nodes[controller] = null
 			this.incarnations[controller]++
-			this.ports.clock.after(restartS * 1000, () => this.boot(controller))
+			this.dependencies.clock.after(restartS * 1000, () => this.boot(controller))
 		}
-		this.ports.clock.after(0, () => void drain.begin().then(end), controller)
+		this.dependencies.clock.after(0, () => void drain.begin().then(end), controller)
 	}
 
-	/** Stops all controllers one after the other. */
+	/** Stops all controllers in turn. */
 	async end(): Promise<void> {
 		for (const node of this.nodes) await node?.stop()
 	}
@@ -209,7 +209,7 @@
 
 	private settings(controller: number) {
 		const { day } = this
-		const { times } = this.ports
+		const { times } = this.dependencies
 		const name = this.names[controller]
 		return parseSettings({
 			host_name: name,
@@ -247,14 +247,14 @@
 		}))
 	}
 
-	/** Notes what users submit and cancel, by HTTP or gRPC alike; workers look the specs of their tasks up. */
+	/** Records submissions and cancellations over HTTP and gRPC; workers look up the specs of their tasks. */
 	private observeSubmissions(node: Service): void {
-		const { invariants } = this.ports
+		const { invariants } = this.dependencies
 		const handleRequest = node.handleRequest.bind(node)
 		node.handleRequest = (call, respond) => {
 			const spec = call.path === '/v2/runs' ? parseSubmission(call.body) : null
 			if (spec !== null && !(spec instanceof InvalidSubmission)) {
-				this.ports.onSubmitted(spec)
+				this.dependencies.onSubmitted(spec)
 				invariants.jobSubmitted(spec)
 			}
 			const cancelled = /^\/v2\/runs\/([^/]+)\/withdraw$/.exec(call.path)
@@ -263,13 +263,13 @@
 		}
 	}
 
-	/** Passes log lines on; an error that no fault injected is a violation. */
+	/** Forwards log lines except debug lines; reports an error that no fault injected as a violation. */
 	private logger(controller: number) {
-		const { clock, invariants } = this.ports
+		const { clock, invariants } = this.dependencies
 		return (level: string, event: string, fields?: Record<string, unknown>) => {
 			if (level === 'debug') return
 			const name = this.names[controller]
-			this.ports.log(`${Math.round(clock.nowMs)} ${name} ${event} ${JSON.stringify(fields ?? {})}`)
+			this.dependencies.log(`${Math.round(clock.nowMs)} ${name} ${event} ${JSON.stringify(fields ?? {})}`)
 			if (level === 'error' && fields?.error !== INJECTED_ERROR)
 				invariants.violations.push(`error: ${event} ${JSON.stringify(fields)}`)
 		}
--- a/packages/testkit/src/simulated-day.ts
+++ b/packages/testkit/src/simulated-day.ts
@@ -3,7 +3,7 @@
 import type { JobSpec, MachineType } from '@heathroad/wire'
 import type { DayJob } from './user-workload.js'
 
-/** What can go wrong on a simulated day; `fault-injection.ts` has one handler for each. */
+/** Kinds of faults on a simulated day; `fault-injection.ts` has one handler for each. */
 export type FaultKind =
 	| 'crash'
 	| 'drain'
@@ -38,43 +38,43 @@
 	| 'bootTimes'
 	| 'pollStorm'
 
-/** Peers of a controller that a `cut` fault can separate it from. */
-export type CutTarget = 'state' | 'workers' | 'peers'
+/** The other side of the network partition of a `cut` fault. */
+export type PartitionTarget = 'state' | 'workers' | 'peers'
 
 /** One fault of a simulated day. */
 export interface Fault {
 	/** when it begins, in seconds of virtual time */
 	atS: number
 	kind: FaultKind
-	/** indexes of the affected controllers; for `zoneCut` those inside the zone; controller 0 if not given */
+	/** indexes of the affected controllers; for `zoneCut` those inside the zone; default: controller 0 */
 	who?: readonly number[]
-	/** what a `cut` separates the controllers from; everything if not given */
-	from?: CutTarget | readonly CutTarget[]
-	/** share of the transactions, heartbeats, machines or messages that are affected; half if not given */
+	/** what a `cut` partitions the controllers from; default: everything */
+	from?: PartitionTarget | readonly PartitionTarget[]
+	/** fraction of the affected transactions, heartbeats, machines or messages; default: half */
 	share?: number
-	/** the zone that `zoneCut` separates from the rest */
+	/** the zone that `zoneCut` partitions from the rest */
 	zone?: string
 	/** duration in seconds; for `crash` and `drain` the time until the restart */
 	forS?: number
 	/** factor on boot times, polling rate or link latency */
 	factor?: number
-	/** how many jobs `cancelNow` cancels */
+	/** number of jobs that `cancelNow` cancels */
 	count?: number
-	/** for how many seconds the machines of those jobs hang */
+	/** how long the machines of those jobs hang, in seconds */
 	hangS?: number
 }
 
-/** Timing of heartbeats and leases, in seconds. */
+/** Timing of heartbeats, agent leases and cancellations. */
 export interface WorkerTimes {
-	/** interval of heartbeats */
+	/** heartbeat interval, in seconds */
 	reportS: number
-	/** duration of the agent lease */
+	/** duration of the agent lease, in seconds */
 	leaseS: number
-	/** how long tasks of a cancelled job may still run */
+	/** how long tasks of a cancelled job may still run, in seconds */
 	cancelS: number
 }
 
-/** Everything that a simulated day follows from. */
+/** Complete description of a simulated day: equal descriptions give equal runs. */
 export interface SimulatedDay {
 	/** seed of all random draws */
 	seed: number
@@ -82,50 +82,51 @@
 	untilS: number
 	jobs: readonly DayJob[]
 	faults: readonly Fault[]
-	/** users ask the controllers that a load balancer finds healthy, instead of any */
+	/** users send requests only to controllers that a load balancer finds healthy; default: to any */
 	balanced?: boolean
-	/** share of messages lost on their way there or back, or delivered late */
+	/** probability that a message is lost, for requests and responses alike; also that a request is late */
 	loss?: number
-	/** when message loss ends, in seconds; it lasts all day if not given */
+	/** when message loss ends, in seconds; default: at the end of the day */
 	lossUntilS?: number
 	/** limits of teams, in CPUs */
 	limits?: ReadonlyMap<string, number>
-	/** objectives: within how many seconds the tasks of a class should start */
+	/** objectives: target in seconds for the queue wait of a class's tasks */
 	waits?: ReadonlyMap<string, number>
-	/** guarantees of teams, in CPUs; a team named here exists */
+	/** guarantees of teams, in CPUs; the teams named here exist beside `core` */
 	guarantees?: ReadonlyMap<string, number>
+	/** default: `DEFAULT_WORKER_TIMES` */
 	report?: WorkerTimes
-	/** number of controllers; three if not given */
+	/** number of controllers; default: three */
 	controllers?: number
-	/** machines of each kind in each zone that the cloud has; four if not given */
+	/** machines of each kind (spot, on-demand) that the cloud has in each zone; default: four */
 	capacity?: number
-	/** the state service enforces its limits: 200 requests and 15 mutations a second */
+	/** the state service enforces its limits: 200 requests and 15 mutations per second */
 	stateLimits?: boolean
-	/** changes that the state service keeps for watches; all of them if not given */
+	/** number of changes that the state service keeps for watches; default: all */
 	watchLog?: number
-	/** calls a second that the cloud accepts; 4 if not given */
+	/** calls per second that the cloud accepts; default: 4 */
 	cloudRps?: number
 	/** the controllers' monotonic clocks drift apart by as much as the protocol allows */
 	drift?: boolean
 	/** machines that are up before the controllers start */
 	up?: number
-	/** archiving of terminal jobs; null: none; if not given, in batches small enough for a day */
+	/** archival of terminal jobs; null: none; default: batches that are small enough for a simulated day */
 	history?: HistorySettings | null
 }
 
-/** Number of controllers of a day that does not name one. */
+/** Default number of controllers. */
 export const DEFAULT_CONTROLLERS = 3
 
-/** Duration of a fault that does not name one, in seconds. */
+/** Default duration of a fault, in seconds. */
 export const DEFAULT_FAULT_S = 5
 
-/** Heartbeat and lease timing of a day that does not name any. */
+/** Default timing of heartbeats, agent leases and cancellations. */
 export const DEFAULT_WORKER_TIMES: WorkerTimes = { reportS: 1, leaseS: 10, cancelS: 30 }
 
-/** Small batches, so that what takes hours in production happens within minutes of a simulated day. */
+/** Archival in small batches: what takes hours in production happens within minutes of a simulated day. */
 export const SMALL_HISTORY: HistorySettings = { archiveBatchSize: 10, writeRateShare: 0.5, pageCacheMb: 0.1 }
 
-/** Limits of the state service, as the controllers' settings name them. */
+/** Limits of the state service, under the names of the controllers' settings. */
 export const STATE_LIMITS = { rps: 200, write_rps: 15 }
 
 /** The zones of the simulated cloud. */
@@ -145,7 +146,7 @@
 	zones: ZONES,
 }
 
-/** A job array with ten tasks of one CPU; `overrides` replaces single fields. */
+/** Returns a job array of ten tasks with one CPU each; `overrides` replaces fields. */
 export const arrayJob = (uid: string, overrides: Partial<JobSpec> = {}): JobSpec => ({
 	uid,
 	jobClass: 'any',
--- a/packages/testkit/src/simulated-machines.ts
+++ b/packages/testkit/src/simulated-machines.ts
@@ -1,4 +1,4 @@
-/** The machines of a simulated day: their fake agents, and the faults of their connections. */
+/** The machines of a simulated day: their fake agents and the faults of their network connections. */
 import type { JobSpec, MachineType } from '@heathroad/wire'
 import type { Clock } from './clock.js'
 import type { FakeResponse } from './fake-response.js'
@@ -8,19 +8,19 @@
 import type { WorkerTimes } from './simulated-day.js'
 import type { MessageFault, SimulatedNetwork } from './simulated-network.js'
 
-/** Tasks run between these factors of their expected time. */
-const RUN_TIME_FACTOR = { min: 800, max: 1200 }
-/** Image fetch time, in ms a GB. */
+/** Bounds of the actual run time, in ms per second of expected run time. */
+const RUN_MS_PER_EXPECTED_S = { min: 800, max: 1200 }
+/** Image fetch time, in ms per GB. */
 const FETCH_MS_PER_GB = 1000
-/** Tasks of jobs of this class fail everywhere. */
+/** Tasks of jobs of this class fail on every machine. */
 export const BROKEN_CLASS = 'broken'
-/** A copy of a heartbeat arrives this late at the least, in ms, and at most this share of the agent lease later. */
-const LATE_HEARTBEAT = { minMs: 2000, maxLeaseMs: 2500 }
-/** Heartbeats held for a new owner reach the controllers within so many ms of the takeover. */
+/** Delay of a duplicated heartbeat: at least `minMs`, and up to 2.5 agent leases (`maxMsPerLeaseS` ms per second). */
+const DUPLICATE_HEARTBEAT_DELAY = { minMs: 2000, maxMsPerLeaseS: 2500 }
+/** Held heartbeats reach the controllers within this time after a takeover, in ms. */
 const HELD_HEARTBEAT_SPREAD_MS = 400
 
-/** What the machines need of the simulation. */
-export interface SimulatedMachinesPorts {
+/** The collaborators and functions of the simulated machines. */
+export interface SimulatedMachinesDependencies {
 	clock: Clock
 	network: SimulatedNetwork
 	faults: RandomFaults<MessageFault>
@@ -28,11 +28,11 @@
 	times: WorkerTimes
 	/** names of all controllers */
 	controllers: readonly string[]
-	/** the spec of a submitted job; undefined: none has this id */
+	/** returns the spec of a submitted job; undefined: no job has this id */
 	spec(uid: string): JobSpec | undefined
-	/** returns whether the present incarnation of a controller still runs */
+	/** returns a check of whether the incarnation of the controller that is current now still runs */
 	aliveCheck(controller: number): () => boolean
-	/** sends a request to a controller; `from` appears in traces only */
+	/** sends a request to a controller; `from` is used only in traces */
 	sendRequest(
 		controller: number,
 		method: string,
@@ -45,25 +45,25 @@
 /** All machines that are up. */
 export class SimulatedMachines {
 	readonly workers = new Map<string, FakeWorker>()
-	/** machines that a fault made fail all tasks */
+	/** machines on which a fault makes all tasks fail */
 	readonly faulty = new Set<string>()
-	/** machines without network; their tasks run on */
+	/** machines that are partitioned in both directions; their tasks keep running */
 	readonly disconnected = new Set<string>()
-	/** machines whose heartbeats arrive, while responses and direct commands to them are lost */
-	readonly deaf = new Set<string>()
-	/** machines whose heartbeats are lost, while direct commands reach them */
-	readonly mute = new Set<string>()
-	/** copies of heartbeats that wait for the next takeover of any shard */
+	/** machines that receive nothing: their heartbeats arrive, but responses and direct commands are lost */
+	readonly inboundPartitioned = new Set<string>()
+	/** machines that send nothing: their heartbeats are lost, but direct commands arrive */
+	readonly outboundPartitioned = new Set<string>()
+	/** copies of heartbeats that are delivered at the next takeover of any shard */
 	private heldHeartbeats: unknown[] = []
 
-	constructor(private readonly ports: SimulatedMachinesPorts) {}
+	constructor(private readonly dependencies: SimulatedMachinesDependencies) {}
 
-	/** A machine has booted. */
+	/** Adds a machine that has booted. */
 	add(id: string, type: MachineType, zone: string, spot: boolean): void {
-		this.workers.set(id, new FakeWorker(this.workerPorts(zone), id, type, zone, spot))
+		this.workers.set(id, new FakeWorker(this.workerDependencies(zone), id, type, zone, spot))
 	}
 
-	/** A machine is released; returns the key of its capacity, or null if there is no such machine. */
+	/** Removes a released machine; returns the key of its capacity, or null if there is no such machine. */
 	remove(id: string): string | null {
 		const worker = this.workers.get(id)
 		worker?.die()
@@ -71,27 +71,28 @@
 		return worker === undefined ? null : `${worker.type.name}/${worker.zone}/${worker.spot}`
 	}
 
-	/** A direct request to a machine's agent; null: it does not respond. */
+	/** Sends a direct request to a machine's agent; resolves to null if there is no response. */
 	call(id: string, path: string, body: unknown): Promise<FakeResponse | null> {
 		const worker = this.workers.get(id)
 		if (worker === undefined || worker.dead) return Promise.resolve(null)
-		if (this.disconnected.has(id) || this.deaf.has(id)) return Promise.resolve(null)
+		if (this.disconnected.has(id) || this.inboundPartitioned.has(id)) return Promise.resolve(null)
 		return worker.call(path, body)
 	}
 
-	/** A shard has a new owner: the held heartbeats reach every controller at that moment. */
+	/** Delivers the held heartbeats to every controller; called when a shard has a new owner. */
 	deliverHeldHeartbeats(): void {
-		const { clock, controllers } = this.ports
+		const { clock, controllers } = this.dependencies
 		const heartbeats = this.heldHeartbeats
 		this.heldHeartbeats = []
 		for (const body of heartbeats)
 			for (const controller of controllers.keys()) {
-				const arrive = () => void this.ports.sendRequest(controller, 'POST', '/checkin', body, 'kept report')
+				const arrive = () =>
+					void this.dependencies.sendRequest(controller, 'POST', '/checkin', body, 'kept report')
 				clock.after(clock.between(0, HELD_HEARTBEAT_SPREAD_MS), arrive, null)
 			}
 	}
 
-	/** Machines that can take tasks. */
+	/** Returns the machines that can accept tasks. */
 	available(): MachineCapacity[] {
 		const machines: MachineCapacity[] = []
 		for (const { id, type, zone, spot, dead, faulty, hung, noticed } of this.workers.values())
@@ -100,13 +101,13 @@
 		return machines
 	}
 
-	/** Machines that have not died. */
+	/** Returns the machines that have not crashed. */
 	alive(): FakeWorker[] {
 		return [...this.workers.values()].filter((worker) => !worker.dead)
 	}
 
-	private workerPorts(zone: string): FakeWorkerPorts {
-		const { clock, invariants, times, controllers } = this.ports
+	private workerDependencies(zone: string): FakeWorkerPorts {
+		const { clock, invariants, times, controllers } = this.dependencies
 		return {
 			clock,
 			invariants,
@@ -114,10 +115,10 @@
 			leaseMs: times.leaseS * 1000,
 			controllers,
 			task: (task) => {
-				const spec = this.ports.spec(task.split('/')[0])
+				const spec = this.dependencies.spec(task.split('/')[0])
 				if (spec === undefined) return null
 				return {
-					runMs: spec.expectedS * clock.between(RUN_TIME_FACTOR.min, RUN_TIME_FACTOR.max),
+					runMs: spec.expectedS * clock.between(RUN_MS_PER_EXPECTED_S.min, RUN_MS_PER_EXPECTED_S.max),
 					fetchMs: spec.imageGb * FETCH_MS_PER_GB,
 					cpus: spec.cpus,
 					fails: spec.jobClass === BROKEN_CLASS,
@@ -137,24 +138,27 @@
 		reply: (response: FakeResponse | null) => void
 	}): void {
 		const { machine, zone, path, body } = heartbeat
-		const { clock, faults, times } = this.ports
-		const controller = this.ports.controllers.indexOf(heartbeat.controller)
-		if (this.disconnected.has(machine) || this.mute.has(machine)) return
-		const serve = () => this.ports.sendRequest(controller, 'POST', path, body, machine)
-		this.ports.network.deliver({
+		const { clock, faults, times } = this.dependencies
+		const controller = this.dependencies.controllers.indexOf(heartbeat.controller)
+		if (this.disconnected.has(machine) || this.outboundPartitioned.has(machine)) return
+		const serve = () => this.dependencies.sendRequest(controller, 'POST', path, body, machine)
+		this.dependencies.network.deliver({
 			link: { kind: 'workers', controller },
 			ends: { from: null, to: controller },
-			isAlive: this.ports.aliveCheck(controller),
+			isAlive: this.dependencies.aliveCheck(controller),
 			serve,
 			reply: (response) => {
-				if (!this.deaf.has(machine)) heartbeat.reply(response)
+				if (!this.inboundPartitioned.has(machine)) heartbeat.reply(response)
 			},
 			otherEnd: zone,
 		})
 		if (faults.happens('heldHeartbeats')) this.heldHeartbeats.push(body)
 		if (!faults.happens('duplicatedHeartbeats')) return
-		// A copy of an old heartbeat, for whichever incarnation then has the address.
-		const delayMs = clock.between(LATE_HEARTBEAT.minMs, times.leaseS * LATE_HEARTBEAT.maxLeaseMs)
+		// The copy goes to the incarnation that has the address by then.
+		const delayMs = clock.between(
+			DUPLICATE_HEARTBEAT_DELAY.minMs,
+			times.leaseS * DUPLICATE_HEARTBEAT_DELAY.maxMsPerLeaseS,
+		)
 		clock.after(delayMs, () => void serve(), null)
 	}
 }
--- a/packages/testkit/src/simulation.ts
+++ b/packages/testkit/src/simulation.ts
@@ -1,6 +1,6 @@
 /**
- * The simulation: controllers of the real service among fake services, machines and users. A day is run in virtual
- * time from a seed; with a real clock the same world serves demonstrations and measurements.
+ * The simulation: real controllers with fake services, machines and users. Simulated days run in virtual time from a
+ * seed; demonstrations and measurements use the same simulation with a real clock.
  */
 import type { Service } from '@heathroad/server'
 import type { JobSpec } from '@heathroad/wire'
@@ -31,18 +31,18 @@
 import type { TracedMessage } from './trace.js'
 import { UserWorkload } from './user-workload.js'
 
-/** Machines of each kind in each zone, on a day that does not say. */
+/** Default number of spot and of on-demand machines that the cloud has in each zone. */
 const DEFAULT_CAPACITY = 4
-/** How often the load balancer probes and the invariants are checked, in ms. */
+/** Interval of load balancer probes and of invariant checks, in ms. */
 const CHECK_INTERVAL_MS = 1000
-/** Controllers boot within so many ms of the beginning of a day. */
+/** Controllers boot within this time after the start of a day, in ms. */
 const BOOT_SPREAD_MS = 300
-/** Free capacity counts once it lasted so many heartbeat intervals. */
-const CAPACITY_HEARTBEATS = 5
-/** A job that nobody submits: every controller has to answer that it is unknown. */
+/** Waiting jobs are checked against capacity that has been free for this number of heartbeat intervals. */
+const FREE_CAPACITY_HEARTBEATS = 5
+/** Id of a job that is never submitted: every controller has to respond that it is unknown. */
 const UNKNOWN_JOB = 'job-999999'
 
-/** One simulated world. */
+/** A simulated installation, and the day that is run on it. */
 export class Simulation {
 	readonly clock: Clock
 	readonly invariants: InvariantChecker
@@ -55,25 +55,25 @@
 	private readonly machines: SimulatedMachines
 	private readonly controllers: SimulatedControllers
 	private readonly balancer: FakeLoadBalancer
-	/** controllers whose reads of the state service get no response, while all else does */
+	/** controllers whose reads of the state service get no response, unlike their other requests */
 	private readonly watchless = new Set<number>()
-	/** controllers whose watches are answered late, while all else is answered at once */
+	/** controllers whose watches get late responses, unlike their other requests */
 	private readonly lateWatchers = new Set<number>()
 	private readonly specs = new Map<string, JobSpec>()
 
-	/** Called with every new incarnation of a controller, before it begins. */
-	started: (controller: number, node: Service) => void = () => {}
+	/** Called with every new incarnation of a controller, before it starts to run. */
+	onStarted: (controller: number, node: Service) => void = () => {}
 
 	/** Called when an incarnation of a controller ends. */
-	ended: (controller: number) => void = () => {}
+	onEnded: (controller: number) => void = () => {}
 
-	/** Called with every message that a controller sends or receives; null: nobody follows them. */
+	/** Called with every message that a controller sends or receives; null: messages are not traced. */
 	trace: ((message: TracedMessage) => void) | null = null
 
-	/** Takes the controllers' log lines. */
-	tell: (line: string) => void = () => {}
+	/** Called with every line that a controller logs. */
+	onLogLine: (line: string) => void = () => {}
 
-	/** `clock`: virtual time from the day's seed if not given. */
+	/** `clock`: default is a virtual clock with the day's seed. */
 	constructor(
 		private readonly day: SimulatedDay,
 		clock?: Clock,
@@ -104,12 +104,12 @@
 		return this.machines.workers
 	}
 
-	/** Machines that a fault made fail all tasks. */
+	/** Machines on which a fault makes all tasks fail. */
 	get faulty(): ReadonlySet<string> {
 		return this.machines.faulty
 	}
 
-	/** Sends a request to a controller; null: it is down. `from` appears in traces only. */
+	/** Sends a request to a controller; resolves to null if it is down. `from` is used only in traces. */
 	sendRequest(
 		controller: number,
 		method: string,
@@ -125,29 +125,29 @@
 		return this.controllers.boot(controller)
 	}
 
-	/** Ends a controller without notice, and boots it again after `restartS` seconds. */
+	/** Crashes a controller, and boots it again after `restartS` seconds. */
 	crash(controller: number, restartS: number): void {
 		this.controllers.crash(controller, restartS)
 	}
 
-	/** Begins a day in real time. */
+	/** Starts the machines and controllers, for a simulation in real time. */
 	begin(): void {
 		this.cloud.alreadyUp(this.day.up ?? 0, BOX_MACHINE_TYPE, ZONES[0])
 		for (const controller of this.controllers.names.keys()) this.boot(controller)
 	}
 
-	/** Ends all controllers. */
+	/** Stops all controllers. */
 	end(): Promise<void> {
 		return this.controllers.end()
 	}
 
-	/** Ids of all jobs in the controllers' records, terminal or not; once for each controller that knows them. */
-	accepted(): string[] {
+	/** Returns the ids of all jobs that the controllers know, terminal or not; an id occurs once per controller. */
+	knownJobIds(): string[] {
 		return this.controllers.running().flatMap((node) => [...node.jobs.knownIds()])
 	}
 
-	/** The largest number of terminal states that a controller holds in memory. */
-	held(): number {
+	/** Returns the largest number of terminal states that a controller holds in memory. */
+	maxTerminalCount(): number {
 		return Math.max(0, ...this.controllers.running().map((node) => node.jobs.terminalCount))
 	}
 
@@ -161,7 +161,7 @@
 		this.controllers.stopAll()
 	}
 
-	/** Schedules everything that the day describes. The order decides what happens first at equal times. */
+	/** Schedules the events of the day. Events at the same time run in the order in which they are scheduled. */
 	private schedule(): void {
 		const { clock, day } = this
 		this.cloud.alreadyUp(day.up ?? 0, BOX_MACHINE_TYPE, ZONES[0])
@@ -175,7 +175,7 @@
 		this.checkInvariants()
 	}
 
-	/** When the last fault of the day ends, in seconds. */
+	/** Returns when the last fault of the day ends, in seconds. */
 	private faultsEndS(): number {
 		const { faults, loss, lossUntilS } = this.day
 		const ends = faults.map((fault) => fault.atS + (fault.forS ?? DEFAULT_FAULT_S))
@@ -200,7 +200,7 @@
 		}
 	}
 
-	/** Checks the invariants every second, and asks a controller about a job that nobody submitted. */
+	/** Checks the invariants every second, and queries a controller for a job that was never submitted. */
 	private checkInvariants(): void {
 		const controller = Math.floor(this.clock.random() * this.controllers.names.length)
 		this.network.deliver({
@@ -211,12 +211,12 @@
 			reply: (response) => this.invariants.observeStatus(UNKNOWN_JOB, response?.status ?? 0, null, null),
 		})
 		this.invariants.checkCancelledTasks()
-		const samples = Math.ceil(this.times.reportS * CAPACITY_HEARTBEATS)
+		const samples = Math.ceil(this.times.reportS * FREE_CAPACITY_HEARTBEATS)
 		this.invariants.checkWaitingJobs(this.machines.available(), samples)
 		this.clock.after(CHECK_INTERVAL_MS, () => this.checkInvariants())
 	}
 
-	/** Probes every controller for the load balancer, once a second. */
+	/** Probes every controller for the load balancer every second. */
 	private probe(): void {
 		for (const controller of this.controllers.names.keys())
 			void this.sendRequest(controller, 'GET', '/healthz', undefined, 'balancer').then((response) =>
@@ -225,7 +225,7 @@
 		this.clock.after(CHECK_INTERVAL_MS, () => this.probe())
 	}
 
-	/** The controller that a user is sent to; null: none is healthy. */
+	/** Returns a random controller for a user's request; null: none is healthy. */
 	private someController(): number | null {
 		const candidates = this.day.balanced ? this.balancer.healthy() : [...this.controllers.names.keys()]
 		return candidates.length === 0 ? null : candidates[Math.floor(this.clock.random() * candidates.length)]
@@ -237,10 +237,10 @@
 			invariants: this.invariants,
 			times: this.times,
 			httpClient: (controller) => this.httpClient(controller),
-			onStarted: (controller, node) => this.started(controller, node),
-			onEnded: (controller) => this.ended(controller),
+			onStarted: (controller, node) => this.onStarted(controller, node),
+			onEnded: (controller) => this.onEnded(controller),
 			onSubmitted: (spec) => this.specs.set(spec.uid, spec),
-			log: (line) => this.tell(line),
+			log: (line) => this.onLogLine(line),
 			tracer: () => this.trace,
 		})
 	}
--- a/packages/testkit/src/sorted-keys.ts
+++ b/packages/testkit/src/sorted-keys.ts
@@ -1,21 +1,21 @@
-/** The keys of a map in order, sorted again only after keys came or went. */
+/** Sorted iteration over the keys of a map; sorts again only after keys were added or deleted. */
 
-/** An ordered view of a map. */
+/** A view of a map in key order. */
 export class SortedKeys<Value> {
 	private sorted: string[] | null = null
 
 	constructor(private readonly values: ReadonlyMap<string, Value>) {}
 
-	/** A key was added or deleted. */
+	/** Call after a key was added or deleted. */
 	invalidate(): void {
 		this.sorted = null
 	}
 
-	/** Entries with a prefix in order; those up to the key `after` are left out. */
+	/** Yields the entries whose keys start with `prefix` and are greater than `after`, in key order. */
 	*withPrefix(prefix: string, after: string): Generator<[string, Value]> {
 		const keys = this.keys()
-		let at = this.firstBehind(keys, after > prefix ? after : prefix)
-		// A key that equals the prefix has it too.
+		let at = this.firstAfter(keys, after > prefix ? after : prefix)
+		// A key that equals the prefix starts with it too.
 		if (after < prefix && keys[at - 1] === prefix) at--
 		for (; at < keys.length && keys[at].startsWith(prefix); at++) {
 			const value = this.values.get(keys[at])
@@ -28,8 +28,8 @@
 		return this.sorted
 	}
 
-	/** Index of the first key that is greater than `text`, by binary search. */
-	private firstBehind(keys: readonly string[], text: string): number {
+	/** Returns the index of the first key that is greater than `text`, by binary search. */
+	private firstAfter(keys: readonly string[], text: string): number {
 		let from = 0
 		let to = keys.length
 		while (from < to) {
--- a/packages/testkit/src/stream-checks.ts
+++ b/packages/testkit/src/stream-checks.ts
@@ -1,6 +1,6 @@
 /**
- * Checks event streams over real sockets in real time, while connections are cut, responses lost and controllers
- * crashed: every reader has to get one terminal state of every job.
+ * Checks event streams over real sockets in real time, while connections break, responses are lost and controllers
+ * crash: every reader has to receive exactly one terminal state of every job.
  */
 import { Client, isFinal, type JobEvent } from '@heathroad/client'
 import { RealClock } from './clock.js'
@@ -11,69 +11,69 @@
 
 /** Parameters of a check. */
 export interface StreamCheckOptions {
-	/** seed of the moments of the faults */
+	/** seed of the times of the faults */
 	seed: number
 	/** number of jobs */
 	jobs: number
-	/** longest duration in seconds */
+	/** time limit of the check, in seconds */
 	forS: number
-	/** mean pause between faults, in ms */
+	/** mean interval of faults, in ms */
 	everyMs: number
 }
 
-/** What a check found. */
+/** Result of a check. */
 export interface StreamCheckResult {
 	jobs: number
-	/** number of connections that were cut */
+	/** number of connections that were broken */
 	cuts: number
 	/** number of controllers that crashed */
 	crashes: number
-	/** how often responses were lost for a while */
-	lossy: number
-	/** number of events that readers got */
+	/** number of periods in which responses were lost */
+	responseLosses: number
+	/** number of events that readers received */
 	events: number
 	readers: number
-	/** terminal states that a reader never got */
+	/** terminal states that a reader never received */
 	missing: string[]
-	/** terminal states that a reader got twice */
+	/** terminal states that a reader received twice */
 	repeated: string[]
-	/** states that a reader saw taken back */
-	wentBack: string[]
-	/** number of events after which a reader had to begin anew from the present */
+	/** terminal states followed by another state, and counts of done tasks that decreased */
+	reverted: string[]
+	/** number of events that follow a gap, after which a reader continued from the current state */
 	gaps: number
-	/** jobs that exist though nobody submitted them, and readers that failed */
-	strange: string[]
-	/** submissions without a response */
-	refused: string[]
-	/** violations of the protocol */
-	broken: readonly string[]
+	/** jobs that exist but were never submitted, and readers that failed */
+	unexpected: string[]
+	/** submissions and cancellations that failed */
+	failedSubmissions: string[]
+	/** violations of invariants */
+	violations: readonly string[]
 	seconds: number
 }
 
 const CONTROLLERS = 3
 const MACHINES = 12
-/** Requests of the clients are retried after that time, in ms. */
+/** Clients retry a request after this time, in ms. */
 const TRY_MS = 2000
-/** Responses are lost for so long, in ms. */
+/** Duration of a period in which responses are lost, in ms. */
 const LOSS_MS = 250
 /** Shortest time until a crashed controller boots again, in seconds. */
 const MIN_RESTART_S = 0.4
-/** Faults are drawn from 0 to 1: below the first limit a cut, below the second lost responses, above it a crash. */
-const FAULT_LIMITS = { cut: 0.5, loss: 0.75 }
-/** Each kind of fault happens once at least, however short the check is. */
+/** A draw from 0 to 1 below `cut` breaks connections, one below `loss` loses responses, and a higher one causes a crash. */
+const FAULT_THRESHOLDS = { cut: 0.5, loss: 0.75 }
+/** Draws of the first faults, so that each kind of fault occurs at least once. */
 const FIRST_FAULTS: readonly number[] = [0, 0.6, 0.9]
-/** Pause between submissions, in ms. */
+/** Interval of submissions, in ms. */
 const SUBMIT_INTERVAL_MS = 25
 /** Every ninth job is cancelled. */
 const CANCEL_EVERY = 9
-/** Jobs of checks with different seeds have ids this far apart. */
+/** Difference between the first job numbers of checks with successive seeds. */
 const IDS_PER_SEED = 1000
 const FIRST_JOB = 700_000
 const FIRST_SENTINEL = 699_000
 
 const delay = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms))
 
-/** One check under way. */
+/** A check in progress. */
 class StreamCheck {
 	private readonly clock: RealClock
 	private readonly simulation: Simulation
@@ -82,14 +82,14 @@
 	private readonly clients: Client[] = []
 	private readonly result: StreamCheckResult
 	private readonly uids: string[]
-	/** a job whose events tell that the team's stream has begun */
+	/** id of a job whose events show that the team's stream has started */
 	private readonly sentinel: string
 	/** addresses of the proxies */
 	private addresses: string[] = []
 	private faultsEnded = false
 	private readonly firstFaults = [...FIRST_FAULTS]
-	/** readers that got an event */
-	private readonly begunReaders = new Set<string>()
+	/** readers that have received an event */
+	private readonly startedReaders = new Set<string>()
 	/** aborts all streams at the deadline */
 	private readonly deadline = new AbortController()
 
@@ -119,16 +119,16 @@
 			jobs,
 			cuts: 0,
 			crashes: 0,
-			lossy: 0,
+			responseLosses: 0,
 			events: 0,
 			readers: 0,
 			missing: [],
 			repeated: [],
-			wentBack: [],
+			reverted: [],
 			gaps: 0,
-			strange: [],
-			refused: [],
-			broken: this.simulation.invariants.violations,
+			unexpected: [],
+			failedSubmissions: [],
+			violations: this.simulation.invariants.violations,
 			seconds: 0,
 		}
 	}
@@ -136,25 +136,25 @@
 	async run(): Promise<StreamCheckResult> {
 		this.simulation.begin()
 		this.addresses = await Promise.all(this.proxies.map(async (proxy) => `127.0.0.1:${await proxy.listen()}`))
-		const begunMs = Date.now()
+		const startMs = Date.now()
 		const timer = setTimeout(() => this.deadline.abort(), this.options.forS * 1000)
 		await this.submitAndRead()
 		clearTimeout(timer)
 		this.faultsEnded = true
-		this.collect(begunMs)
+		this.collect(startMs)
 		await this.close()
 		return this.result
 	}
 
-	/** Readers by ids that are submitted only later, by team, and by ids after that. */
+	/** Reads by job ids before and after the jobs are submitted, and by team; submits the jobs and injects faults. */
 	private async submitAndRead(): Promise<void> {
 		const { uids } = this
 		const early = this.read('by ids, before', { uids })
 		const team = this.read('by team', { team: 'core' })
 		const submitter = this.createClient()
-		// A team's stream tells what ends after it began; it has begun for certain once it told of a first job.
+		// A team's stream delivers what finishes after its start; an event of the first job shows that it has started.
 		await submitter.submit(arrayJob(this.sentinel, { tasks: 1, cpus: 0.5, expectedS: 0.3, spot: false }))
-		await waitUntil(() => this.begunReaders.has('by team'))
+		await waitUntil(() => this.startedReaders.has('by team'))
 		this.injectFaults()
 		await Promise.all(uids.map((uid, index) => this.submit(submitter, uid, index)))
 		const late = this.read('by ids, after', { uids })
@@ -174,11 +174,11 @@
 			await client.submit(spec)
 			if (index % CANCEL_EVERY === CANCEL_EVERY - 1) await client.cancel(uid)
 		} catch (error) {
-			this.result.refused.push(`${uid}: ${(error as Error).message}`)
+			this.result.failedSubmissions.push(`${uid}: ${(error as Error).message}`)
 		}
 	}
 
-	/** Reads events until there is a terminal state of every job, or the deadline. */
+	/** Reads events until the terminal states of all jobs have arrived, or until the deadline. */
 	private async read(name: string, selection: { uids: readonly string[] } | { team: string }): Promise<void> {
 		const { uids, result, deadline } = this
 		result.readers++
@@ -189,12 +189,12 @@
 				if (uids.every((uid) => reader.terminal.has(uid))) break
 			}
 		} catch (error) {
-			if (!deadline.signal.aborted) result.strange.push(`${name}: ${(error as Error).message}`)
+			if (!deadline.signal.aborted) result.unexpected.push(`${name}: ${(error as Error).message}`)
 		}
 		for (const uid of uids) if (!reader.terminal.has(uid)) result.missing.push(`${name}: ${uid}`)
 	}
 
-	/** Compares an event with those before it of the same reader. */
+	/** Checks an event against the earlier events of the same reader. */
 	private observe(
 		reader: { name: string; terminal: Map<string, string>; done: Map<string, number> },
 		{ uid, state, done, afterGap }: JobEvent,
@@ -205,32 +205,32 @@
 		if (afterGap) result.gaps++
 		const terminal = reader.terminal.get(uid)
 		if (terminal !== undefined) {
-			const list = terminal === state ? result.repeated : result.wentBack
+			const list = terminal === state ? result.repeated : result.reverted
 			list.push(`${name}: ${uid} ${terminal}, ${state}`)
 		}
 		const doneBefore = reader.done.get(uid) ?? 0
-		if (done < doneBefore) result.wentBack.push(`${name}: ${uid} ${doneBefore}, ${done}`)
+		if (done < doneBefore) result.reverted.push(`${name}: ${uid} ${doneBefore}, ${done}`)
 		reader.done.set(uid, done)
 		if (isFinal(state)) reader.terminal.set(uid, state)
-		this.begunReaders.add(name)
+		this.startedReaders.add(name)
 	}
 
-	/** Injects a fault, and further ones until the check is over. */
+	/** Injects a fault, and schedules further ones until the check ends. */
 	private injectFaults(): void {
 		if (this.faultsEnded) return
 		const { clock, proxies } = this
 		const index = Math.floor(clock.random() * CONTROLLERS)
 		const kind = this.firstFaults.shift() ?? clock.random()
-		if (kind < FAULT_LIMITS.cut) proxies[index].cutAll()
-		else if (kind < FAULT_LIMITS.loss) {
-			this.result.lossy++
+		if (kind < FAULT_THRESHOLDS.cut) proxies[index].cutAll()
+		else if (kind < FAULT_THRESHOLDS.loss) {
+			this.result.responseLosses++
 			proxies[index].lose(true)
 			clock.after(LOSS_MS, () => proxies[index].lose(false))
 		} else this.crashNextRunning(index)
 		clock.after(this.options.everyMs * (0.5 + clock.random()), () => this.injectFaults())
 	}
 
-	/** Crashes the first running controller from an index on. */
+	/** Crashes the first running controller, starting the search at index `first`. */
 	private crashNextRunning(first: number): void {
 		const candidates = Array.from({ length: CONTROLLERS }, (_, offset) => (first + offset) % CONTROLLERS)
 		const running = candidates.find((index) => this.servers.isRunning(index))
@@ -241,8 +241,8 @@
 
 	private collect(begunMs: number): void {
 		const { result } = this
-		for (const uid of this.simulation.accepted())
-			if (!this.uids.includes(uid) && uid !== this.sentinel) result.strange.push(uid)
+		for (const uid of this.simulation.knownJobIds())
+			if (!this.uids.includes(uid) && uid !== this.sentinel) result.unexpected.push(uid)
 		result.cuts = this.proxies.reduce((cuts, proxy) => cuts + proxy.cuts, 0)
 		result.seconds = (Date.now() - begunMs) / 1000
 	}
@@ -250,7 +250,7 @@
 	private async close(): Promise<void> {
 		for (const client of this.clients) client.close()
 		for (const proxy of this.proxies) proxy.close()
-		// No controller boots any more.
+		// From now on no controller boots.
 		this.clock.stop()
 		await this.servers.stopAll()
 		await this.simulation.end()
@@ -265,11 +265,11 @@
 	}
 }
 
-/** Runs a check: jobs are submitted and watched over gRPC through faults at moments drawn from a seed. */
+/** Runs a check: submits and watches jobs over gRPC, with faults at random times drawn from a seed. */
 export const checkStreams = (options: StreamCheckOptions): Promise<StreamCheckResult> =>
 	new StreamCheck(options).run()
 
-/** Waits for a condition, for 10 s at the most. */
+/** Waits up to 10 s for a condition. */
 const waitUntil = async (isReady: () => boolean): Promise<void> => {
 	for (let checks = 0; checks < 200 && !isReady(); checks++) await delay(50)
 }
--- a/packages/testkit/src/stream-days.ts
+++ b/packages/testkit/src/stream-days.ts
@@ -1,6 +1,6 @@
 /**
- * Days on which readers follow jobs over the controllers' event streams: in virtual time, so without the network. What
- * the readers get goes through the same records, hubs and subscriptions as behind the gRPC face.
+ * Simulated days with readers of the controllers' event streams. In virtual time there is no gRPC connection: readers use
+ * the same records, hubs and subscriptions as the gRPC interface does.
  */
 import { EventHub, type JobEvent, type Selection, type Subscription } from '@heathroad/events'
 import { eventMessage, ServiceRecords } from '@heathroad/grpc'
@@ -11,17 +11,17 @@
 import { DEFAULT_CONTROLLERS } from './simulated-day.js'
 import { Simulation } from './simulation.js'
 
-/** How often a hub looks for changes, in ms. */
-const CHECK_MS = 500
-/** How many terminal states a controller keeps for its streams. */
+/** Interval at which a hub checks for changes, in ms. */
+const HUB_CHECK_INTERVAL_MS = 500
+/** Number of terminal states that a controller keeps for its streams. */
 const KEPT_TERMINAL_STATES = 1000
 /** Probability that a reader's stream breaks at a step. */
-const BREAK_SHARE = 0.02
-/** How many events a reader takes at one step. */
+const BREAK_PROBABILITY = 0.02
+/** Number of events that a reader takes at each step. */
 const EVENTS_PER_STEP = 5
-/** When the readers begin, in ms. */
-const READERS_FROM_MS = 3000
-/** Number of readers on a day that follows from a seed. */
+/** When the readers start, in ms. */
+const READERS_START_MS = 3000
+/** Number of readers on a day of random faults. */
 const READERS = 12
 
 /** The event streams of one incarnation of a controller, as its gRPC server runs them, without the network. */
@@ -29,7 +29,7 @@
 	readonly records: ServiceRecords
 	/** null: the installation has no id yet */
 	hub: EventHub | null = null
-	/** the incarnation has ended */
+	/** whether the incarnation has ended */
 	ended = false
 
 	constructor(
@@ -42,7 +42,7 @@
 	}
 
 	private scheduleCheck(): void {
-		this.simulation.clock.after(CHECK_MS, () => this.check(), this.controller)
+		this.simulation.clock.after(HUB_CHECK_INTERVAL_MS, () => this.check(), this.controller)
 	}
 
 	private check(): void {
@@ -50,7 +50,7 @@
 		const id = this.records.installationId()
 		if (id === null) this.records.proposeInstallationId(`by ${this.controller}`)
 		else if (this.hub === null) {
-			this.hub = new EventHub(this.records, id, CHECK_MS, this.node.now)
+			this.hub = new EventHub(this.records, id, HUB_CHECK_INTERVAL_MS, this.node.now)
 			this.records.hub = this.hub
 		}
 		if (!this.node.isHealthy()) this.hub?.endAll('not serving')
@@ -59,13 +59,13 @@
 	}
 }
 
-/** Gives every controller of a simulation its streams; returns those of the present incarnations, by controller. */
-export const streamsOf = (simulation: Simulation): readonly (ControllerStreams | null)[] => {
+/** Attaches event streams to every controller that boots; returns those of the current incarnations, by controller. */
+export const attachStreams = (simulation: Simulation): readonly (ControllerStreams | null)[] => {
 	const streams: (ControllerStreams | null)[] = []
-	simulation.started = (controller, node) => {
+	simulation.onStarted = (controller, node) => {
 		streams[controller] = new ControllerStreams(node, simulation, controller)
 	}
-	simulation.ended = (controller) => {
+	simulation.onEnded = (controller) => {
 		const previous = streams[controller]
 		if (previous) previous.ended = true
 		streams[controller] = null
@@ -73,25 +73,25 @@
 	return streams
 }
 
-/** Observes a reader. */
+/** Receives the events of a reader. */
 export interface ReaderObserver {
-	/** a stream begins at this cursor */
-	begun(controller: number, cursor: string): void
+	/** a stream is about to open at this cursor */
+	opened(controller: number, cursor: string): void
 	/** a stream was rejected */
-	refused(controller: number, why: string): void
+	rejected(controller: number, why: string): void
 	/** an event arrived */
-	heard(controller: number, event: JobEvent): void
-	/** the stream ended as complete: it has delivered the terminal state of every named job */
+	received(controller: number, event: JobEvent): void
+	/** the stream is complete: it has delivered the terminal state of every named job */
 	completed?(controller: number): void
 }
 
-/** A reader that follows its selection over one stream after the other; its streams break at any moment. */
+/** A reader that watches its selection over successive streams, which break at random. */
 export class StreamReader {
 	private cursor = ''
-	/** where the present stream comes from */
+	/** the controller that serves the current stream, and its streams */
 	private source: { controller: number; streams: ControllerStreams } | null = null
 	private subscription: Subscription | null = null
-	/** a stream is being opened */
+	/** whether a stream is being opened */
 	private opening = false
 
 	constructor(
@@ -101,12 +101,12 @@
 		private readonly selection: Selection,
 		private readonly observer: ReaderObserver,
 	) {
-		simulation.clock.after(READERS_FROM_MS, () => this.step(), null)
+		simulation.clock.after(READERS_START_MS, () => this.step(), null)
 	}
 
 	private step(): void {
 		if (this.source?.streams.ended === true || this.subscription?.endReason) this.subscription = null
-		if (this.subscription !== null && this.simulation.clock.random() < BREAK_SHARE) {
+		if (this.subscription !== null && this.simulation.clock.random() < BREAK_PROBABILITY) {
 			this.subscription.end(null)
 			this.subscription = null
 		}
@@ -135,13 +135,13 @@
 	private subscribe(source: { controller: number; streams: ControllerStreams }): void {
 		const { controller, streams } = source
 		if (streams.ended || streams.hub === null) return
-		this.observer.begun(controller, this.cursor)
+		this.observer.opened(controller, this.cursor)
 		const opened = streams.hub.subscribe(this.selection, this.cursor, {
 			onEventsAvailable: () => {},
 			onEnd: () => {},
 		})
 		if (typeof opened === 'string') {
-			this.observer.refused(controller, opened)
+			this.observer.rejected(controller, opened)
 			return
 		}
 		this.source = source
@@ -157,13 +157,13 @@
 				if (this.subscription.isComplete) this.observer.completed?.(source.controller)
 				return
 			}
-			this.observer.heard(source.controller, event)
+			this.observer.received(source.controller, event)
 			this.cursor = event.cursor
 		}
 	}
 }
 
-/** An observer that traces what a reader sends and receives. */
+/** Creates an observer that traces what a reader sends and receives. */
 const tracingObserver = (
 	simulation: Simulation,
 	reader: number,
@@ -178,16 +178,16 @@
 		head: 'Watch',
 	})
 	return {
-		begun: (controller, cursor) =>
+		opened: (controller, cursor) =>
 			trace?.({
 				...message(controller),
 				direction: 'in',
 				kind: 'request',
 				body: { ...selection, cursor },
 			}),
-		refused: (controller, why) =>
+		rejected: (controller, why) =>
 			trace?.({ ...message(controller), direction: 'out', kind: 'answer', body: why }),
-		heard: (controller, event) =>
+		received: (controller, event) =>
 			trace?.({
 				...message(controller),
 				direction: 'out',
@@ -197,16 +197,16 @@
 	}
 }
 
-/** Runs the day of random faults that follows from a seed, with readers who follow a team or half of the jobs. */
+/** Runs the day of random faults of a seed, with readers that watch a team or half of the jobs. */
 export const runStreamDay = async (
 	seed: number,
-	{ tell = () => {}, trace }: DayObservers = {},
+	{ onLogLine = () => {}, trace }: DayObservers = {},
 ): Promise<Simulation> => {
 	const day = randomDay(seed)
 	const simulation = new Simulation(day)
-	simulation.tell = tell
+	simulation.onLogLine = onLogLine
 	simulation.trace = trace ?? null
-	const streams = streamsOf(simulation)
+	const streams = attachStreams(simulation)
 	const uids = day.jobs.map((job) => job.spec.uid)
 	const halves = [0, 1].map((half) => uids.filter((_, index) => index % 2 === half))
 	for (let reader = 0; reader < READERS; reader++) {
--- a/packages/testkit/src/stream-measurement.ts
+++ b/packages/testkit/src/stream-measurement.ts
@@ -1,6 +1,6 @@
 /**
- * Measures event streams against polling over the loopback in real time. One controller, its readers and its pollers
- * share the process, so processor time includes the readers' part.
+ * Compares event streams with polling, over the loopback interface in real time. The controller, its readers and its
+ * pollers run in one process, so processor time includes that of the readers.
  */
 import { monitorEventLoopDelay } from 'node:perf_hooks'
 import { Client, isFinal } from '@heathroad/client'
@@ -15,7 +15,7 @@
 
 /** Parameters of a measurement. */
 export interface StreamMeasurementOptions {
-	/** number of readers; each follows the team */
+	/** number of readers; each watches the team */
 	streams: number
 	/** readers among them that stop reading after the first event */
 	stalled: number
@@ -24,20 +24,20 @@
 	pollers: number
 }
 
-/** What was measured. */
+/** Result of a measurement. */
 export interface StreamMeasurement {
 	streams: number
 	stalled: number
 	jobs: number
 	events: number
-	/** time from when a terminal state is durable until a reader has it, in ms */
+	/** latency from the durable write of a terminal state until a reader receives it, in ms */
 	streamed: Histogram
-	/** the same for users who poll every 5 s */
+	/** latency from the durable write until users who poll every 5 s receive the state, in ms */
 	polled: Histogram
 	/** processor time of everything in the process, per event, in µs */
 	cpuPerEventUs: number
 	/** longest delay of the event loop, in ms */
-	heldMs: number
+	maxLoopDelayMs: number
 }
 
 const MACHINES = 16
@@ -45,21 +45,21 @@
 const SUBMIT_INTERVAL_MS = 40
 /** Interval of polls, in ms. */
 const POLL_MS = 5000
-/** Time for the controller to start, and for last events to arrive, in ms. */
+/** Time for the controller to start, and for the last events to arrive, in ms. */
 const START_MS = 1500
 const SETTLE_MS = 1000
 const FIRST_JOB = 400_000
-/** The server accepts so many streams more than there are readers. */
+/** Number of streams that the server accepts beyond those of the readers. */
 const SPARE_STREAMS = 10
 const HTTP_LIMITS = { idleTimeoutMs: 20_000, requestTimeoutMs: 5000, maxSockets: 1000 }
-/** Largest latency that can be recorded, in ms. */
+/** Largest latency that the histograms can record, in ms. */
 const MAX_LATENCY_MS = 60_000
 
 const delay = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms))
 const latencies = (): Histogram =>
 	build({ highestTrackableValue: MAX_LATENCY_MS, numberOfSignificantValueDigits: 3 })
 
-/** The servers of the one controller. */
+/** The servers of the controller. */
 interface Servers {
 	grpc: GrpcServer
 	grpcPort: number
@@ -81,7 +81,7 @@
 	return { grpc, grpcPort: await grpc.start(), httpPort }
 }
 
-/** One measurement under way. */
+/** A measurement in progress. */
 class Measurement {
 	private readonly clock = new RealClock()
 	private readonly simulation: Simulation
@@ -131,12 +131,21 @@
 		await this.close(servers)
 		const { events, streamed, polled } = this
 		const cpuPerEventUs = (cpu.user + cpu.system) / Math.max(1, events)
-		return { streams, stalled, jobs, events, streamed, polled, cpuPerEventUs, heldMs: loopDelay.max / 1e6 }
+		return {
+			streams,
+			stalled,
+			jobs,
+			events,
+			streamed,
+			polled,
+			cpuPerEventUs,
+			maxLoopDelayMs: loopDelay.max / 1e6,
+		}
 	}
 
 	private async start(): Promise<Servers> {
 		const started = new Promise<Servers>((resolve, reject) => {
-			this.simulation.started = (_, node) => {
+			this.simulation.onStarted = (_, node) => {
 				startServers(node, this.options.streams).then(resolve, reject)
 			}
 		})
@@ -156,7 +165,7 @@
 		histogram.recordValue(Math.max(1, performance.now() - (this.durableAt.get(uid) ?? 0)))
 	}
 
-	/** Follows the team until the end. */
+	/** Watches the team until the measurement ends; a reader that stalls waits for the end after its first event. */
 	private async read(port: number, { stalls }: { stalls: boolean }): Promise<void> {
 		const { signal } = this.stop
 		const client = new Client({ grpc: [`127.0.0.1:${port}`] })
@@ -165,11 +174,11 @@
 			for await (const event of client.watch({ team: 'core' }, { signal })) {
 				this.events++
 				if (isFinal(event.state)) this.recordLatency(this.streamed, event.uid)
-				// What was under way arrives after the end as well.
+				// Events in flight arrive even after the abort.
 				if (stalls && !signal.aborted) await new Promise((done) => signal.addEventListener('abort', done))
 			}
 		} catch {
-			// Stopped at the end.
+			// The watch is aborted at the end of the measurement.
 		}
 	}
 
@@ -195,11 +204,11 @@
 	}
 }
 
-/** Measures how long terminal states take to readers and pollers while jobs end all the time. */
+/** Measures how long terminal states take to reach readers and pollers while jobs finish continually. */
 export const measureStreams = (options: StreamMeasurementOptions): Promise<StreamMeasurement> =>
 	new Measurement(options).run()
 
-/** Waits for a condition, for so many checks of 50 ms at the most. */
+/** Waits for a condition, with up to `maxChecks` checks at intervals of 50 ms. */
 const waitUntil = async (isReady: () => boolean, maxChecks: number): Promise<void> => {
 	for (let checks = 0; checks < maxChecks && !isReady(); checks++) await delay(50)
 }
--- a/packages/testkit/src/token-bucket.ts
+++ b/packages/testkit/src/token-bucket.ts
@@ -1,11 +1,11 @@
-/** Rate limit of the fake services. */
+/** Rate limiter of the fake services. */
 
-/** A token bucket that holds one second's worth of tokens at the most (protocol). */
+/** A token bucket that holds up to one second's worth of tokens (protocol). */
 export class TokenBucket {
 	private tokens: number
 	private refilledAtMs: number
 
-	/** `perS`: tokens a second; `nowMs`: the present time. */
+	/** `perS`: tokens per second; `nowMs`: returns the current time. */
 	constructor(
 		private readonly perS: number,
 		private readonly nowMs: () => number,
@@ -14,7 +14,7 @@
 		this.refilledAtMs = nowMs()
 	}
 
-	/** Takes tokens if there are enough; returns whether there were. */
+	/** Takes `count` tokens if there are enough; returns whether it did. */
 	take(count: number): boolean {
 		const nowMs = this.nowMs()
 		const refill = ((nowMs - this.refilledAtMs) / 1000) * this.perS
--- a/packages/testkit/src/unanswered-job-check.ts
+++ b/packages/testkit/src/unanswered-job-check.ts
@@ -1,52 +1,52 @@
-/** Part of the invariant checker: finds jobs whose questions stay unanswered while those about other jobs are answered. */
+/** Part of the invariant checker: finds jobs whose queries stay unanswered while queries of other jobs are answered. */
 
-/** A job's questions may go unanswered for so long while most others are answered. */
+/** How long queries of a job may stay unanswered while most others are answered. */
 const UNANSWERED_LIMIT_MS = 90_000
-/** So many questions in a row have to go unanswered: a few may have met the same controller in trouble. */
-const MIN_UNANSWERED_QUESTIONS = 10
-/** Most others are answered if more than this share of them is. */
+/** Minimum length of a streak that is reported: a few queries may have reached the same faulty controller. */
+const MIN_UNANSWERED_QUERIES = 10
+/** Fraction of the other queries above which most count as answered. */
 const MOST_SHARE = 0.5
 
-/** Questions about one job that have gone unanswered in a row. */
-interface UnansweredRow {
+/** Consecutive unanswered queries of a job. */
+interface UnansweredStreak {
 	sinceMs: number
-	questions: number
-	/** questions about any job, and how many of them were answered, before the first of the row */
-	askedBefore: number
+	queries: number
+	/** queries of all jobs, and answered ones among them, before the first of the streak */
+	queriesBefore: number
 	answeredBefore: number
 }
 
-/** Counts all questions and follows, job by job, those that have gone unanswered in a row. */
+/** Counts all queries, and tracks the streak of unanswered queries of each job. */
 export class UnansweredJobCheck {
-	private asked = 0
-	private answered = 0
-	private readonly rows = new Map<string, UnansweredRow>()
+	private queryCount = 0
+	private answeredCount = 0
+	private readonly streaks = new Map<string, UnansweredStreak>()
 
-	/** A question about a job was answered or not; returns true once its row of unanswered ones breaks the rule. */
+	/** Records the outcome of a query; returns true, once per streak, if the streak of unanswered ones breaks the rule. */
 	observe(uid: string, isAnswered: boolean, nowMs: number): boolean {
 		if (isAnswered) {
-			this.asked++
-			this.answered++
-			this.rows.delete(uid)
+			this.queryCount++
+			this.answeredCount++
+			this.streaks.delete(uid)
 			return false
 		}
-		const row = this.rows.get(uid) ?? this.newRow(nowMs)
-		this.rows.set(uid, row)
-		this.asked++
-		row.questions++
+		const row = this.streaks.get(uid) ?? this.newStreak(nowMs)
+		this.streaks.set(uid, row)
+		this.queryCount++
+		row.queries++
 		if (!this.breaksRule(row, nowMs)) return false
 		row.sinceMs = Number.POSITIVE_INFINITY
 		return true
 	}
 
-	private newRow(nowMs: number): UnansweredRow {
-		return { sinceMs: nowMs, questions: 0, askedBefore: this.asked, answeredBefore: this.answered }
+	private newStreak(nowMs: number): UnansweredStreak {
+		return { sinceMs: nowMs, queries: 0, queriesBefore: this.queryCount, answeredBefore: this.answeredCount }
 	}
 
-	private breaksRule(row: UnansweredRow, nowMs: number): boolean {
-		if (nowMs - row.sinceMs < UNANSWERED_LIMIT_MS || row.questions < MIN_UNANSWERED_QUESTIONS) return false
-		const othersAsked = this.asked - row.askedBefore - row.questions
-		const othersAnswered = this.answered - row.answeredBefore
-		return othersAnswered > othersAsked * MOST_SHARE
+	private breaksRule(row: UnansweredStreak, nowMs: number): boolean {
+		if (nowMs - row.sinceMs < UNANSWERED_LIMIT_MS || row.queries < MIN_UNANSWERED_QUERIES) return false
+		const otherQueries = this.queryCount - row.queriesBefore - row.queries
+		const othersAnswered = this.answeredCount - row.answeredBefore
+		return othersAnswered > otherQueries * MOST_SHARE
 	}
 }
--- a/packages/testkit/src/waiting-job-check.ts
+++ b/packages/testkit/src/waiting-job-check.ts
@@ -1,10 +1,10 @@
-/** Part of the invariant checker: finds jobs that wait although a machine has had free capacity for them all along. */
+/** Part of the invariant checker: finds jobs that wait although a machine has had enough free capacity all the time. */
 import type { JobSpec } from '@heathroad/wire'
 
-/** No job waits so long beside free capacity. */
+/** A job that waits this long despite sufficient free capacity is reported. */
 const WAITING_LIMIT_MS = 90_000
 
-/** A machine that can take tasks, and its whole capacity. */
+/** A machine that can accept tasks, and its total capacity. */
 export interface MachineCapacity {
 	id: string
 	type: string
@@ -13,19 +13,19 @@
 	cpus: number
 }
 
-/** A task that is on machines. */
+/** A task, and the machines it is placed on. */
 interface PlacedTask {
 	spec: JobSpec
 	machines: ReadonlySet<string>
 }
 
-/** Free capacity of the machines at the latest samples, and since when jobs have waited beside it. */
+/** Tracks the free capacity of machines at recent samples, and since when jobs have waited despite it. */
 export class WaitingJobCheck {
-	/** free CPUs by machine, one map for each sample */
+	/** free CPUs by machine, one map per sample */
 	private readonly freeSamples: Map<string, number>[] = []
 	private readonly waitingSince = new Map<string, number>()
 
-	/** Takes a sample; returns the CPUs in use by team. */
+	/** Samples the free capacity, and keeps the latest `samples` samples; returns the CPUs in use by team. */
 	sample(
 		machines: readonly MachineCapacity[],
 		samples: number,
@@ -42,12 +42,12 @@
 		return usedByTeam
 	}
 
-	/** The job does not wait, or may do so. */
+	/** Restarts the measurement for a job that does not wait, or is permitted to wait. */
 	reset(uid: string): void {
 		this.waitingSince.delete(uid)
 	}
 
-	/** A machine beside which the job has waited for too long, reported once; null: none. */
+	/** Returns a machine that fits the job if it has waited too long, once per job until reset; otherwise null. */
 	overdue(
 		spec: JobSpec,
 		machines: readonly MachineCapacity[],
@@ -75,7 +75,7 @@
 		)
 	}
 
-	/** CPUs of a machine that were free at each of the latest samples. */
+	/** Returns the number of CPUs that were free on a machine at each of the latest samples. */
 	private lastingFreeCpus(id: string, samples: number): number {
 		if (this.freeSamples.length < samples) return 0
 		return Math.min(...this.freeSamples.map((free) => free.get(id) ?? 0))
--- a/scripts/measure-streams.mjs
+++ b/scripts/measure-streams.mjs
@@ -28,14 +28,14 @@
 )
 for (const { streams, stalled } of MEASUREMENTS) {
 	const measured = await measureStreams({ streams, stalled, jobs, pollers: streams === 1 ? POLLERS : 0 })
-	const { events, streamed, polled, cpuPerEventUs, heldMs } = measured
+	const { events, streamed, polled, cpuPerEventUs, maxLoopDelayMs } = measured
 	const counts = [streams, stalled, events].map((count) => String(count).padStart(7)).join(' ')
 	const columns = [
 		counts,
 		percentiles(streamed, 50, 90, 99).padStart(23),
 		(polled.totalCount > 0 ? percentiles(polled, 50, 90) : '-').padStart(17),
 		cpuPerEventUs.toFixed(0).padStart(12),
-		heldMs.toFixed(0).padStart(7),
+		maxLoopDelayMs.toFixed(0).padStart(7),
 	]
 	process.stdout.write(`${columns.join('  ')}\n`)
 }
--- a/scripts/prove-streams.mjs
+++ b/scripts/prove-streams.mjs
@@ -23,7 +23,7 @@
 	forS: Number(values.for),
 	everyMs: Number(values.every),
 })
-const { missing, repeated, wentBack, strange, refused, broken } = result
+const { missing, repeated, reverted, unexpected, failedSubmissions, violations } = result
 const rows = {
 	seed: values.seed,
 	jobs: result.jobs,
@@ -31,19 +31,19 @@
 	events: result.events,
 	'connections cut': result.cuts,
 	'controllers crashed': result.crashes,
-	'spells of lost answers': result.lossy,
+	'spells of lost answers': result.responseLosses,
 	'finals missing': missing.length,
 	'finals repeated': repeated.length,
-	'states gone back': wentBack.length,
+	'states gone back': reverted.length,
 	'streams begun anew': result.gaps,
-	'jobs nobody submitted': strange.length,
-	'submissions without an answer': refused.length,
-	'rules broken': broken.length,
+	'jobs nobody submitted': unexpected.length,
+	'submissions without an answer': failedSubmissions.length,
+	'rules broken': violations.length,
 	seconds: result.seconds.toFixed(1),
 }
 for (const [name, value] of Object.entries(rows)) process.stdout.write(`${name.padEnd(30)} ${value}\n`)
 /** So many findings are printed at the most. */
 const MAX_PRINTED = 20
-const findings = [...missing, ...repeated, ...wentBack, ...strange, ...refused, ...broken]
+const findings = [...missing, ...repeated, ...reverted, ...unexpected, ...failedSubmissions, ...violations]
 for (const finding of findings.slice(0, MAX_PRINTED)) process.stderr.write(`${finding}\n`)
 process.exit(findings.length > 0 ? 1 : 0)
--- a/tests/absence-orders.ts
+++ b/tests/absence-orders.ts
@@ -105,8 +105,8 @@
 			holdRequests(state, (request) => this.onRequest(request)),
 			SHARD,
 		)
-		this.simulation.tell = (line) => this.log.push(line)
-		this.simulation.started = (controller, node) => {
+		this.simulation.onLogLine = (line) => this.log.push(line)
+		this.simulation.onStarted = (controller, node) => {
 			if (controller !== ASKED) {
 				this.followers.push(node)
 				return
--- a/tests/archival.test.ts
+++ b/tests/archival.test.ts
@@ -124,7 +124,7 @@
 		const jobs = jobsOfDay(150, 1)
 		const world = new Simulation({ seed, untilS: 420, capacity: 8, jobs, faults, loss: 0.01 })
 		let archived = 0
-		world.tell = (line) => {
+		world.onLogLine = (line) => {
 			if (line.includes(' jobs archived ')) archived += Number(/"jobs":(\d+)/.exec(line)?.[1])
 		}
 		await world.run()
@@ -171,7 +171,7 @@
 		})
 	for (let atS = 5; atS < 495; atS += 2) askForStatus(atS)
 	const jobKeysAfterStart: number[] = []
-	world.started = (_, node) => {
+	world.onStarted = (_, node) => {
 		world.clock.after(5000, () => jobKeysAfterStart.push([...node.cache.withPrefix('job/')].length))
 	}
 	await world.run()
@@ -188,10 +188,10 @@
 	const world = new Simulation({ seed: 74, untilS: 20, jobs: [], faults: [] })
 	world.state.put(`${KEY_PREFIX}history`, { form: 3, turn: 1 })
 	const reasons: string[] = []
-	world.started = (_, node) => {
+	world.onStarted = (_, node) => {
 		node.onUnsupportedFormat = (reason) => reasons.push(reason)
 	}
-	world.tell = () => {}
+	world.onLogLine = () => {}
 	await world.run()
 	assert.ok(reasons.length >= 3)
 	assert.match(reasons[0], /form 3, which this version does not know/)
--- a/tests/archive-model.test.ts
+++ b/tests/archive-model.test.ts
@@ -310,7 +310,7 @@
 	start: createStart(budget),
 	actions: (state: State) => possibleActions(state, fault),
 	step: (state: State, action: Action) => nextState(state, action, fault),
-	wrong: (state: State) => state.violation,
+	violatedInvariant: (state: State) => state.violation,
 	key: (state: State) => JSON.stringify(state),
 })
 
@@ -333,7 +333,7 @@
 for (const { fault, budget } of CASES) {
 	const expected = fault === 'none' ? 'none is forbidden' : `without the ${fault} a forbidden one`
 	test(`every history of ${Object.keys(budget).join(', ')}: ${expected}`, () => {
-		const { states, fault: found } = explore(createModel(fault, budget), 400_000)
+		const { states, violation: found } = explore(createModel(fault, budget), 400_000)
 		if (fault !== 'none') assert.ok(found !== null, `${states} states, and no fault`)
 		else assert.deepEqual(found, null)
 		assert.ok(fault !== 'none' || states > 1000, `${states} states`)
--- a/tests/client.test.ts
+++ b/tests/client.test.ts
@@ -232,7 +232,7 @@
 	const day = { seed: 1, untilS: 0, jobs: [], faults: [], controllers: 1, up: 4, capacity: 0 }
 	const simulation = new Simulation({ ...day, report: { reportS: 0.5, leaseS: 6, cancelS: 14 } }, clock)
 	const port = await new Promise<number>((resolve) => {
-		simulation.started = (_, service) => {
+		simulation.onStarted = (_, service) => {
 			void startHttpServer('127.0.0.1:0', limits, (call, reply) => service.handleRequest(call, reply)).then(
 				(server) => {
 					server.unref()
--- a/tests/crash-each-second.test.ts
+++ b/tests/crash-each-second.test.ts
@@ -29,7 +29,7 @@
 	for (const seed of SEEDS) {
 		const simulation = crashDay(seed)
 		const log: string[] = []
-		simulation.tell = (line) => log.push(line)
+		simulation.onLogLine = (line) => log.push(line)
 		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [], `seed ${seed}`)
 		const ended = momentsOf(log, 'job terminal')
--- a/tests/daemon.test.ts
+++ b/tests/daemon.test.ts
@@ -69,7 +69,7 @@
 		})
 		let expiredLeases = 0
 		let drained = 0
-		world.tell = (line) => {
+		world.onLogLine = (line) => {
 			if (/ agent lease expired /.test(line)) expiredLeases++
 			if (/ drain phase changed .*"over"/.test(line)) drained++
 		}
@@ -128,7 +128,7 @@
 			lossUntilS: 200,
 		})
 		const drainedAtMs: number[] = []
-		world.tell = (line) => {
+		world.onLogLine = (line) => {
 			const match = /^(\d+) \S+ drain phase changed .*"phase":"over"/.exec(line)
 			if (match !== null) drainedAtMs.push(Number(match[1]))
 		}
--- a/tests/fleet.test.ts
+++ b/tests/fleet.test.ts
@@ -10,8 +10,8 @@
 /** Collects the releases of machines for a reason, as the controllers log them. */
 const recordReleases = (simulation: Simulation, reason: string): readonly MachineRelease[] => {
 	const releases: MachineRelease[] = []
-	const forwardLine = simulation.tell
-	simulation.tell = (line) => {
+	const forwardLine = simulation.onLogLine
+	simulation.onLogLine = (line) => {
 		forwardLine(line)
 		const machines = line.includes(' machines releasing ') ? line.split(`(${reason})`).length - 1 : 0
 		if (machines > 0) releases.push({ atS: Number(line.split(' ')[0]) / 1000, machines })
@@ -84,7 +84,7 @@
 	})
 	const migratedUids = new Set<string>()
 	const terminalAtS = new Map<string, number>()
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const event = /^(\d+) \S+ (job migrating|job terminal) .*"uid":"([^"]+)"/.exec(line)
 		if (event === null) return
 		const [, atMs, name, uid] = event
@@ -119,7 +119,7 @@
 		faults: [{ atS: 50, kind: 'crash', who: [0, 1, 2, 3, 4], forS: 4 }],
 	})
 	const reconciledAtS: number[] = []
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const atS = Number(line.split(' ')[0]) / 1000
 		if (atS > 50 && line.includes('shard reconciled')) reconciledAtS.push(atS)
 	}
--- a/tests/golden-faces.test.ts
+++ b/tests/golden-faces.test.ts
@@ -153,7 +153,7 @@
 	const faces: GrpcServer[] = []
 	const nodes: Service[] = []
 	let listening: Promise<number> = Promise.resolve(0)
-	world.started = (_, node) => {
+	world.onStarted = (_, node) => {
 		nodes.push(node)
 		const face = new GrpcServer(node, { ...defaultGrpcSettings('127.0.0.1:0'), minUpdateIntervalS: 0.1 })
 		faces.push(face)
--- a/tests/golden/days.ts
+++ b/tests/golden/days.ts
@@ -177,7 +177,7 @@
 		}))
 		const hosts: PluginHost[] = []
 		const world = await playRecorded({ seed: 13, untilS: 120, jobs, faults: [] }, recorder, (world) => {
-			world.started = (index, node) => {
+			world.onStarted = (index, node) => {
 				const settings = { single: PLUGIN, grouped: PLUGIN }
 				const host = fakePlugins(world.clock, index, node, directory, settings)
 				hosts.push(host)
--- a/tests/golden/recorder.ts
+++ b/tests/golden/recorder.ts
@@ -98,8 +98,8 @@
 		this.attachState(world)
 		this.attachCloud(world)
 		this.attachWorkers(world)
-		const started = world.started
-		world.started = (index, node) => {
+		const started = world.onStarted
+		world.onStarted = (index, node) => {
 			this.attachController(node)
 			started(index, node)
 		}
--- a/tests/grpc-servers.test.ts
+++ b/tests/grpc-servers.test.ts
@@ -20,8 +20,8 @@
 	const simulation = new Simulation({ seed: 1, untilS: 0, jobs: [], faults: [], up: 1, capacity: 0 }, clock)
 	const servers = new GrpcServers(simulation, CONTROLLERS)
 	const started: Service[] = []
-	const { started: startServer } = simulation
-	simulation.started = (controller, node) => {
+	const { onStarted: startServer } = simulation
+	simulation.onStarted = (controller, node) => {
 		started.push(node)
 		startServer(controller, node)
 	}
--- a/tests/grpc.test.ts
+++ b/tests/grpc.test.ts
@@ -31,7 +31,7 @@
 	const simulation = new Simulation({ ...day, report: { reportS: 0.5, leaseS: 6, cancelS: 14 } }, clock)
 	let server: GrpcServer | null = null
 	let started: Promise<number> = Promise.resolve(0)
-	simulation.started = (_, node) => {
+	simulation.onStarted = (_, node) => {
 		server = new GrpcServer(node, {
 			...defaultGrpcSettings('127.0.0.1:0'),
 			minUpdateIntervalS: 0.1,
--- a/tests/job-locator-model.test.ts
+++ b/tests/job-locator-model.test.ts
@@ -780,7 +780,7 @@
 	start: createStart(start, budget),
 	actions: (state: State) => possibleActions(state, rules),
 	step: (state: State, action: Action) => withOpenJobsChecked(afterAction(state, action, rules), rules),
-	wrong: (state: State) => state.violation,
+	violatedInvariant: (state: State) => state.violation,
 	key: stateKey,
 })
 
@@ -928,7 +928,7 @@
 for (const { name, start, budget } of SCENARIOS)
 	test(`every history in which ${name}: none is forbidden`, () => {
 		const rules = { fault: null, forbidden: ALL_VIOLATIONS }
-		const { states, fault } = explore(createModel(start, budget, rules), MAX_STATES)
+		const { states, violation: fault } = explore(createModel(start, budget, rules), MAX_STATES)
 		assert.deepEqual(fault, null)
 		assert.ok(states > MIN_STATES, `${states} states`)
 	})
@@ -937,5 +937,5 @@
 	test(`without the ${fault}, ${found}: ${scenario.name}`, () => {
 		const model = createModel(scenario.start, scenario.budget, { fault, forbidden: [found] })
 		const exploration = explore(model, MAX_STATES)
-		assert.equal(exploration.fault?.what, found, `${exploration.states} states`)
+		assert.equal(exploration.violation?.what, found, `${exploration.states} states`)
 	})
--- a/tests/missed-changes.test.ts
+++ b/tests/missed-changes.test.ts
@@ -13,7 +13,7 @@
 import { ServiceRecords } from '@heathroad/grpc'
 import { type ArchiveLookup, ordinalOf } from '@heathroad/history'
 import { JobLocator, type Service } from '@heathroad/server'
-import { arrayJob, Simulation, StreamReader, streamsOf } from '@heathroad/testkit'
+import { arrayJob, attachStreams, Simulation, StreamReader } from '@heathroad/testkit'
 import { Effect } from 'effect'
 
 const CONTROLLERS = 3
@@ -46,13 +46,13 @@
 		history: SMALL_ARCHIVE,
 		watchLog: WATCH_LOG,
 	})
-	const streams = streamsOf(simulation)
+	const streams = attachStreams(simulation)
 	const startReader = (name: string, selection: Selection) => {
 		const reader = { name, terminalStates: new Map<string, string>(), refusals: [] as string[] }
 		new StreamReader(simulation, streams, CONTROLLERS, selection, {
-			begun: () => {},
-			refused: (_controller, why) => reader.refusals.push(why),
-			heard: (_controller, event: JobEvent) => {
+			opened: () => {},
+			rejected: (_controller, why) => reader.refusals.push(why),
+			received: (_controller, event: JobEvent) => {
 				if (event.state === 'done' || event.state === 'cancelled')
 					reader.terminalStates.set(event.uid, event.state)
 			},
--- a/tests/moves-model.test.ts
+++ b/tests/moves-model.test.ts
@@ -225,7 +225,7 @@
 	start: createStart(),
 	actions: (state: State) => possibleActions(state, fault),
 	step: (state: State, action: Action) => nextState(state, action, fault),
-	wrong: violation,
+	violatedInvariant: violation,
 	key: (state: State) => JSON.stringify(state),
 })
 
@@ -238,7 +238,7 @@
 ] as const) {
 	const expected = fault === 'none' ? 'none is forbidden' : `without the ${fault} one is`
 	test(`a job moves to another shard, every history: ${expected}`, () => {
-		const { states, fault: found } = explore(createModel(fault), 400_000)
+		const { states, violation: found } = explore(createModel(fault), 400_000)
 		if (fault === 'none') assert.deepEqual(found, null)
 		else assert.ok(found !== null, `${states} states, and no fault`)
 		assert.ok(fault !== 'none' || states > 1000, `${states} states`)
--- a/tests/omitted-states.test.ts
+++ b/tests/omitted-states.test.ts
@@ -18,7 +18,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import type { JobEvent, Selection } from '@heathroad/events'
-import { arrayJob, Simulation, StreamReader, streamsOf } from '@heathroad/testkit'
+import { arrayJob, attachStreams, Simulation, StreamReader } from '@heathroad/testkit'
 
 const CONTROLLERS = 3
 /** Terminal states leave memory from this number on. */
@@ -49,14 +49,14 @@
 			jobs,
 			faults: [{ atS: 0.6, kind: 'crash', who: [2], forS: UNTIL_S }, ...crashes],
 		})
-		const streams = streamsOf(simulation)
+		const streams = attachStreams(simulation)
 		const refused: string[] = []
 		const startReader = (name: string, selection: Selection) => {
 			const reader = { name, selection, terminalStates: new Map<string, string>() }
 			new StreamReader(simulation, streams, CONTROLLERS, selection, {
-				begun: () => {},
-				refused: (_controller, why) => refused.push(`${name}: ${why}`),
-				heard: (_controller, event: JobEvent) => {
+				opened: () => {},
+				rejected: (_controller, why) => refused.push(`${name}: ${why}`),
+				received: (_controller, event: JobEvent) => {
 					if (event.state === 'done' || event.state === 'cancelled')
 						reader.terminalStates.set(event.uid, event.state)
 				},
@@ -88,7 +88,7 @@
 		faults: [{ atS: 200, kind: 'crash', who: [0], forS: 3 }],
 		history: SMALL_ARCHIVE,
 	})
-	const streams = streamsOf(simulation)
+	const streams = attachStreams(simulation)
 	const selection = { team: 'core' }
 	const outcomes: string[] = []
 	const subscribe = (controller: number, cursor: string, done: (cursor: string, outcome: string) => void) => {
--- a/tests/plugin-days.test.ts
+++ b/tests/plugin-days.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test'
 import {
 	arrayJob,
-	CHECKED,
+	CHECKED_CLASS,
 	type FakeCall,
 	type FakeVersion,
 	type Fault,
@@ -25,7 +25,7 @@
 ): FakeVersion => ({
 	version: name,
 	behave,
-	classes: [CHECKED],
+	classes: [CHECKED_CLASS],
 	...more,
 })
 
@@ -34,7 +34,7 @@
 	Array.from({ length: n }, (_, i) => ({
 		atS: 1 + i * 1.5,
 		spec: arrayJob(`job-00${String(i).padStart(4, '0')}`, {
-			jobClass: i % 2 === 0 ? CHECKED : 'any',
+			jobClass: i % 2 === 0 ? CHECKED_CLASS : 'any',
 			tasks: 6,
 			expectedS: 6,
 		}),
@@ -109,7 +109,10 @@
 	},
 	{
 		name: 'it lies nowhere, and its section names the class',
-		day: { plugins: { one: { ...PLUGIN, maxHoldS: 20, classes: [CHECKED] } }, directory: { one: null } },
+		day: {
+			plugins: { one: { ...PLUGIN, maxHoldS: 20, classes: [CHECKED_CLASS] } },
+			directory: { one: null },
+		},
 		starts: 'limit',
 	},
 ]
--- a/tests/proof-of-absence.test.ts
+++ b/tests/proof-of-absence.test.ts
@@ -444,7 +444,7 @@
 	const unmoved = new Set(uids)
 	state.changed = (key) => void unmoved.delete(key.slice(`${KEY_PREFIX}job/`.length))
 	const log: string[] = []
-	simulation.tell = (line) => void log.push(line)
+	simulation.onLogLine = (line) => void log.push(line)
 	const wrong: string[] = []
 	let answers = 0
 	const ask = () => {
--- a/tests/release-model.test.ts
+++ b/tests/release-model.test.ts
@@ -181,14 +181,14 @@
 	start: createStart(),
 	actions: possibleActions,
 	step: (state: State, action: Action) => nextState(state, action, fault),
-	wrong: violation,
+	violatedInvariant: violation,
 	key: (state: State) => JSON.stringify(state),
 })
 
 for (const fault of ['none', 'ownership', "page's modRevision"] as const) {
 	const expected = fault === 'none' ? 'none is forbidden' : `without the ${fault} one is`
 	test(`releases over a takeover, every history: ${expected}`, () => {
-		const { states, fault: found } = explore(createModel(fault), 400_000)
+		const { states, violation: found } = explore(createModel(fault), 400_000)
 		if (fault === 'none') {
 			assert.deepEqual(found, null)
 			assert.ok(states > 1000, `${states} states`)
--- a/tests/simulated-watch.ts
+++ b/tests/simulated-watch.ts
@@ -4,7 +4,7 @@
  */
 import timers from 'node:timers/promises'
 import type { JobEvent as ServerEvent, Subscription } from '@heathroad/events'
-import { type ControllerStreams, type Simulation, streamsOf } from '@heathroad/testkit'
+import { attachStreams, type ControllerStreams, type Simulation } from '@heathroad/testkit'
 import { JobWatcher } from '../packages/client/src/job-watcher.js'
 import type { RetryingCaller } from '../packages/client/src/retrying-caller.js'
 import type {
@@ -181,13 +181,13 @@
 
 /** The links to all controllers of a simulation; a crash breaks the connections of its controller. */
 export const linksTo = (simulation: Simulation, controllers: number): readonly ReaderLink[] => {
-	const streams = streamsOf(simulation)
+	const streams = attachStreams(simulation)
 	const links = Array.from(
 		{ length: controllers },
 		(_, controller) => new ReaderLink(simulation, streams, controller),
 	)
-	const onEnded = simulation.ended
-	simulation.ended = (controller) => {
+	const onEnded = simulation.onEnded
+	simulation.onEnded = (controller) => {
 		onEnded(controller)
 		links[controller].cutAll()
 	}
@@ -206,9 +206,9 @@
  * the first controller starts.
  */
 export const playWithClients = async (simulation: Simulation, schedule: () => void): Promise<void> => {
-	const onStarted = simulation.started
-	simulation.started = (controller, node) => {
-		simulation.started = onStarted
+	const onStarted = simulation.onStarted
+	simulation.onStarted = (controller, node) => {
+		simulation.onStarted = onStarted
 		schedule()
 		onStarted(controller, node)
 	}
--- a/tests/simulation-scenarios.test.ts
+++ b/tests/simulation-scenarios.test.ts
@@ -15,7 +15,7 @@
 		],
 	})
 	const seen = new Map<string, number>()
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const at = /(agent lease expired|machines releasing) (.*)/.exec(line)
 		if (at !== null) seen.set(at[0], (seen.get(at[0]) ?? 0) + 1)
 	}
@@ -47,7 +47,7 @@
 	})
 	const machinesOfShard = new Map<string, number>()
 	const rebuilds: { machines: number; afterMs: number }[] = []
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const begun = /shard reconciling {"part":(\d+),.*"machines":(\d+)/.exec(line)
 		if (begun !== null) machinesOfShard.set(begun[1], Number(begun[2]))
 		const ended = /^(\d+) .* shard reconciled {"part":(\d+),"afterMs":(\d+)/.exec(line)
@@ -84,7 +84,7 @@
 	})
 	const drained = new Set<string>()
 	const failed = new Map<string, number>()
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const machine = /faulty machine draining .*"machine":"([^"]+)"/.exec(line)?.[1]
 		if (machine !== undefined) drained.add(machine)
 		const uid = /task failed .*"task":"([^/]+)/.exec(line)?.[1]
@@ -120,7 +120,7 @@
 		faults: [25, 26, 27].map((atS) => ({ atS, kind: 'machineDies' })),
 	})
 	const returned: number[] = []
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const at = /^(\d+) .* releasing .*silent/.exec(line)
 		if (at !== null) returned.push(Number(at[1]) / 1000)
 	}
@@ -140,7 +140,7 @@
 		faults: [{ atS: 40, kind: 'cut', who: [0], from: 'workers', forS: 20 }],
 	})
 	const seen = new Map<string, number>()
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const event = /agent lease expired|machines reach|workers reachable again|handed back to ctl-0/.exec(
 			line,
 		)?.[0]
@@ -175,7 +175,7 @@
 		],
 	})
 	const count = new Map<string, number>()
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const event = /^\d+ \S+ (machine booted|machines releasing|job accepted|scale-out requested)/.exec(
 			line,
 		)?.[1]
@@ -218,7 +218,7 @@
 			faults: [],
 		})
 		let doneAt = 0
-		simulation.tell = (line) => {
+		simulation.onLogLine = (line) => {
 			const at = /^(\d+) .* job terminal .*job-000701/.exec(line)
 			if (at !== null) doneAt = Number(at[1]) / 1000
 		}
@@ -245,7 +245,7 @@
 	})
 	const doneAt: number[] = []
 	let stopped = 0
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const at = /^(\d+) .* job terminal .*job-00072[12]/.exec(line)
 		if (at !== null) doneAt.push(Number(at[1]) / 1000)
 		if (line.includes('tasks preempted')) stopped++
--- a/tests/stream-check-days.ts
+++ b/tests/stream-check-days.ts
@@ -226,7 +226,7 @@
 	const { crashes, linkFaults } = faultsOf(seed)
 	const simulation = simulationOf(seed, uids, crashes)
 	const log: string[] = []
-	simulation.tell = (line) => log.push(line)
+	simulation.onLogLine = (line) => log.push(line)
 	const links = linksTo(simulation, CONTROLLERS)
 	const dayReaders = new DayReaders(simulation, links, uids)
 	await playWithClients(simulation, () => {
--- a/tests/stream-days.test.ts
+++ b/tests/stream-days.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import type { JobEvent, Selection } from '@heathroad/events'
-import { arrayJob, type Fault, Simulation, StreamReader, streamsOf } from '@heathroad/testkit'
+import { arrayJob, attachStreams, type Fault, Simulation, StreamReader } from '@heathroad/testkit'
 
 const CONTROLLERS = 3
 const READERS = 50
@@ -35,7 +35,7 @@
 			...(i % 8 === 7 ? { cancelAtS: 12 + i * 4 } : {}),
 		}))
 		const simulation = new Simulation({ seed, untilS: 300, jobs, faults, loss: 0.01 })
-		const streams = streamsOf(simulation)
+		const streams = attachStreams(simulation)
 		const wrong: string[] = []
 		const uids = jobs.map((j) => j.spec.uid)
 		let reconnects = 0
@@ -58,9 +58,9 @@
 				}
 			}
 			new StreamReader(simulation, streams, CONTROLLERS, selection, {
-				begun: () => reconnects++,
-				refused: (_controller, why) => wrong.push(`${reader}: ${why}`),
-				heard: (_controller, event) => observe(event),
+				opened: () => reconnects++,
+				rejected: (_controller, why) => wrong.push(`${reader}: ${why}`),
+				received: (_controller, event) => observe(event),
 			})
 			return { reader, terminalStates, selection }
 		})
--- a/tests/streams.test.ts
+++ b/tests/streams.test.ts
@@ -4,16 +4,16 @@
 
 test('over real sockets, with streams cut, controllers crashed and answers lost, each job has one terminal event', async () => {
 	const report = await checkStreams({ seed: 3, jobs: 30, forS: 60, everyMs: 250 })
-	const { missing, repeated, wentBack, strange, refused, broken, gaps } = report
+	const { missing, repeated, reverted, unexpected, failedSubmissions, violations, gaps } = report
 	assert.deepEqual(
-		{ missing, repeated, wentBack, strange, refused, broken, gaps },
+		{ missing, repeated, reverted, unexpected, failedSubmissions, violations, gaps },
 		{
 			missing: [],
 			repeated: [],
-			wentBack: [],
-			strange: [],
-			refused: [],
-			broken: [],
+			reverted: [],
+			unexpected: [],
+			failedSubmissions: [],
+			violations: [],
 			gaps: 0,
 		},
 	)
--- a/tests/terminal-events.test.ts
+++ b/tests/terminal-events.test.ts
@@ -8,7 +8,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import type { JobEvent, Selection } from '@heathroad/events'
-import { arrayJob, type Fault, Simulation, StreamReader, streamsOf } from '@heathroad/testkit'
+import { arrayJob, attachStreams, type Fault, Simulation, StreamReader } from '@heathroad/testkit'
 
 const CONTROLLERS = 3
 const SEEDS = Array.from({ length: 8 }, (_, index) => 401 + index)
@@ -83,16 +83,16 @@
 		const faults = crashesOf(seed)
 		crashes += faults.length
 		const simulation = new Simulation({ seed, untilS: UNTIL_S, jobs, faults, history: SMALL_ARCHIVE })
-		const streams = streamsOf(simulation)
+		const streams = attachStreams(simulation)
 		const readers: Reader[] = []
 		const start = (reader: Reader) => {
 			readers.push(reader)
 			new StreamReader(simulation, streams, CONTROLLERS, reader.selection, {
-				begun: () => {},
-				refused: () => {
+				opened: () => {},
+				rejected: () => {
 					reader.hasGap = true
 				},
-				heard: (_controller, event) => reader.observe(event),
+				received: (_controller, event) => reader.observe(event),
 				completed: () => reader.onComplete(),
 			})
 		}
