--- a/packages/testkit/src/invalid-submission.ts
+++ b/packages/testkit/src/invalid-submission.ts
@@ -16,7 +16,7 @@
 	return typeof value === 'boolean' ? 'yes' : 5
 }
 
-/** Returns a submission with one defect and the status it must be rejected with. `variant` selects the field and defect. */
+/** Returns a submission with one defect, and the status of its rejection. `variant` selects the field and defect. */
 export const invalidSubmission = (
 	spec: JobSpec,
 	variant: number,
--- a/packages/testkit/src/random-day-runner.ts
+++ b/packages/testkit/src/random-day-runner.ts
@@ -9,8 +9,8 @@
 import type { TracedMessage } from './trace.js'
 
 /**
- * Kinds of days: random faults (`any`), random faults with plug-ins, double outages (`gap`), compound faults (`meetings`),
- * and a late change of the record format (`migration`).
+ * Kinds of days: random faults (`any`), random faults with plug-ins, double outages (`gap`), compound faults
+ * (`meetings`), and a late change of the record format (`migration`).
  */
 export type RandomDayKind = 'any' | 'plugins' | 'gap' | 'meetings' | 'migration'
 
--- a/packages/testkit/src/stream-checks.ts
+++ b/packages/testkit/src/stream-checks.ts
@@ -58,7 +58,7 @@
 const LOSS_MS = 250
 /** Shortest time until a crashed controller boots again, in seconds. */
 const MIN_RESTART_S = 0.4
-/** A draw from 0 to 1 below `cut` breaks connections, one below `loss` loses responses, and a higher one causes a crash. */
+/** A draw from 0 to 1 below `cut` breaks connections, below `loss` loses responses, otherwise crashes a controller. */
 const FAULT_THRESHOLDS = { cut: 0.5, loss: 0.75 }
 /** Draws of the first faults, so that each kind of fault occurs at least once. */
 const FIRST_FAULTS: readonly number[] = [0, 0.6, 0.9]
--- a/packages/testkit/src/user-workload.ts
+++ b/packages/testkit/src/user-workload.ts
@@ -99,7 +99,7 @@
 		if (cancelAtS !== undefined) clock.after(cancelAtS * 1000, () => this.cancel(spec.uid))
 	}
 
-	/** Cancels, nearly at once, the `count` running jobs with the longest expected run time; their machines hang for `hangMs`. */
+	/** Cancels the `count` running jobs with the longest expected run time; their machines hang for `hangMs`. */
 	cancelNow(count: number, hangMs: number): void {
 		const { clock, invariants } = this.dependencies
 		const jobs = invariants
