--- a/packages/testkit/src/stream-checks.ts
+++ b/packages/testkit/src/stream-checks.ts
@@ -138,12 +138,17 @@
 		this.addresses = await Promise.all(this.proxies.map(async (proxy) => `127.0.0.1:${await proxy.listen()}`))
 		const startMs = Date.now()
 		const timer = setTimeout(() => this.deadline.abort(), this.options.forS * 1000)
-		await this.submitAndRead()
-		clearTimeout(timer)
-		this.faultsEnded = true
-		this.collect(startMs)
-		await this.close()
-		return this.result
+		try {
+			await this.submitAndRead()
+			this.collect(startMs)
+			return this.result
+		} finally {
+			// Also after an error: anything that is still running would keep the process from exiting.
+			clearTimeout(timer)
+			this.deadline.abort()
+			this.faultsEnded = true
+			await this.close()
+		}
 	}
 
 	/** Reads by job ids before and after the jobs are submitted, and by team; submits the jobs and injects faults. */
@@ -239,12 +244,12 @@
 		this.simulation.crash(running, MIN_RESTART_S + this.clock.random())
 	}
 
-	private collect(begunMs: number): void {
+	private collect(startMs: number): void {
 		const { result } = this
 		for (const uid of this.simulation.knownJobIds())
 			if (!this.uids.includes(uid) && uid !== this.sentinel) result.unexpected.push(uid)
 		result.cuts = this.proxies.reduce((cuts, proxy) => cuts + proxy.cuts, 0)
-		result.seconds = (Date.now() - begunMs) / 1000
+		result.seconds = (Date.now() - startMs) / 1000
 	}
 
 	private async close(): Promise<void> {
