--- a/packages/testkit/src/history-growth.ts
+++ b/packages/testkit/src/history-growth.ts
@@ -102,11 +102,11 @@
 				watchedKeys: simulation.state.countKeys('heathroad/'),
 				archiveKeys: simulation.state.countKeys('heathroad-past/'),
 				changes: { ...changes },
-				heldTerminalStates: simulation.held(),
+				heldTerminalStates: simulation.maxTerminalCount(),
 			})
 		})
 	}
-	await simulation.play()
+	await simulation.run()
 	const { invariants } = simulation
 	return { samples, violations: invariants.violations, unfinished: invariants.unfinishedJobs().length }
 }
--- a/tests/archive-model.test.ts
+++ b/tests/archive-model.test.ts
@@ -312,7 +312,7 @@
 	start: createStart(budget),
 	actions: (state: State) => possibleActions(state, fault),
 	step: (state: State, action: Action) => nextState(state, action, fault),
-	wrong: (state: State) => state.violation,
+	violatedInvariant: (state: State) => state.violation,
 	key: (state: State) => JSON.stringify(state),
 })
 
@@ -335,7 +335,7 @@
 for (const { fault, budget } of CASES) {
 	const expected = fault === 'none' ? 'none violates a rule' : `without the ${fault} one does`
 	test(`every interleaving of ${Object.keys(budget).join(', ')}: ${expected}`, () => {
-		const { states, fault: found } = explore(createModel(fault, budget), 400_000)
+		const { states, violation: found } = explore(createModel(fault, budget), 400_000)
 		if (fault !== 'none') assert.ok(found !== null, `${states} states without a violation`)
 		else assert.deepEqual(found, null)
 		assert.ok(fault !== 'none' || states > 1000, `${states} states`)
--- a/tests/crash-each-second.test.ts
+++ b/tests/crash-each-second.test.ts
@@ -29,8 +29,8 @@
 	for (const seed of SEEDS) {
 		const simulation = crashDay(seed)
 		const log: string[] = []
-		simulation.tell = (line) => log.push(line)
-		await simulation.play()
+		simulation.onLogLine = (line) => log.push(line)
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [], `seed ${seed}`)
 		const finished = firstLoggedMs(log, 'job terminal')
 		const accepted = firstLoggedMs(log, 'job accepted')
--- a/tests/double-outage.test.ts
+++ b/tests/double-outage.test.ts
@@ -80,7 +80,7 @@
 for (const { name, outage, seed } of cases)
 	test(`double outage: ${name}`, async () => {
 		const simulation = new Simulation(doubleOutageDay(seed, outage))
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job reaches a terminal state')
 		assert.ok(
@@ -114,7 +114,7 @@
 				confirmationDelaysMs.push(simulation.clock.nowMs - durable.get(uid)!)
 			observeStatus.call(simulation.invariants, uid, status, state, known)
 		}
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.ok(confirmationDelaysMs.length > 20)
 		const earliestMs = Math.min(...confirmationDelaysMs)
--- a/tests/golden/days.ts
+++ b/tests/golden/days.ts
@@ -85,7 +85,7 @@
 	const simulation = new Simulation(day)
 	prepare(simulation)
 	recorder.attach(simulation)
-	await simulation.play()
+	await simulation.run()
 	return simulation
 }
 
@@ -180,7 +180,7 @@
 			{ seed: 13, untilS: 120, jobs, faults: [] },
 			recorder,
 			(simulation) => {
-				simulation.started = (index, node) => {
+				simulation.onStarted = (index, node) => {
 					const settings = { single: FAKE_PLUGIN_SETTINGS, grouped: FAKE_PLUGIN_SETTINGS }
 					const host = startFakePlugins(simulation.clock, index, node, directory, settings)
 					hosts.push(host)
--- a/tests/golden/recorder.ts
+++ b/tests/golden/recorder.ts
@@ -98,8 +98,8 @@
 		this.attachState(simulation)
 		this.attachCloud(simulation)
 		this.attachWorkers(simulation)
-		const started = simulation.started
-		simulation.started = (index, node) => {
+		const started = simulation.onStarted
+		simulation.onStarted = (index, node) => {
 			this.attachController(node)
 			started(index, node)
 		}
--- a/tests/missed-changes.test.ts
+++ b/tests/missed-changes.test.ts
@@ -12,7 +12,7 @@
 import { ServiceRecords } from '@heathroad/grpc'
 import { type ArchiveLookup, ordinalOf } from '@heathroad/history'
 import { JobLocator, type Service } from '@heathroad/server'
-import { arrayJob, Simulation, StreamReader, streamsOf } from '@heathroad/testkit'
+import { arrayJob, attachStreams, Simulation, StreamReader } from '@heathroad/testkit'
 import { Effect } from 'effect'
 
 const CONTROLLERS = 3
@@ -53,13 +53,13 @@
 		history: SMALL_ARCHIVE,
 		watchLog: WATCH_LOG,
 	})
-	const streams = streamsOf(simulation)
+	const streams = attachStreams(simulation)
 	const startReader = (name: string, selection: Selection) => {
 		const reader = { name, terminalStates: new Map<string, string>(), refusals: [] as string[] }
 		new StreamReader(simulation, streams, CONTROLLERS, selection, {
-			begun: () => {},
-			refused: (_controller, why) => reader.refusals.push(why),
-			heard: (_controller, event: JobEvent) => {
+			opened: () => {},
+			rejected: (_controller, why) => reader.refusals.push(why),
+			received: (_controller, event: JobEvent) => {
 				if (event.state === 'done' || event.state === 'cancelled')
 					reader.terminalStates.set(event.uid, event.state)
 			},
@@ -76,7 +76,7 @@
 					statuses.set(uid, (response?.body as { status?: string } | undefined)?.status ?? response?.status)
 				})
 	})
-	await simulation.play()
+	await simulation.run()
 	return { simulation, readers, statuses }
 }
 
--- a/tests/moves-model.test.ts
+++ b/tests/moves-model.test.ts
@@ -226,7 +226,7 @@
 	start: createStart(),
 	actions: (state: State) => possibleActions(state, fault),
 	step: (state: State, action: Action) => nextState(state, action, fault),
-	wrong: violation,
+	violatedInvariant: violation,
 	key: (state: State) => JSON.stringify(state),
 })
 
@@ -239,7 +239,7 @@
 ] as const) {
 	const expected = fault === 'none' ? 'none violates a rule' : `without the ${fault} one does`
 	test(`a job moves to another shard, every interleaving: ${expected}`, () => {
-		const { states, fault: found } = explore(createModel(fault), 400_000)
+		const { states, violation: found } = explore(createModel(fault), 400_000)
 		if (fault === 'none') assert.deepEqual(found, null)
 		else assert.ok(found !== null, `${states} states without a violation`)
 		assert.ok(fault !== 'none' || states > 1000, `${states} states`)
--- a/tests/omitted-states.test.ts
+++ b/tests/omitted-states.test.ts
@@ -18,7 +18,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import type { JobEvent, Selection } from '@heathroad/events'
-import { arrayJob, Simulation, StreamReader, streamsOf } from '@heathroad/testkit'
+import { arrayJob, attachStreams, Simulation, StreamReader } from '@heathroad/testkit'
 
 const CONTROLLERS = 3
 /** Limits so small that terminal states are archived, and leave memory, after a few jobs. */
@@ -49,14 +49,14 @@
 			jobs,
 			faults: [{ atS: 0.6, kind: 'crash', who: [2], forS: UNTIL_S }, ...crashes],
 		})
-		const streams = streamsOf(simulation)
+		const streams = attachStreams(simulation)
 		const refused: string[] = []
 		const startReader = (name: string, selection: Selection) => {
 			const reader = { name, selection, terminalStates: new Map<string, string>() }
 			new StreamReader(simulation, streams, CONTROLLERS, selection, {
-				begun: () => {},
-				refused: (_controller, why) => refused.push(`${name}: ${why}`),
-				heard: (_controller, event: JobEvent) => {
+				opened: () => {},
+				rejected: (_controller, why) => refused.push(`${name}: ${why}`),
+				received: (_controller, event: JobEvent) => {
 					if (event.state === 'done' || event.state === 'cancelled')
 						reader.terminalStates.set(event.uid, event.state)
 				},
@@ -67,7 +67,7 @@
 		for (const atS of [0, 40, 80, 120, 170])
 			simulation.clock.after(atS * 1000, () => readers.push(startReader(`by ids, ${atS} s`, { uids })))
 		for (let index = 0; index < 6; index++) readers.push(startReader(`by team ${index}`, { team: 'core' }))
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.deepEqual(simulation.invariants.unfinishedJobs(), [])
 		assert.deepEqual(refused, [], `seed ${seed}`)
@@ -88,7 +88,7 @@
 		faults: [{ atS: 200, kind: 'crash', who: [0], forS: 3 }],
 		history: SMALL_ARCHIVE,
 	})
-	const streams = streamsOf(simulation)
+	const streams = attachStreams(simulation)
 	const selection = { team: 'core' }
 	const outcomes: string[] = []
 	const subscribe = (controller: number, cursor: string, done: (cursor: string, outcome: string) => void) => {
@@ -120,7 +120,7 @@
 			})
 		}),
 	)
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinishedJobs(), [])
 	assert.ok(simulation.state.countKeys('heathroad-past/') > 0, 'states were archived')
--- a/tests/outages.test.ts
+++ b/tests/outages.test.ts
@@ -10,8 +10,8 @@
 /** Collects the machine releases that the controllers log with this reason. */
 const recordReleases = (simulation: Simulation, reason: string): readonly MachineRelease[] => {
 	const releases: MachineRelease[] = []
-	const forwardLine = simulation.tell
-	simulation.tell = (line) => {
+	const forwardLine = simulation.onLogLine
+	simulation.onLogLine = (line) => {
 		forwardLine(line)
 		const machines = line.includes(' machines releasing ') ? line.split(`(${reason})`).length - 1 : 0
 		if (machines > 0) releases.push({ atS: Number(line.split(' ')[0]) / 1000, machines })
@@ -59,7 +59,7 @@
 		simulation.clock.after(45_500, () => {
 			partitionedMachines = Math.floor(simulation.workers.size / 2)
 		})
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job finishes')
 		// A shard releases its silent machines if they are fewer than two fifths of all: such releases are allowed.
@@ -88,14 +88,14 @@
 	})
 	const migratedUids = new Set<string>()
 	const terminalAtS = new Map<string, number>()
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const event = /^(\d+) \S+ (job migrating|job terminal) .*"uid":"([^"]+)"/.exec(line)
 		if (event === null) return
 		const [, atMs, name, uid] = event
 		if (name === 'job migrating') migratedUids.add(uid)
 		else if (!terminalAtS.has(uid)) terminalAtS.set(uid, Number(atMs) / 1000)
 	}
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job finishes')
 	const finishedDuringPartition = [...migratedUids].filter(
@@ -123,7 +123,7 @@
 		faults: [{ atS: 50, kind: 'crash', who: [0, 1, 2, 3, 4], forS: 4 }],
 	})
 	const reconciledAtS: number[] = []
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const atS = Number(line.split(' ')[0]) / 1000
 		if (atS > 50 && line.includes('shard reconciled')) reconciledAtS.push(atS)
 	}
@@ -146,7 +146,7 @@
 		after.requests = simulation.state.requests
 		after.started = simulation.invariants.taskPlacements
 	})
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.ok(machines >= 450, `${machines} machines`)
 	assert.equal(reconciledAtS.length, 5, 'every shard is owned and reconciled once')
--- a/tests/plugin-days.test.ts
+++ b/tests/plugin-days.test.ts
@@ -2,13 +2,13 @@
 import { test } from 'node:test'
 import {
 	arrayJob,
-	CHECKED,
+	CHECKED_CLASS,
 	FAKE_PLUGIN_SETTINGS,
 	type FakePluginCall,
 	type FakePluginVersion,
 	type Fault,
 	type PluginDay,
-	playPluginDay,
+	runPluginDay,
 } from '@heathroad/testkit'
 
 const release = { release: true }
@@ -25,7 +25,7 @@
 ): FakePluginVersion => ({
 	version: name,
 	behave,
-	classes: [CHECKED],
+	classes: [CHECKED_CLASS],
 	...overrides,
 })
 
@@ -34,7 +34,7 @@
 	Array.from({ length: count }, (_, i) => ({
 		atS: 1 + i * 1.5,
 		spec: arrayJob(`job-00${String(i).padStart(4, '0')}`, {
-			jobClass: i % 2 === 0 ? CHECKED : 'any',
+			jobClass: i % 2 === 0 ? CHECKED_CLASS : 'any',
 			tasks: 6,
 			expectedS: 6,
 		}),
@@ -110,7 +110,7 @@
 	{
 		name: 'a check that is not installed, with settings that name its class',
 		day: {
-			plugins: { one: { ...FAKE_PLUGIN_SETTINGS, maxHoldS: 20, classes: [CHECKED] } },
+			plugins: { one: { ...FAKE_PLUGIN_SETTINGS, maxHoldS: 20, classes: [CHECKED_CLASS] } },
 			directory: { one: null },
 		},
 		starts: 'limit',
@@ -119,7 +119,7 @@
 
 for (const row of days)
 	test(`checked jobs: ${row.name}`, async () => {
-		const { simulation, violations, starts, lateChecks } = await playPluginDay(createDay(row.day))
+		const { simulation, violations, starts, lateChecks } = await runPluginDay(createDay(row.day))
 		assert.deepEqual(violations, [])
 		assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job finishes')
 		assert.equal(lateChecks, 0, 'no check is queried about a job that has started')
@@ -144,7 +144,7 @@
 		{ atS: 40, kind: 'drain', who: [1], forS: 4 },
 		{ atS: 110, kind: 'drain', who: [2], forS: 4 },
 	]
-	const { simulation, violations, starts, hosts } = await playPluginDay(
+	const { simulation, violations, starts, hosts } = await runPluginDay(
 		createDay({ upgrades, faults: [...mixedFaults, ...drains], drift: true }),
 	)
 	assert.deepEqual(violations, [])
@@ -163,14 +163,14 @@
 			uncheckedStarts.length
 		)
 	}
-	const withoutPlugins = await playPluginDay(createDay({ plugins: {}, directory: {} }))
+	const withoutPlugins = await runPluginDay(createDay({ plugins: {}, directory: {} }))
 	for (const behave of [
 		() => {},
 		(call: FakePluginCall) => call.crash('no'),
 		(call: FakePluginCall) => call.answer(hold(1)),
 	]) {
 		const ratio =
-			meanStartDelayMs(await playPluginDay(createDay({ directory: { one: version('1', behave) } }))) /
+			meanStartDelayMs(await runPluginDay(createDay({ directory: { one: version('1', behave) } }))) /
 			meanStartDelayMs(withoutPlugins)
 		assert.ok(ratio < 1.2, `${ratio.toFixed(2)} times the start delay without plug-ins`)
 	}
@@ -185,12 +185,12 @@
 				)
 	const refused = jobs(40).filter((j) => Number(j.spec.uid.slice(-4)) % 4 === 0).length
 	const hooks = ['admit', 'release'] as const
-	const refusing = await playPluginDay(
+	const refusing = await runPluginDay(
 		createDay({ directory: { one: version('1', admit, { hooks }) }, faults: mixedFaults }),
 	)
 	assert.deepEqual(refusing.violations, [])
 	assert.equal(refusing.simulation.workload.submissions.get(422), refused)
-	const hanging = await playPluginDay(createDay({ directory: { one: version('1', () => {}, { hooks }) } }))
+	const hanging = await runPluginDay(createDay({ directory: { one: version('1', () => {}, { hooks }) } }))
 	assert.deepEqual(hanging.violations, [])
 	assert.equal(hanging.simulation.workload.submissions.get(422), undefined)
 	assert.deepEqual(hanging.simulation.invariants.unfinishedJobs(), [])
--- a/tests/proof-of-absence.test.ts
+++ b/tests/proof-of-absence.test.ts
@@ -37,7 +37,7 @@
  */
 test('a job is queried while its state moves, on a simulated day of crashes and a migration', async () => {
 	const simulation = crashDay(2025)
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 })
 
@@ -471,7 +471,7 @@
 	const unmoved = new Set(uids)
 	state.onChanged = (key) => void unmoved.delete(key.slice(`${KEY_PREFIX}job/`.length))
 	const log: string[] = []
-	simulation.tell = (line) => void log.push(line)
+	simulation.onLogLine = (line) => void log.push(line)
 	const wrong: string[] = []
 	let answers = 0
 	const sendNext = () => {
@@ -497,7 +497,7 @@
 		clock.after(MIGRATION_LOAD.requestIntervalMs, sendNext)
 	}
 	clock.after(MIGRATION_LOAD.fromS * 1000, sendNext)
-	await simulation.play()
+	await simulation.run()
 	const repeatedEvents = log.filter((line) => / job (accepted|terminal) /.test(line))
 	return {
 		wrong,
--- a/tests/simulation-scenarios.test.ts
+++ b/tests/simulation-scenarios.test.ts
@@ -15,11 +15,11 @@
 		],
 	})
 	const seen = new Map<string, number>()
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const at = /(agent lease expired|machines releasing) (.*)/.exec(line)
 		if (at !== null) seen.set(at[0], (seen.get(at[0]) ?? 0) + 1)
 	}
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	const expiries = [...seen].filter(([line]) => line.startsWith('agent lease expired'))
 	assert.ok(expiries.length > 0, 'some task was lost with its machine')
@@ -49,14 +49,14 @@
 	})
 	const machinesOfShard = new Map<string, number>()
 	const reconciliations: { machines: number; afterMs: number }[] = []
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const started = /shard reconciling {"part":(\d+),.*"machines":(\d+)/.exec(line)
 		if (started !== null) machinesOfShard.set(started[1], Number(started[2]))
 		const finished = /^(\d+) .* shard reconciled {"part":(\d+),"afterMs":(\d+)/.exec(line)
 		if (finished === null || Number(finished[1]) <= 41_000) return
 		reconciliations.push({ machines: machinesOfShard.get(finished[2]) ?? 0, afterMs: Number(finished[3]) })
 	}
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [], `seed ${seed}`)
 	return reconciliations
 }
@@ -86,13 +86,13 @@
 	})
 	const drained = new Set<string>()
 	const failed = new Map<string, number>()
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const machine = /faulty machine draining .*"machine":"([^"]+)"/.exec(line)?.[1]
 		if (machine !== undefined) drained.add(machine)
 		const uid = /task failed .*"task":"([^/]+)/.exec(line)?.[1]
 		if (uid !== undefined) failed.set(uid, (failed.get(uid) ?? 0) + 1)
 	}
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job reaches a terminal state')
 	assert.ok(drained.size >= 1, 'at least one faulty machine is detected')
@@ -122,11 +122,11 @@
 		faults: [25, 26, 27].map((atS) => ({ atS, kind: 'machineDies' })),
 	})
 	const releasedAt: number[] = []
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const at = /^(\d+) .* releasing .*silent/.exec(line)
 		if (at !== null) releasedAt.push(Number(at[1]) / 1000)
 	}
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.ok(releasedAt.length > 0 && releasedAt[0] < 40, `crashed at 25 s, released at ${releasedAt}`)
 })
@@ -142,13 +142,13 @@
 		faults: [{ atS: 40, kind: 'cut', who: [0], from: 'workers', forS: 20 }],
 	})
 	const seen = new Map<string, number>()
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const event = /agent lease expired|machines reach|workers reachable again|handed back to ctl-0/.exec(
 			line,
 		)?.[0]
 		if (event !== undefined) seen.set(event, (seen.get(event) ?? 0) + 1)
 	}
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job reaches a terminal state')
 	assert.equal(
@@ -181,13 +181,13 @@
 		],
 	})
 	const count = new Map<string, number>()
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const event = /^\d+ \S+ (machine booted|machines releasing|job accepted|scale-out requested)/.exec(
 			line,
 		)?.[1]
 		if (event !== undefined) count.set(event, (count.get(event) ?? 0) + 1)
 	}
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job reaches a terminal state')
 	const machines = count.get('machine booted') ?? 0
@@ -227,11 +227,11 @@
 			faults: [],
 		})
 		let doneAt = 0
-		simulation.tell = (line) => {
+		simulation.onLogLine = (line) => {
 			const at = /^(\d+) .* job terminal .*job-000701/.exec(line)
 			if (at !== null) doneAt = Number(at[1]) / 1000
 		}
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.ok(doneAt > 0 && doneAt < maxDoneS, `the job submitted at 60 s finished at ${doneAt} s`)
 	})
@@ -254,12 +254,12 @@
 	})
 	const doneAt: number[] = []
 	let preempted = 0
-	simulation.tell = (line) => {
+	simulation.onLogLine = (line) => {
 		const at = /^(\d+) .* job terminal .*job-00072[12]/.exec(line)
 		if (at !== null) doneAt.push(Number(at[1]) / 1000)
 		if (line.includes('tasks preempted')) preempted++
 	}
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.equal(doneAt.length, 2)
 	assert.ok(doneAt[0] < 100 && doneAt[1] < 140, `jobs of 20 s submitted at 60 s finished at ${doneAt}`)
@@ -280,7 +280,7 @@
 		})),
 		faults: [],
 	})
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job reaches a terminal state')
 	assert.equal(simulation.state.countChanges('job/').set, 0, 'no progress is written for a job with one task')
@@ -311,7 +311,7 @@
 		jobs: [...mixedJobs(8), { atS: 2, spec: guest }, { atS: 30, spec: tooLarge }],
 		faults: [{ atS: 50, kind: 'crash', who: [0, 1, 2] }],
 	})
-	await simulation.play()
+	await simulation.run()
 	// The invariant checker compares each team's use with its limit throughout.
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(
@@ -344,7 +344,7 @@
 				for (const i of [0, 1, 2])
 					void simulation.sendRequest(i, 'POST', '/checkin', body).then(() => repeated++)
 		})
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job reaches a terminal state')
 	assert.ok(repeated > 400, `${repeated} late heartbeats`)
@@ -365,7 +365,7 @@
 		jobs: [{ atS: 1, spec }],
 		faults: [{ atS: 60, kind: 'crash', who: [0, 1, 2], forS: 4 }],
 	})
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'the array finishes')
 	// 98 keys of task ranges, each written when the write rate permits, and deleted at the end.
--- a/tests/simulation.test.ts
+++ b/tests/simulation.test.ts
@@ -170,7 +170,7 @@
 				drift: testCase.drift,
 				limits: testCase.limit === undefined ? undefined : new Map([['core', testCase.limit]]),
 			})
-			await simulation.play()
+			await simulation.run()
 			assert.deepEqual(simulation.invariants.violations, [])
 			assert.ok(
 				simulation.invariants.taskPlacements > 50,
