--- a/packages/testkit/src/controller-http-client.ts
+++ b/packages/testkit/src/controller-http-client.ts
@@ -147,7 +147,7 @@
 	const { controller, to, path, body, reply } = request
 	const { network } = dependencies
 	const peer = dependencies.peerAt(to)
-	if (network.cutLinks.get(peer)?.has('peers')) return
+	if (network.partitionedLinks.get(peer)?.has('peers')) return
 	network.deliver({
 		link: { kind: 'peers', controller },
 		ends: { from: controller, to: peer },
--- a/tests/absence-interleavings.ts
+++ b/tests/absence-interleavings.ts
@@ -105,8 +105,8 @@
 			holdRequests(state, (request) => this.onRequest(request)),
 			SHARD,
 		)
-		this.simulation.tell = (line) => this.log.push(line)
-		this.simulation.started = (controller, node) => {
+		this.simulation.onLogLine = (line) => this.log.push(line)
+		this.simulation.onStarted = (controller, node) => {
 			if (controller !== QUERIED_CONTROLLER) {
 				this.followers.push(node)
 				return
@@ -132,7 +132,7 @@
 		})
 		clock.after(WATCH_HELD_UNTIL_S * 1000, () => this.releaseWatch())
 		this.checkForReruns()
-		await this.simulation.play()
+		await this.simulation.run()
 	}
 
 	/** Sends an HTTP request; the answer is `STATUS` or `STATUS STATE`. */
--- a/tests/archival.test.ts
+++ b/tests/archival.test.ts
@@ -124,10 +124,10 @@
 		const jobs = submittedJobs(150, 1)
 		const simulation = new Simulation({ seed, untilS: 420, capacity: 8, jobs, faults, loss: 0.01 })
 		let archived = 0
-		simulation.tell = (line) => {
+		simulation.onLogLine = (line) => {
 			if (line.includes(' jobs archived ')) archived += Number(/"jobs":(\d+)/.exec(line)?.[1])
 		}
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [], `seed ${seed}`)
 		assert.deepEqual(simulation.invariants.unfinishedJobs(), [], `seed ${seed}`)
 		assert.ok(archived > 75, `${archived} of 150 jobs were archived`)
@@ -174,10 +174,10 @@
 		})
 	for (let atS = 5; atS < 495; atS += 2) queryStatus(atS)
 	const jobKeysAfterStart: number[] = []
-	simulation.started = (_, node) => {
+	simulation.onStarted = (_, node) => {
 		simulation.clock.after(5000, () => jobKeysAfterStart.push([...node.cache.withPrefix('job/')].length))
 	}
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinishedJobs(), [])
 	assert.deepEqual(wrongReplies, [])
@@ -191,11 +191,11 @@
 	const simulation = new Simulation({ seed: 74, untilS: 20, jobs: [], faults: [] })
 	simulation.state.put(`${KEY_PREFIX}history`, { form: 3, turn: 1 })
 	const reasons: string[] = []
-	simulation.started = (_, node) => {
+	simulation.onStarted = (_, node) => {
 		node.onUnsupportedFormat = (reason) => reasons.push(reason)
 	}
-	simulation.tell = () => {}
-	await simulation.play()
+	simulation.onLogLine = () => {}
+	await simulation.run()
 	assert.ok(reasons.length >= 3)
 	assert.match(reasons[0], /form 3, which this version does not know/)
 })
--- a/tests/compound-faults.test.ts
+++ b/tests/compound-faults.test.ts
@@ -96,7 +96,7 @@
 			capacity: 5,
 			up: 5,
 		})
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.deepEqual(simulation.invariants.failures(), [])
 		assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job reaches a terminal state')
@@ -109,7 +109,7 @@
 
 test('compound faults generated from a seed', async () => {
 	const simulation = new Simulation(randomCompoundFaultDay(1))
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinishedJobs(), [])
 })
--- a/tests/compound-user-faults.test.ts
+++ b/tests/compound-user-faults.test.ts
@@ -262,7 +262,7 @@
 			stateLimits: true,
 			...day,
 		})
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.deepEqual(simulation.invariants.failures(), [])
 		assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job reaches a terminal state')
@@ -302,7 +302,7 @@
 	}
 	for (let s = 45; s < 15 + forS; s += 5)
 		simulation.clock.after(s * 1000, () => batchCounts.push(simulation.state.countKeys('heathroad/intake/')))
-	await simulation.play()
+	await simulation.run()
 	assert.deepEqual(simulation.invariants.violations, [])
 	assert.deepEqual(simulation.invariants.unfinishedJobs(), [])
 	assert.ok(changes / oneTaskJobs.length < 3.2, `${changes} changes for ${oneTaskJobs.length} jobs`)
--- a/tests/daemon.test.ts
+++ b/tests/daemon.test.ts
@@ -69,11 +69,11 @@
 		})
 		let expiredLeases = 0
 		let drained = 0
-		simulation.tell = (line) => {
+		simulation.onLogLine = (line) => {
 			if (/ agent lease expired /.test(line)) expiredLeases++
 			if (/ drain phase changed .*"over"/.test(line)) drained++
 		}
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.deepEqual(simulation.invariants.unfinishedJobs(), [])
 		return { ...failedSubmissions(simulation), expiredLeases, drained }
@@ -128,11 +128,11 @@
 			lossUntilS: 200,
 		})
 		const drainedAtMs: number[] = []
-		simulation.tell = (line) => {
+		simulation.onLogLine = (line) => {
 			const match = /^(\d+) \S+ drain phase changed .*"phase":"over"/.exec(line)
 			if (match !== null) drainedAtMs.push(Number(match[1]))
 		}
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [], name)
 		assert.deepEqual(simulation.invariants.unfinishedJobs(), [], name)
 		assert.ok(
--- a/tests/golden-interfaces.test.ts
+++ b/tests/golden-interfaces.test.ts
@@ -159,7 +159,7 @@
 	const grpcServers: GrpcServer[] = []
 	const nodes: Service[] = []
 	let listening: Promise<number> = Promise.resolve(0)
-	simulation.started = (_, node) => {
+	simulation.onStarted = (_, node) => {
 		nodes.push(node)
 		const grpcServer = new GrpcServer(node, {
 			...defaultGrpcSettings('127.0.0.1:0'),
--- a/tests/simulated-watch.ts
+++ b/tests/simulated-watch.ts
@@ -4,7 +4,7 @@
  */
 import timers from 'node:timers/promises'
 import type { JobEvent as ServerEvent, Subscription } from '@heathroad/events'
-import { type ControllerStreams, type Simulation, streamsOf } from '@heathroad/testkit'
+import { attachStreams, type ControllerStreams, type Simulation } from '@heathroad/testkit'
 import { JobWatcher } from '../packages/client/src/job-watcher.js'
 import type { RetryingCaller } from '../packages/client/src/retrying-caller.js'
 import type {
@@ -181,13 +181,13 @@
 
 /** Creates a link to each controller of a simulation; a crash breaks the connections to that controller. */
 export const createReaderLinks = (simulation: Simulation, controllerCount: number): readonly ReaderLink[] => {
-	const streams = streamsOf(simulation)
+	const streams = attachStreams(simulation)
 	const links = Array.from(
 		{ length: controllerCount },
 		(_, controller) => new ReaderLink(simulation, streams, controller),
 	)
-	const onEnded = simulation.ended
-	simulation.ended = (controller) => {
+	const onEnded = simulation.onEnded
+	simulation.onEnded = (controller) => {
 		onEnded(controller)
 		links[controller].breakConnections()
 	}
@@ -206,9 +206,9 @@
  * controller starts.
  */
 export const runWithClients = async (simulation: Simulation, schedule: () => void): Promise<void> => {
-	const onStarted = simulation.started
-	simulation.started = (controller, node) => {
-		simulation.started = onStarted
+	const onStarted = simulation.onStarted
+	simulation.onStarted = (controller, node) => {
+		simulation.onStarted = onStarted
 		schedule()
 		onStarted(controller, node)
 	}
@@ -225,7 +225,7 @@
 		})
 	Object.assign(timers, { setTimeout: virtualSleep })
 	try {
-		await simulation.play()
+		await simulation.run()
 	} finally {
 		Object.assign(timers, { setTimeout: realSleep })
 	}
--- a/tests/stream-check-days.ts
+++ b/tests/stream-check-days.ts
@@ -228,7 +228,7 @@
 	const { crashes, linkFaults } = faultsOf(seed)
 	const simulation = createSimulation(seed, uids, crashes)
 	const log: string[] = []
-	simulation.tell = (line) => log.push(line)
+	simulation.onLogLine = (line) => log.push(line)
 	const links = createReaderLinks(simulation, CONTROLLERS)
 	const dayReaders = new DayReaders(simulation, links, uids)
 	await runWithClients(simulation, () => {
--- a/tests/stream-days.test.ts
+++ b/tests/stream-days.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import type { JobEvent, Selection } from '@heathroad/events'
-import { arrayJob, type Fault, Simulation, StreamReader, streamsOf } from '@heathroad/testkit'
+import { arrayJob, attachStreams, type Fault, Simulation, StreamReader } from '@heathroad/testkit'
 
 const CONTROLLERS = 3
 const READERS = 50
@@ -35,7 +35,7 @@
 			...(index % 8 === 7 ? { cancelAtS: 12 + index * 4 } : {}),
 		}))
 		const simulation = new Simulation({ seed, untilS: 300, jobs, faults, loss: 0.01 })
-		const streams = streamsOf(simulation)
+		const streams = attachStreams(simulation)
 		const anomalies: string[] = []
 		const uids = jobs.map((job) => job.spec.uid)
 		let reconnects = 0
@@ -60,13 +60,13 @@
 				}
 			}
 			new StreamReader(simulation, streams, CONTROLLERS, selection, {
-				begun: () => reconnects++,
-				refused: (_controller, why) => anomalies.push(`${reader}: ${why}`),
-				heard: (_controller, event) => observe(event),
+				opened: () => reconnects++,
+				rejected: (_controller, why) => anomalies.push(`${reader}: ${why}`),
+				received: (_controller, event) => observe(event),
 			})
 			return { reader, terminalStates, selection }
 		})
-		await simulation.play()
+		await simulation.run()
 		assert.deepEqual(simulation.invariants.violations, [], name)
 		assert.deepEqual(simulation.invariants.unfinishedJobs(), [], name)
 		assert.deepEqual(anomalies.slice(0, 5), [], name)
--- a/tests/trace.test.ts
+++ b/tests/trace.test.ts
@@ -29,7 +29,7 @@
 	digestMessages((trace) => {
 		const simulation = createSimulation(seed)
 		simulation.trace = trace
-		return simulation.play()
+		return simulation.run()
 	}, dump)
 
 test('a seed gives the same trace, whatever ran before in the process', async () => {
@@ -68,8 +68,8 @@
 test('a simulation has the same outcome whether it is traced or not', async () => {
 	const [plain, traced] = [createSimulation(9), createSimulation(9)]
 	traced.trace = () => {}
-	await plain.play()
-	await traced.play()
+	await plain.run()
+	await traced.run()
 	const outcome = ({ invariants: checker, state, clock }: Simulation) => [
 		checker.taskPlacements,
 		state.requests,
