--- a/packages/cloud/src/cloud-client.ts
+++ b/packages/cloud/src/cloud-client.ts
@@ -1,4 +1,4 @@
-/** Client of the cloud's API: the catalog of machine types, and renting and returning machines. */
+/** Client of the cloud's API: the catalog of machine types, and renting and releasing machines. */
 import {
 	encodeReleaseRequest,
 	encodeRentalRequest,
@@ -18,7 +18,7 @@
 	| { kind: 'rented'; machineIds: string[] }
 	/** the cloud has no capacity for the offer */
 	| { kind: 'none' }
-	/** the request was not carried out, or its outcome is unknown: it must be retried with the same name */
+	/** the request was not executed, or its outcome is unknown: it must be retried with the same name */
 	| { kind: 'again' }
 	/** the cloud rejected the request as invalid */
 	| { kind: 'invalid' }
@@ -42,7 +42,7 @@
 export class CloudClient {
 	private readonly callRate: TokenBucket
 
-	/** `address` is the API's IP:PORT; `now` is a clock in ms. */
+	/** `address` is the API's IP:PORT; `now` is a monotonic clock in ms. */
 	constructor(
 		private readonly httpClient: HttpClient,
 		private readonly address: string,
@@ -74,13 +74,13 @@
 		)
 	}
 
-	/** Rents machines. The cloud carries out a request only once, however often it is sent with the same name. */
+	/** Rents machines. The cloud executes a request only once, however often it is sent with the same name. */
 	rent(request: RentalRequest): Effect.Effect<RentResult> {
 		return this.call('POST', '/hosts', encodeRentalRequest(request)).pipe(Effect.map(toRentResult))
 	}
 
-	/** Returns machines to the cloud; true: it confirmed that they are gone with everything that ran on them. */
-	returnMachines(ids: readonly string[]): Effect.Effect<boolean> {
+	/** Releases machines to the cloud; true: it confirmed that they are gone with everything that ran on them. */
+	releaseMachines(ids: readonly string[]): Effect.Effect<boolean> {
 		return this.call('POST', '/hosts/release', encodeReleaseRequest(ids)).pipe(
 			Effect.map((response) => response?.status === HTTP_OK),
 		)
--- a/packages/cloud/src/token-bucket.ts
+++ b/packages/cloud/src/token-bucket.ts
@@ -12,7 +12,7 @@
 	private tokens: number
 	private refilledAt: number
 
-	/** The bucket is full at first; `now` is a clock in ms. */
+	/** The bucket is full at first; `now` is a monotonic clock in ms. */
 	constructor(
 		private readonly callsPerS: number,
 		private readonly now: () => number,
--- a/packages/cluster/src/cancellation-log.ts
+++ b/packages/cluster/src/cancellation-log.ts
@@ -20,7 +20,7 @@
 
 	/**
 	 * @param maxEntries maximum number of cancellations that are kept, and sent in one message
-	 * @param now steady clock, in ms
+	 * @param now monotonic clock, in ms
 	 */
 	constructor(
 		private readonly maxEntries: number,
--- a/packages/cluster/src/controller-lease.ts
+++ b/packages/cluster/src/controller-lease.ts
@@ -16,7 +16,7 @@
 export class ControllerLease {
 	/** null if no lease is held */
 	leaseId: number | null = null
-	/** Steady time until which this controller may act under the lease. */
+	/** Monotonic time until which this controller may act under the lease. */
 	private validUntil = 0
 
 	constructor(
@@ -24,7 +24,7 @@
 		private readonly events: LeaseEvents,
 	) {}
 
-	/** Whether this controller may act under its lease at the given steady time. */
+	/** Whether this controller may act under its lease at the given monotonic time. */
 	isValid(now: number): boolean {
 		return now < this.validUntil
 	}
--- a/packages/cluster/src/gossip.ts
+++ b/packages/cluster/src/gossip.ts
@@ -9,7 +9,7 @@
 export interface Peer {
 	name: string
 	address: string
-	/** Steady time at which its latest message arrived. */
+	/** Monotonic time at which its latest message arrived. */
 	lastSeen: number
 	/** Its latest status; null if none was received. */
 	status: PeerStatus | null
--- a/packages/cluster/src/handoff.ts
+++ b/packages/cluster/src/handoff.ts
@@ -25,14 +25,14 @@
 	reachedStoreWithin(ms: number): boolean
 }
 
-/** Decides when to hand off owned shards, and to which controller, and carries the handoffs out. */
+/** Decides when to hand off owned shards, and to which controller, and executes the handoffs. */
 export class Handoff {
 	constructor(
 		private readonly context: MembershipContext,
 		private readonly dependencies: HandoffDependencies,
 	) {}
 
-	/** Hands one shard back to its home controller, if that has been up and ready for long enough. */
+	/** Hands one shard back to its home controller, if it has been up and ready for long enough. */
 	failBack(): void {
 		if (!this.mayHandOff()) return
 		for (const shard of this.snapshotOwnedShards()) {
--- a/packages/cluster/src/membership-context.ts
+++ b/packages/cluster/src/membership-context.ts
@@ -56,7 +56,7 @@
 	readonly cache: WatchCache
 	readonly client: StoreClient
 	readonly httpClient: HttpClient
-	/** Steady clock, in ms. */
+	/** Monotonic clock, in ms. */
 	readonly now: () => number
 	readonly events: MembershipEvents
 	readonly incarnation: string
--- a/packages/cluster/src/membership-ratios.ts
+++ b/packages/cluster/src/membership-ratios.ts
@@ -25,7 +25,7 @@
 export const FAILBACK_STABILITY = 0.4
 /** A handoff requires a response of the state service within this time. */
 export const HANDOFF_STORE_CONTACT_WINDOW = 0.3
-/** Time after a handoff in which the previous owner does not acquire the shard again. */
+/** Time after a handoff in which the former owner does not acquire the shard again. */
 export const HANDOFF_SETTLE_DELAY = 0.2
 /** A controller that reached the state service within this time refuses takeover promises. */
 export const PROMISE_STORE_CONTACT_WINDOW = 0.25
@@ -57,5 +57,5 @@
 
 /** Minimum number of the shard's machines that have looked up their owner at the peer. */
 export const MIN_OWNER_LOOKUPS = 2
-/** Unreachable machines that one lookup accounts for, at most: only some machines do a lookup per gossip interval. */
+/** Maximum number of unreachable machines per lookup: only some machines do a lookup within a gossip interval. */
 export const UNREACHABLE_PER_LOOKUP = 8
--- a/packages/cluster/src/membership.ts
+++ b/packages/cluster/src/membership.ts
@@ -30,7 +30,7 @@
 
 /**
  * A controller owns a shard by a key that is attached to its lease. It may act as the owner for the lease's duration less
- * a margin, counted on the steady clock from when the last successful renewal was sent.
+ * a margin, counted on the monotonic clock from when the last successful renewal was sent.
  */
 export class Membership {
 	/** This controller's lease at the state service. */
@@ -119,7 +119,7 @@
 		return this.gossiping.peers
 	}
 
-	/** Steady time since which the process has run without interruption: its start, or the end of its last standstill. */
+	/** Monotonic time since which the process has run uninterrupted: its start, or the end of its last standstill. */
 	get runningSince(): number {
 		return this.standstill.runningSince
 	}
@@ -162,7 +162,7 @@
 
 	/**
 	 * Whether this controller may act for its shards, and on what basis. An owner that renews its lease but receives no changes
-	 * would never learn of a cancellation (incident 21), so the lease counts only while the watch cache is recent enough.
+	 * would never receive a cancellation (incident 21), so the lease counts only while the watch cache is recent enough.
 	 */
 	leadership(now = this.context.now()): LeadershipStatus {
 		const { cache, limits } = this.context
@@ -204,7 +204,7 @@
 		this.ownership.acquireFreeShards()
 	}
 
-	/** Hands one shard back to its home controller, if that has been up and ready for long enough. */
+	/** Hands one shard back to its home controller, if it has been up and ready for long enough. */
 	failBack(): void {
 		this.handoff.failBack()
 	}
--- a/packages/cluster/src/shard-ownership.ts
+++ b/packages/cluster/src/shard-ownership.ts
@@ -22,7 +22,7 @@
 	shardId: number
 	/** Mod revision of the shard's key at its acquisition. */
 	fencingToken: number
-	/** Steady time at which the key was seen to be acquired. */
+	/** Monotonic time at which the key was seen to be acquired. */
 	acquiredAt: number
 }
 
@@ -33,7 +33,7 @@
 	isAlive(name: string): boolean
 	/** Whether this controller has promised not to take over the member's shards. */
 	hasPromisedTo(member: string): boolean
-	/** Steady time at which the process started. */
+	/** Monotonic time at which the process started. */
 	readonly startedAt: number
 }
 
@@ -46,7 +46,7 @@
 /** Acquires and relinquishes shards. */
 export class ShardOwnership {
 	readonly ownedShards = new Map<number, OwnedShard>()
-	/** Shard -> steady time since which it has had no owner. */
+	/** Shard -> monotonic time since which it has had no owner. */
 	private readonly unownedSince = new Map<number, number>()
 	/** Shards that must not be acquired now, since an acquisition or a handoff is in flight. */
 	private readonly inTransition = new Set<number>()
@@ -157,7 +157,7 @@
 
 	/**
 	 * How long a shard must be without an owner before this controller acquires it. The home controller comes first, then
-	 * its successors one by one, in the order of the configuration. A controller that is partitioned from the machines waits
+	 * the others one by one, in the order of the configuration. A controller that is partitioned from the machines waits
 	 * longest.
 	 */
 	private acquireDelayMs(shardId: number, neverOwned: boolean): number {
--- a/packages/cluster/src/standstill-detector.ts
+++ b/packages/cluster/src/standstill-detector.ts
@@ -18,7 +18,7 @@
 		this.lastTickAt = this.startedAt
 	}
 
-	/** Steady time since which the process has run without interruption: its start, or the end of its last standstill. */
+	/** Monotonic time since which the process has run uninterrupted: its start, or the end of its last standstill. */
 	get runningSince(): number {
 		return this.resumedAt
 	}
--- a/packages/cluster/src/takeover-promises.ts
+++ b/packages/cluster/src/takeover-promises.ts
@@ -37,9 +37,9 @@
 
 /** The promises that this controller has given and received. */
 export class TakeoverPromises {
-	/** Member -> steady time until which this controller acquires none of its shards. */
+	/** Member -> monotonic time until which this controller acquires none of its shards. */
 	private readonly givenUntil = new Map<string, number>()
-	/** Peer -> steady time until which it acquires none of this controller's shards. */
+	/** Peer -> monotonic time until which it acquires none of this controller's shards. */
 	private readonly receivedUntil = new Map<string, number>()
 
 	constructor(
--- a/packages/cluster/src/terminal-pages.ts
+++ b/packages/cluster/src/terminal-pages.ts
@@ -6,7 +6,7 @@
 import { closedPageKey, terminalPageKey } from './record-keys.js'
 import type { JobRecord } from './records.js'
 
-/** A terminal job, with the data needed as long as a machine may still run one of its tasks. */
+/** A terminal job, with the data needed while a machine may still run one of its tasks. */
 export interface TerminalJob {
 	uid: string
 	finalState: 'done' | 'aborted'
--- a/packages/config/src/derived-limits.ts
+++ b/packages/config/src/derived-limits.ts
@@ -71,7 +71,7 @@
 
 /**
  * How long a cancellation must have been durable before it is confirmed to the user. Within `maxStalenessMs` each owner
- * learns of it, from the records or from the next takeover promise that it receives, or stops acting: without
+ * receives it, from the records or from the next takeover promise that it receives, or stops acting: without
  * up-to-date records it does not act on its lease for longer than that, and a promise is no longer than a lease. From
  * then on agents receive commands to stop, or their leases expire. If all of this may take longer than `cancelMs` after
  * the confirmation, the confirmation is delayed by the difference.
--- a/packages/config/src/operator-settings.ts
+++ b/packages/config/src/operator-settings.ts
@@ -4,7 +4,7 @@
 
 /** Settings of the scheduler. */
 export interface Tuning {
-	/** heartbeat intervals after which an empty machine is returned to the cloud */
+	/** heartbeat intervals after which an empty machine is released to the cloud */
 	idleHeartbeats: number
 	/** heartbeat intervals between two writes of open jobs' progress */
 	progressHeartbeats: number
--- a/packages/controller/src/admission-gate.ts
+++ b/packages/controller/src/admission-gate.ts
@@ -10,7 +10,7 @@
 interface CheckTimeout {
 	job: PendingJob
 	checkName: string
-	/** steady time in ms */
+	/** monotonic time in ms */
 	at: number
 }
 
@@ -44,7 +44,7 @@
 		return this.jobsByUid.size
 	}
 
-	/** Is the job pending release here? */
+	/** Whether the job is pending release in this shard. */
 	has(uid: string): boolean {
 		return this.jobsByUid.has(uid)
 	}
@@ -81,7 +81,7 @@
 		this.queries.remove(job)
 	}
 
-	/** A task of the job is on a machine: if the job is held, its release was written but is not known here yet. */
+	/** A task of the job is on a machine: if the job is held, its release is durable but not in this watch cache yet. */
 	onTaskSeen(uid: string): void {
 		this.release(uid)
 	}
@@ -91,7 +91,7 @@
 		for (const uid of uids) this.release(uid)
 	}
 
-	/** Passes timed-out checks, sends the queries that are due and writes releases. `now`: steady time in ms. */
+	/** Passes timed-out checks, sends the queries that are due and writes releases. `now`: monotonic time in ms. */
 	tick(now: number): void {
 		if (this.state.stopped || this.jobsByUid.size === 0) return
 		this.passTimedOutChecks(now)
--- a/packages/controller/src/attempt-registry.ts
+++ b/packages/controller/src/attempt-registry.ts
@@ -12,7 +12,7 @@
 	jobs: Map<string, JobRun>
 	teams: TeamUsage
 	queue: JobQueue
-	/** steady time in ms */
+	/** monotonic time in ms */
 	now(): number
 }
 
@@ -42,10 +42,10 @@
 		machine.idleSince = null
 	}
 
-	/** Frees the resources of an attempt that has ended or is absent from its machine; idempotent. */
+	/** Frees the resources of an attempt that has exited or is absent from its machine; idempotent. */
 	free(machine: Machine, attempt: Attempt): void {
-		if (attempt.accountedFor) return
-		attempt.accountedFor = true
+		if (attempt.exitProcessed) return
+		attempt.exitProcessed = true
 		this.dependencies.teams.subtract(attempt.resources.team, attempt.resources)
 		const { job, taskIndex } = attempt
 		if (job === null) return
@@ -62,13 +62,13 @@
 		else job.orphanCounts.delete(taskIndex)
 	}
 
-	/** Removes an attempt that is absent from its machine; requeues its task unless its end was accounted for before. */
+	/** Removes an attempt that is absent from its machine; requeues its task unless its exit was already processed. */
 	remove(machine: Machine, attempt: Attempt): void {
-		const wasAccountedFor = attempt.accountedFor
+		const wasExitProcessed = attempt.exitProcessed
 		machine.attempts.delete(attempt.key)
 		this.free(machine, attempt)
 		recomputeFreeResources(machine)
-		if (!wasAccountedFor) this.requeueTask(attempt)
+		if (!wasExitProcessed) this.requeueTask(attempt)
 	}
 
 	/** Makes the attempt's task ready again if it is not done and is proven absent from all machines. */
--- a/packages/controller/src/attempt-tracker.ts
+++ b/packages/controller/src/attempt-tracker.ts
@@ -1,4 +1,4 @@
-/** Tracks the reported states of attempts and accounts for the end of each attempt exactly once. */
+/** Tracks the reported states of attempts and processes the exit of each attempt exactly once. */
 import type { ReportedTask } from '@heathroad/wire'
 import type { CrashLoopDetector } from './crash-loop-detector.js'
 import type { Attempt, JobRun } from './model.js'
@@ -27,7 +27,7 @@
 		attempt.state = reported.state
 		if (isRunning && job?.spec.kind === 'daemon' && this.hasOutlivedAgentLease(attempt, now))
 			job.outlivedAgentLease = true
-		if (reported.state !== 'exited' || attempt.accountedFor) return
+		if (reported.state !== 'exited' || attempt.exitProcessed) return
 		this.onEnded(attempt, reported, now)
 	}
 
--- a/packages/controller/src/boot-time-estimator.ts
+++ b/packages/controller/src/boot-time-estimator.ts
@@ -17,8 +17,8 @@
 const MIN_RATIO = 1.8
 const MAX_RATIO = 6
 
-/** A machine is returned after this multiple of the time after which it is given up: until then it may still boot. */
-const RETURN_FACTOR = 5 / 3
+/** A machine is released after this multiple of the time after which it is given up: until then it may still boot. */
+const RELEASE_FACTOR = 5 / 3
 
 /**
  * Estimates boot times per machine type from the latest boots. Most boots take up to 1.5 times the type's nominal time,
@@ -41,9 +41,9 @@
 		return type.bootS * 1000 * this.estimatedRatio(type)
 	}
 
-	/** Ms after which a machine that has not booted is returned. */
-	returnAfterMs(type: MachineType): number {
-		return this.giveUpAfterMs(type) * RETURN_FACTOR
+	/** Ms after which a machine that has not booted is released to the cloud. */
+	releaseAfterMs(type: MachineType): number {
+		return this.giveUpAfterMs(type) * RELEASE_FACTOR
 	}
 
 	/** Estimated boot time, as a multiple of the type's nominal boot time. */
--- a/packages/controller/src/check-queries.ts
+++ b/packages/controller/src/check-queries.ts
@@ -8,7 +8,7 @@
 /** Queries of one shard that may be in flight at the same time: limits the load on the checks. */
 const MAX_QUERIES_IN_FLIGHT = 8
 
-/** Initial backoff after an unsure verdict, in ms; doubles with each further one in a row. */
+/** Initial backoff after an unsure verdict, in ms; doubles with each further consecutive one. */
 const MIN_BACKOFF_MS = 500
 
 /** Maximum backoff in ms, short enough that the recovery of a check is noticed soon. */
@@ -37,10 +37,10 @@
 interface CheckQuery {
 	checkName: string
 	jobs: Set<PendingJob>
-	/** steady time in ms */
+	/** monotonic time in ms */
 	dueAt: number
 	sentCount: number
-	/** steady time in ms */
+	/** monotonic time in ms */
 	lastSentAt: number
 	/** sent, but not answered yet */
 	isInFlight: boolean
@@ -52,7 +52,7 @@
 
 /** Callbacks to the admission gate that holds the jobs. */
 export interface CheckQueryListener {
-	/** Is the job still held by the gate? */
+	/** Whether the job is still held by the gate. */
 	isHeld(job: PendingJob): boolean
 	/** Called when a check has released a job, with the reason. */
 	onCheckPassed(job: PendingJob, checkName: string, reason: string): void
--- a/packages/controller/src/consolidation.ts
+++ b/packages/controller/src/consolidation.ts
@@ -1,4 +1,4 @@
-/** Consolidation: drains sparsely used machines so that they become idle and are returned to the cloud. */
+/** Consolidation: drains sparsely used machines so that they become idle and are released to the cloud. */
 import {
 	chooseMachinesToDrain,
 	hourlyPrice,
@@ -9,7 +9,7 @@
 import { type Attempt, gracePeriodS, type JobRun, type Machine } from './model.js'
 import type { ShardState } from './state.js'
 
-/** At most one in this many machines is drained per round, so that moved tasks find free resources at once. */
+/** Up to one in this many machines is drained per round, so that moved tasks find free resources at once. */
 const MACHINES_PER_DRAINED_MACHINE = 16
 
 /** Lower bound of the image fetch rate, in GB/s, so that unknown rates cause no division by zero. */
@@ -33,7 +33,7 @@
  * most of a fleet half used and no machine ever idle.
  */
 export class Consolidator {
-	/** steady time in ms */
+	/** monotonic time in ms */
 	private nextRoundAt = 0
 
 	constructor(private readonly state: ShardState) {}
--- a/packages/controller/src/crash-loop-detector.ts
+++ b/packages/controller/src/crash-loop-detector.ts
@@ -25,7 +25,7 @@
 export class CrashLoopDetector {
 	constructor(private readonly state: ShardState) {}
 
-	/** Called when an attempt has ended with an error. `now`: steady time in ms. */
+	/** Called when an attempt has exited with an error. `now`: monotonic time in ms. */
 	onTaskFailed(machine: Machine, job: JobRun, attempt: Attempt, now: number): void {
 		const { heartbeatMs } = this.state.config.limits
 		const wasQuarantined = job.isQuarantined
--- a/packages/controller/src/failure-detector.ts
+++ b/packages/controller/src/failure-detector.ts
@@ -3,10 +3,10 @@
 import type { Machine } from './model.js'
 import { MAX_MISSED_HEARTBEATS, type ShardState } from './state.js'
 
-/** Agent leases of silence after which a machine is returned even if many are silent. */
+/** Agent leases of silence after which a machine is released even if many are silent. */
 const MAX_SILENCE_AGENT_LEASES = 3
 
-/** Agent leases of silence after which a machine is returned if few are silent. */
+/** Agent leases of silence after which a machine is released if few are silent. */
 const MIN_SILENCE_AGENT_LEASES = 0.5
 
 /** Many machines are silent if more than one in 2.5 is: more likely a temporary partition than that many failures. */
@@ -33,7 +33,7 @@
 /** Fraction of a controller lease after a takeover during which unconfirmed machines do not count as unreachable. */
 const TAKEOVER_GRACE_CONTROLLER_LEASES = 0.4
 
-/** Decides from missed heartbeats which machines to return, and whether the shard is partitioned. */
+/** Decides from missed heartbeats which machines to release, and whether the shard is partitioned. */
 export class FailureDetector {
 	private readonly takenOverAt: number
 	/** the latest time at which many machines were silent at once */
@@ -57,13 +57,13 @@
 	}
 
 	/**
-	 * Should a silent machine be returned to the cloud? If few are silent, after half an agent lease: a confirmed release
-	 * proves its tasks absent sooner than the lease does. If many are, much later, since replacements have to be rented,
-	 * booted and filled with images again (incident 15). The half lease counts from the last time that many were silent:
-	 * when the first machines report again, the rest are few, and each would be returned to the cloud just before its
-	 * heartbeat (incident 19).
+	 * Whether a silent machine should be released to the cloud. If few are silent, after half an agent lease: a confirmed
+	 * release proves its tasks absent sooner than the lease does. If many are, much later, since replacements have to be
+	 * rented, booted and filled with images again (incident 15). The half lease counts from the last time that many were
+	 * silent: when the first machines report again, the rest are few, and each would be released to the cloud just before
+	 * its heartbeat (incident 19).
 	 */
-	shouldReturn(machine: Machine, now: number): boolean {
+	shouldRelease(machine: Machine, now: number): boolean {
 		const { heartbeatMs, agentLeaseMs } = this.state.config.limits
 		const lastContactAt = Math.max(machine.lastHeartbeatAt, this.state.listeningSince)
 		if (now - lastContactAt >= agentLeaseMs * MAX_SILENCE_AGENT_LEASES) return true
@@ -74,7 +74,7 @@
 		return now - Math.max(lastContactAt, this.manySilentAt) >= minSilenceMs
 	}
 
-	/** Are there machines that answered a probe since the takeover, but whose agents may not have found this owner yet? */
+	/** Whether some machine answered a probe since the takeover, but its agent may not have found this owner yet. */
 	mayAgentsBeSearching(now: number): boolean {
 		if (now - this.takenOverAt >= MAX_OWNER_SEARCH_MS) return false
 		for (const { addressRecorded, reconciled, heartbeatReceived } of this.state.machines.values())
@@ -102,8 +102,8 @@
 	}
 
 	/**
-	 * Are most of the machines unreachable, that is silent or not confirmed since the takeover? False shortly after the
-	 * takeover, while the machines are still being probed.
+	 * Whether most of the machines are unreachable, that is silent or not confirmed since the takeover. False shortly
+	 * after the takeover, while the machines are still being probed.
 	 */
 	isPartitioned(unconfirmed: ReadonlySet<string>): boolean {
 		const graceMs = this.state.config.limits.controllerLeaseMs * TAKEOVER_GRACE_CONTROLLER_LEASES
--- a/packages/controller/src/heartbeat-order.ts
+++ b/packages/controller/src/heartbeat-order.ts
@@ -2,7 +2,7 @@
 import type { Heartbeat } from '@heathroad/wire'
 import type { Machine } from './model.js'
 
-/** Was the heartbeat created after the latest one that was processed for the machine? */
+/** Whether the heartbeat was created after the latest one that was processed for the machine. */
 export const isNewerHeartbeat = (heartbeat: Heartbeat, machine: Machine): boolean =>
 	heartbeat.agentEpoch > machine.agentEpoch ||
 	(heartbeat.agentEpoch >= machine.agentEpoch && heartbeat.sequence > machine.heartbeatSequence)
--- a/packages/controller/src/heartbeat-reconciler.ts
+++ b/packages/controller/src/heartbeat-reconciler.ts
@@ -70,7 +70,7 @@
 			if (reportedByKey.has(attempt.key) || attempt.state === 'planned') continue
 			// The answer to a direct command may overtake the response that carries the start command.
 			if (attempt.state === 'sent' && !followsResponse) continue
-			if (attempt.state !== 'sent' && !attempt.accountedFor)
+			if (attempt.state !== 'sent' && !attempt.exitProcessed)
 				this.state.dependencies.log('debug', 'task disappeared', {
 					task: attempt.taskName,
 					machine: machine.id,
@@ -100,7 +100,7 @@
 			job,
 			state: task.state,
 			exitReason: null,
-			accountedFor: false,
+			exitProcessed: false,
 			orphaned: !isUseful,
 			stopGracePeriodS: null,
 			startedAt: null,
@@ -115,7 +115,7 @@
 		return attempt
 	}
 
-	/** May an attempt that was found on a machine become the placement of its task? */
+	/** Whether an attempt that was found on a machine may become the placement of its task. */
 	private needsAttempt(job: JobRun, taskIndex: number): boolean {
 		return (
 			!job.isTerminal &&
--- a/packages/controller/src/index.ts
+++ b/packages/controller/src/index.ts
@@ -1,4 +1,4 @@
-/** Shard owner: reconciles the heartbeats of its machines, schedules its jobs, and rents and returns machines. */
+/** Shard owner: reconciles the heartbeats of its machines, schedules its jobs, and rents and releases machines. */
 
 export * from './admission-checks.js'
 export * from './boot-time-estimator.js'
--- a/packages/controller/src/inherited-boots.ts
+++ b/packages/controller/src/inherited-boots.ts
@@ -20,8 +20,8 @@
 	}
 
 	/**
-	 * Does the job depend on inherited boots alone, and has it waited long enough for each of them to have failed, one
-	 * after the other? With this bound, a rapid succession of owners rents no more machines than a single owner would.
+	 * Whether the job depends on inherited boots alone and has waited long enough for each of them to have failed, one
+	 * after the other. With this bound, a rapid succession of owners rents no more machines than a single owner would.
 	 */
 	mayHaveFailed(job: JobRun, now: number): boolean {
 		let longestWaitMs = 0
@@ -29,7 +29,7 @@
 			const isSuitable = fits(job.spec, machine.type) && isAllowedOn(job.spec, machine)
 			if (!isSuitable || !isUsable(this.state, machine, now)) continue
 			if (machine.booted || !this.machines.has(machine)) return false
-			longestWaitMs += this.state.bootTimes.returnAfterMs(machine.type)
+			longestWaitMs += this.state.bootTimes.releaseAfterMs(machine.type)
 		}
 		return longestWaitMs > 0 && this.state.jobAgeS(job) * 1000 > longestWaitMs
 	}
--- a/packages/controller/src/job-lifecycle.ts
+++ b/packages/controller/src/job-lifecycle.ts
@@ -11,7 +11,7 @@
 
 type FinalState = NonNullable<JobRecord['finalState']>
 
-/** Circumstances in which an owner takes in a job. */
+/** Circumstances in which an owner adds a job to its shard. */
 export interface JobIntake {
 	/** a former owner may have started tasks on machines that have not reported yet: no task is ready until they have */
 	mayBeOnMachines: boolean
--- a/packages/controller/src/job-migrator.ts
+++ b/packages/controller/src/job-migrator.ts
@@ -37,7 +37,7 @@
 	) {}
 
 	/**
-	 * Starts migrations within half of this controller's write rate until the next tick. `now` is steady time in ms,
+	 * Starts migrations within half of this controller's write rate until the next tick. `now` is monotonic time in ms,
 	 * `intervalMs` the time until the next tick.
 	 */
 	tick(now: number, intervalMs: number): void {
@@ -68,9 +68,9 @@
 	}
 
 	/**
-	 * May the job migrate? It must have no task on any machine, all its done tasks on record, and a minimum time in this
-	 * shard. A job that has failed stays: its failure history, which only this owner has, would be lost, and it would be
-	 * retried on the machines of every other shard (incident 8).
+	 * Whether the job may migrate: it must have no task on any machine, all its done tasks on record, and a minimum time
+	 * in this shard. A job that has failed stays: its failure history, which only this owner has, would be lost, and it
+	 * would be retried on the machines of every other shard (incident 8).
 	 */
 	private isMovable(job: JobRun, now: number): boolean {
 		return (
--- a/packages/controller/src/job-queue.ts
+++ b/packages/controller/src/job-queue.ts
@@ -14,7 +14,7 @@
 	config: Config
 	teams: TeamUsage
 	runTimes: RunTimeEstimator
-	/** time of day in ms */
+	/** wall-clock time in ms */
 	wallClockMs(): number
 }
 
@@ -70,7 +70,7 @@
 		for (const job of this.waiting(now)) if (!job.isQuarantined) yield job
 	}
 
-	/** Is any job waiting that is not quarantined? */
+	/** Whether any job that is not quarantined is waiting. */
 	hasWaiting(now: number): boolean {
 		for (const _job of this.waitingHealthy(now)) return true
 		return false
--- a/packages/controller/src/job-run.ts
+++ b/packages/controller/src/job-run.ts
@@ -11,7 +11,7 @@
 /** A job without success is quarantined after this number of failures, on whichever machines. */
 const MIN_QUARANTINE_FAILURES = 3
 
-/** Mutable state of one job. Times are steady time in ms. */
+/** Mutable state of one job. Times are monotonic time in ms. */
 export class JobRun {
 	/** tasks that are not done and are absent from all machines: they may be started */
 	readyTasks = new RangeSet()
@@ -60,15 +60,15 @@
 		public isReconciled: boolean,
 	) {}
 
-	/** Has any task succeeded? Then failures are not the job's fault. A service succeeds by running for an agent lease. */
+	/** Whether any task has succeeded; failures are then not the job's fault. Services succeed after an agent lease. */
 	get hasSucceeded(): boolean {
 		return this.doneTasks.size > 0 || this.outlivedAgentLease
 	}
 
 	/**
-	 * Has the job failed on several machines, or repeatedly, without any success? Then it was probably submitted with a
-	 * mistake: it gets one attempt at a time until its first success or its cancellation, no machine is rented or reserved
-	 * and no task preempted for it, and it does not migrate.
+	 * Whether the job has failed on several machines, or repeatedly, without any success. It was then probably submitted
+	 * with a mistake: it gets one attempt at a time until its first success or its cancellation, no machine is rented or
+	 * reserved and no task preempted for it, and it does not migrate.
 	 */
 	get isQuarantined(): boolean {
 		if (this.hasSucceeded) return false
--- a/packages/controller/src/machine-monitor.ts
+++ b/packages/controller/src/machine-monitor.ts
@@ -79,7 +79,7 @@
 	/** True if the machine has not booted in time: a few never do, and cost money until they are released. */
 	private checkBoot(machine: Machine, now: number): boolean {
 		const maxBootMs = Math.max(
-			this.state.bootTimes.returnAfterMs(machine.type),
+			this.state.bootTimes.releaseAfterMs(machine.type),
 			this.state.config.limits.agentLeaseMs,
 		)
 		if (now - machine.discoveredAt <= maxBootMs) return false
@@ -94,7 +94,7 @@
 			for (const attempt of [...machine.attempts.values()])
 				if (attempt.state === 'planned') this.state.removeAttempt(machine, attempt)
 		this.checkLease(machine, now)
-		if (!this.failureDetector.shouldReturn(machine, now)) return false
+		if (!this.failureDetector.shouldRelease(machine, now)) return false
 		machine.drainReason ??= 'silent'
 		return true
 	}
@@ -103,7 +103,7 @@
 	private checkLease(machine: Machine, now: number): void {
 		if (now - machine.lastHeartbeatAt <= this.state.config.limits.agentLeaseMs) return
 		for (const attempt of [...machine.attempts.values()]) {
-			if (attempt.state === 'exited' && attempt.accountedFor) continue
+			if (attempt.state === 'exited' && attempt.exitProcessed) continue
 			this.state.dependencies.log('info', 'agent lease expired', {
 				task: attempt.taskName,
 				machine: machine.id,
--- a/packages/controller/src/model.ts
+++ b/packages/controller/src/model.ts
@@ -28,7 +28,7 @@
 	state: AttemptState
 	exitReason: ExitReason | null
 	/** its exit has been processed */
-	accountedFor: boolean
+	exitProcessed: boolean
 	/** must not be on its machine: killed when a heartbeat lists it */
 	orphaned: boolean
 	/** seconds that it is given to save when it is killed; null: not to be killed */
--- a/packages/controller/src/offer-availability.ts
+++ b/packages/controller/src/offer-availability.ts
@@ -11,7 +11,7 @@
 export interface RefusalBackoff {
 	/** backoff after the first refusal, or after a rental with only some of the machines */
 	initialBackoffMs: number
-	/** maximum backoff after several refusals in a row */
+	/** maximum backoff after consecutive refusals */
 	maxBackoffMs: number
 	/** some of the machines were rented */
 	isPartlyFilled: boolean
--- a/packages/controller/src/progress-writer.ts
+++ b/packages/controller/src/progress-writer.ts
@@ -1,4 +1,4 @@
-/** Writes the progress of jobs, and the terminal state of completed ones or passes them to `TerminalStateWriter`. */
+/** Writes the progress of jobs, and the terminal states of completed ones in the first record format. */
 import { type JobRecord, progressChunkKey, putJobRecord, TASKS_PER_CHUNK } from '@heathroad/cluster'
 import type { RangeSet } from '@heathroad/policy'
 import { KEY_PREFIX, type TransactionContent, WritePriority } from '@heathroad/store'
--- a/packages/controller/src/queue-wait-threshold.ts
+++ b/packages/controller/src/queue-wait-threshold.ts
@@ -5,7 +5,7 @@
 /** Share of the earliest start deadline that a job waits for resources that other tasks free by finishing. */
 const WAIT_SHARE_OF_START_DEADLINE = 0.25
 
-/** Heartbeat periods that a job without start deadlines waits: time for ended tasks to be reported. */
+/** Heartbeat intervals that a job without start deadlines waits: time for finished tasks to be reported. */
 const WAIT_HEARTBEATS_WITHOUT_DEADLINE = 3
 
 /** Age of a job, in seconds, from which machines are reserved or tasks are preempted for it. */
--- a/packages/controller/src/release-writer.ts
+++ b/packages/controller/src/release-writer.ts
@@ -32,7 +32,7 @@
 		this.isWriting = true
 		let content: TransactionContent | null = null
 		this.state.dependencies.enqueueWrite({
-			// A user is waiting for the start, just as others are for outcomes.
+			// Users wait for the start of a released job as they do for outcomes.
 			priority: WritePriority.outcome,
 			build: () => {
 				content = this.buildContent()
--- a/packages/controller/src/shard.ts
+++ b/packages/controller/src/shard.ts
@@ -40,7 +40,7 @@
 
 /**
  * One shard under one owner: its jobs, its machines and their scheduling. It exists from the transaction that acquired
- * the shard until the shard is lost. Its state is not preserved: a successor rebuilds it from the records and the
+ * the shard until the shard is lost. Its state is not preserved: the next owner rebuilds it from the records and the
  * machines' heartbeats. All methods are synchronous, so they need no locks.
  */
 export class Shard {
@@ -149,7 +149,7 @@
 		return this.state.jobs
 	}
 
-	/** Machines of this shard, by identifier. */
+	/** Machines of this shard, by id. */
 	get machines(): ReadonlyMap<string, Machine> {
 		return this.state.machines
 	}
--- a/packages/controller/src/state.ts
+++ b/packages/controller/src/state.ts
@@ -28,7 +28,7 @@
 export class ShardState {
 	/** jobs of this shard that may start or are running, by uid */
 	readonly jobs = new Map<string, JobRun>()
-	/** machines of this shard, by identifier */
+	/** machines of this shard, by id */
 	readonly machines = new Map<string, Machine>()
 	/** every machine that may hold tasks of a former owner is accounted for */
 	reconciled = false
--- a/packages/controller/src/takeover-reconciler.ts
+++ b/packages/controller/src/takeover-reconciler.ts
@@ -34,7 +34,7 @@
 		this.takenOverAt = state.dependencies.now()
 	}
 
-	/** Identifiers of the machines that are not accounted for yet. */
+	/** Ids of the machines that are not accounted for yet. */
 	get unconfirmedMachines(): ReadonlySet<string> {
 		return this.unconfirmed
 	}
--- a/packages/controller/src/task-placement.ts
+++ b/packages/controller/src/task-placement.ts
@@ -153,7 +153,7 @@
 			job,
 			state: 'planned',
 			exitReason: null,
-			accountedFor: false,
+			exitProcessed: false,
 			orphaned: false,
 			stopGracePeriodS: null,
 			startedAt: null,
--- a/packages/controller/src/team-usage.ts
+++ b/packages/controller/src/team-usage.ts
@@ -47,7 +47,7 @@
 		used.gpus -= resources.gpus
 	}
 
-	/** Usage in all shards, for other shards as last reported by their owners: guarantees hold for the whole service. */
+	/** Usage in all shards, for other shards as last reported by their owners: guarantees hold cluster-wide. */
 	private inAllShards(team: string): TeamResources {
 		const here = this.inShard(team)
 		const elsewhere = this.dependencies.usageInOtherShards(this.shardId, team)
--- a/packages/events/src/hub.ts
+++ b/packages/events/src/hub.ts
@@ -62,7 +62,7 @@
 
 	// ---- changes of the records ----
 
-	/** To be called when a job's records have changed. */
+	/** Must be called when a job's records have changed. */
 	jobChanged(uid: string): void {
 		const terminal = this.records.terminalStates.get(uid)
 		// Kept even without subscriptions: one that starts before the state is visible must be notified of it.
@@ -73,7 +73,7 @@
 		for (const subscription of this.subscriptions.ofJob(uid)) subscription.terminalStateRecorded(terminal)
 	}
 
-	/** To be called when the records have become visible up to a later revision. */
+	/** Must be called when the records have become visible up to a later revision. */
 	revisionAdvanced(): void {
 		if (this.pendingTerminalStates.length === 0) return
 		const revision = this.revision()
@@ -91,7 +91,7 @@
 		for (const subscription of toNotify) subscription.notify()
 	}
 
-	/** Publishes the jobs that have changed since the previous call; to be called once per publish interval. */
+	/** Publishes the jobs that have changed since the previous call; must be called once per publish interval. */
 	publishChanges(): void {
 		if (this.subscriptions.isEmpty) return
 		this.findChangedRunningTasks()
@@ -151,7 +151,7 @@
 	// ---- subscriptions ----
 
 	/**
-	 * Opens a subscription at a cursor, or with a snapshot of the present state if the cursor is empty. The caller must
+	 * Opens a subscription at a cursor, or with a snapshot of the current state if the cursor is empty. The caller must
 	 * have completed a linearizable read that began after the request, so that no state is delivered that is older than
 	 * one that was delivered before.
 	 */
@@ -216,7 +216,7 @@
 	currentState(uid: string): JobState | null {
 		// If the job became terminal since the latest publication, only its terminal state is delivered from now on.
 		if (this.records.openJob(uid) === undefined) return null
-		// The present state of a job that changed since the latest publication is delivered, since another controller may
+		// The current state of a job that changed since the latest publication is delivered, since another controller may
 		// have delivered it to a stream that is resumed here. The job stays marked as changed, so that the next
 		// publication delivers the state to all other subscriptions.
 		const isChanged = this.changedJobs.has(uid)
--- a/packages/events/src/selection-feed.ts
+++ b/packages/events/src/selection-feed.ts
@@ -48,9 +48,9 @@
 	takeChangedJob(): string | null
 	/** takes a job's terminal state from the initial snapshot; null: it is not part of it or was delivered */
 	takeFromSnapshot(uid: string): TerminalState | null
-	/** to be called when a terminal state of a selected job was recorded */
+	/** must be called when a terminal state of a selected job was recorded */
 	terminalStateRecorded(state: TerminalState): void
-	/** to be called when a selected job changed that is not terminal */
+	/** must be called when a selected job changed that is not terminal */
 	jobChanged(uid: string): void
 }
 
--- a/packages/events/src/subscription.ts
+++ b/packages/events/src/subscription.ts
@@ -81,17 +81,17 @@
 		this.feed = createFeed(source, start)
 	}
 
-	/** To be called by the hub when a terminal state of a named job was recorded. */
+	/** Must be called by the hub when a terminal state of a named job was recorded. */
 	terminalStateRecorded(state: TerminalState): void {
 		this.feed.terminalStateRecorded(state)
 	}
 
-	/** To be called by the hub when a named job changed that is not terminal. */
+	/** Must be called by the hub when a named job changed that is not terminal. */
 	jobChanged(uid: string): void {
 		this.feed.jobChanged(uid)
 	}
 
-	/** To be called by the hub when new events may be available. */
+	/** Must be called by the hub when new events may be available. */
 	notify(): void {
 		if (this.endReason === null) this.listener.onEventsAvailable()
 	}
@@ -162,7 +162,7 @@
 			this.advanceTo({ phase: 'live', revision: terminal.revision, uid: terminal.uid })
 			return toJobState(terminal)
 		}
-		// Everything up to the present revision is delivered. The cursor advances to it, so that it does not become too old
+		// Everything up to the current revision is delivered. The cursor advances to it, so that it does not become too old
 		// to resume at while no selected job changes.
 		const revision = this.source.revision()
 		if (revision > this.position.revision) this.position = { phase: 'live', revision, uid: REVISION_END }
@@ -177,7 +177,7 @@
 	/** The next state of a job that is not terminal. */
 	private nextOpenJobState(): JobState | null {
 		const { initialJobIds } = this.feed
-		// After a resume the present state of every open job is delivered once.
+		// After a resume the current state of every open job is delivered once.
 		while (this.nextInitialJob < initialJobIds.length) {
 			const state = this.source.currentState(initialJobIds[this.nextInitialJob++])
 			if (state !== null) return state
--- a/packages/grpc/src/stream-preparation.ts
+++ b/packages/grpc/src/stream-preparation.ts
@@ -124,7 +124,7 @@
 		return states
 	}
 
-	/** Returns whether a search is needed to learn a job's terminal state, or that the job was never accepted. */
+	/** Returns whether a search is needed to determine a job's terminal state, or that the job was never accepted. */
 	private needsSearch(uid: string): boolean {
 		const { jobs, jobLocator } = this.service
 		const isKnown = jobs.get(uid) !== undefined || this.terminalStates.get(uid) !== undefined
--- a/packages/history/src/archive-reader.ts
+++ b/packages/history/src/archive-reader.ts
@@ -136,7 +136,7 @@
 		})
 	}
 
-	/** To be called when jobs left memory with the change of this revision: pages read earlier may lack them. */
+	/** Must be called when jobs left memory with the change of this revision: pages read earlier may lack them. */
 	onJobsLeftMemory(uids: Iterable<string>, revision: number): void {
 		this.minFirstLevelRevision = Math.max(this.minFirstLevelRevision, revision)
 		for (const uid of uids) {
@@ -146,7 +146,7 @@
 		}
 	}
 
-	/** Drops the cache, to be called when changes up to this revision may have been missed. */
+	/** Drops the cache; must be called when changes up to this revision may have been missed. */
 	reset(revision: number): void {
 		this.minFirstLevelRevision = Math.max(this.minFirstLevelRevision, revision)
 		this.cache.clear()
--- a/packages/history/src/serial-reads.ts
+++ b/packages/history/src/serial-reads.ts
@@ -3,7 +3,7 @@
 import type { RequestPacer } from '@heathroad/store'
 import { Effect } from 'effect'
 
-/** Makes one read after the other for as long as requests are waiting. */
+/** Makes one read after the other while requests are waiting. */
 export class SerialReads {
 	private reading = false
 	private readCount = 0
--- a/packages/policy/src/packing.ts
+++ b/packages/policy/src/packing.ts
@@ -1,4 +1,4 @@
-/** Bin packing: which machines to drain by moving their tasks to others, so that they can be returned to the cloud. */
+/** Bin packing: which machines to drain by moving their tasks to others, so that they can be released to the cloud. */
 import { required } from './required.js'
 import { addResources, fits, type Resources, subtractResources } from './resources.js'
 
@@ -31,7 +31,7 @@
 
 const usedCpus = (machine: PackingMachine): number => machine.cpus - machine.free.cpus
 
-/** Seconds until the last task of a machine ends. */
+/** Seconds until the last task of a machine finishes. */
 const remainingS = (machine: PackingMachine): number =>
 	Math.max(0, ...machine.tasks.map((task) => task.leftS))
 
@@ -45,7 +45,7 @@
 const isMovable = (machine: PackingMachine): boolean =>
 	machine.tasks.length > 0 && machine.tasks.every(isWorthMoving)
 
-/** Does the target stay rented for its own tasks anyway, or cost at most half as much per CPU? */
+/** Whether the target stays rented for its own tasks anyway, or costs at most half as much per CPU. */
 const isGoodTarget = (from: PackingMachine, task: PackingTask, to: PackingMachine): boolean =>
 	remainingS(to) >= task.leftS * MIN_TARGET_REMAINING_FRACTION ||
 	to.price / to.cpus <= from.price / from.cpus / 2
@@ -94,7 +94,7 @@
 		this.freeCpus -= usedCpus(machine) + machine.free.cpus / 2
 	}
 
-	/** Is the machine no target of a move, at most half used, and do its tasks fit into the free CPUs of the others? */
+	/** Whether the machine is no target of a move, is at most half used, and its tasks fit into others' free CPUs. */
 	private isCandidate(machine: M): boolean {
 		if (this.chosenTargets.has(machine)) return false
 		if (usedCpus(machine) * 2 > machine.cpus) return false
--- a/packages/policy/src/placement.ts
+++ b/packages/policy/src/placement.ts
@@ -6,7 +6,7 @@
 const isTypeAllowed = (spec: JobSpec, typeName: string): boolean =>
 	spec.types === null || spec.types.includes(typeName)
 
-/** Do the job's constraints on type, zone and spot allow the machine, regardless of where its other tasks run? */
+/** Whether the job's constraints on type, zone and spot allow the machine, regardless of where its other tasks run. */
 export const isAllowedOn = (
 	spec: JobSpec,
 	machine: { type: { name: string }; zone: string; spot: boolean },
@@ -16,8 +16,8 @@
 	(spec.spot || !machine.spot)
 
 /**
- * May one more task go to `zone`, given how many of the job's tasks are (or may be) in each zone? `samePlace` allows
- * only one zone; `apart` allows at most half of the job's tasks, rounded up, in one zone.
+ * Whether one more task may go to `zone`, given how many of the job's tasks are or may be in each zone. `samePlace`
+ * allows only one zone; `apart` allows at most half of the job's tasks, rounded up, in one zone.
  */
 export const isZoneAllowed = (
 	spec: JobSpec,
@@ -31,7 +31,7 @@
 	return countWithThis <= Math.ceil(spec.tasks / 2)
 }
 
-/** Could any machine type of the catalog run a task of the job? If none could, the submission is rejected with 422. */
+/** Whether any machine type of the catalog can run a task of the job; if not, its submission is rejected with 422. */
 export const canEverRun = (spec: JobSpec, types: readonly MachineType[]): boolean =>
 	types.some(
 		(type) =>
@@ -55,7 +55,7 @@
 	slack: number
 }
 
-/** Ties go to the cheaper machine, so that expensive ones become idle and are returned, then to the fuller one. */
+/** Ties go to the cheaper machine, so that expensive ones become idle and are released, then to the fuller one. */
 const compareSpeed = (a: Candidate, b: Candidate): number =>
 	a.seconds - b.seconds || a.cost - b.cost || a.slack - b.slack || (a.id < b.id ? -1 : 1)
 
--- a/packages/policy/src/preemption.ts
+++ b/packages/policy/src/preemption.ts
@@ -17,8 +17,8 @@
 
 /**
  * Which running tasks of one machine to stop so that `need` fits; null if stopping all preemptible ones is not enough.
- * Preemptible is work of lower priority and, if the requesting team is within its guarantee, work of other teams beyond
- * theirs. Tasks of the lowest priority go first, then those that lose the least work.
+ * Preemptible are tasks of lower priority and, if the requesting team is within its guarantee, tasks of other teams
+ * that exceed theirs. Tasks of the lowest priority go first, then those that lose the least work.
  */
 export const chooseVictims = <V extends Victim>(
 	need: Resources & { priority: Priority; team: string },
--- a/packages/policy/src/range-set.ts
+++ b/packages/policy/src/range-set.ts
@@ -30,7 +30,7 @@
 		return low
 	}
 
-	/** Is the index in the set? */
+	/** Whether the index is in the set. */
 	has(index: number): boolean {
 		const range = this.firstRangeEndingAfter(index)
 		return range * 2 < this.bounds.length && this.bounds[range * 2] <= index
--- a/packages/policy/src/resources.ts
+++ b/packages/policy/src/resources.ts
@@ -8,7 +8,7 @@
 	ramGb: number
 }
 
-/** Does one task fit into the free resources? */
+/** Whether one task fits into the free resources. */
 export const fits = (spec: Resources, free: Resources): boolean =>
 	spec.cpus <= free.cpus + AMOUNT_TOLERANCE &&
 	spec.gpus <= free.gpus + AMOUNT_TOLERANCE &&
--- a/packages/policy/src/shard-choice.ts
+++ b/packages/policy/src/shard-choice.ts
@@ -41,9 +41,9 @@
 const MIGRATION_WAIT_FRACTION = 1 / 3
 
 /**
- * Should a waiting job migrate to another shard? Always from a partitioned shard, where it could not start for an
- * unknown time. Otherwise only for a much shorter wait: a migration costs a write to the state service, and shards with
- * nearly equal load would pass jobs back and forth.
+ * Whether a waiting job should migrate to another shard: always from a partitioned shard, where it could not start for
+ * an unknown time; otherwise only for a much shorter wait, since a migration costs a write to the state service, and
+ * shards with nearly equal load would pass jobs back and forth.
  */
 export const isWorthMigrating = (from: ShardLoad, to: ShardLoad, largestMachineCpus: number): boolean => {
 	if (to.partitioned) return false
--- a/packages/policy/src/team-limits.ts
+++ b/packages/policy/src/team-limits.ts
@@ -16,7 +16,7 @@
 const isWithin = (limit: number, used: number, need: number, tasks: number): boolean =>
 	limit <= 0 || used + need * tasks <= limit + AMOUNT_TOLERANCE
 
-/** Does the team stay within its limit with this many (`tasks`) additional tasks? */
+/** Whether the team stays within its limit with `tasks` additional tasks. */
 export const isWithinLimit = (
 	team: TeamLimit,
 	used: { cpus: number; gpus: number },
--- a/packages/server/src/archival-loop.ts
+++ b/packages/server/src/archival-loop.ts
@@ -35,7 +35,7 @@
 
 /** The periodic work of archival on the pages of the shards that this controller owns. */
 export class ArchivalLoop {
-	/** monotonic time in ms at which this controller learned of the latest archival epoch */
+	/** monotonic time in ms at which this controller received the latest archival epoch */
 	private epochKnownSince: number
 	private moveInFlight = false
 
--- a/packages/server/src/controller-context.ts
+++ b/packages/server/src/controller-context.ts
@@ -78,11 +78,11 @@
 	linearizableRead(): Effect.Effect<boolean>
 	/** Calls back once the watch cache holds everything up to a revision; with false after `USER_REQUEST_TIMEOUT_MS`. */
 	waitForRevision(revision: number, done: (ok: boolean) => void): void
-	/** Brings the watch cache up to date, then calls back; if the read fails, calls back after a pause. */
+	/** Brings the watch cache up to date, then calls back; if the read fails, calls back after a delay. */
 	refreshCache(done: () => void): void
 }
 
-/** Is notified of changes of the records in the order in which this controller learns of them. */
+/** Is notified of changes of the records in the order in which this controller receives them. */
 export interface RecordObserver {
 	/** A job's records changed, including those of its progress. */
 	onJobChanged(uid: string): void
--- a/packages/server/src/job-cancellation.ts
+++ b/packages/server/src/job-cancellation.ts
@@ -87,7 +87,7 @@
 		}
 		const ownKey = putJobRecord(cache, uid, known.modRevision, cancelled)
 		if (cache.get(HISTORY_KEY) === undefined) return ownKey
-		// The job's own key is written too, until it is deleted as obsolete: an owner that has not learned of the
+		// The job's own key is written too, until it is deleted as obsolete: an owner that has not received the
 		// cancellation must not write progress after it, since reported counts must never decrease.
 		const { content: page } = recordTerminalJobs(
 			cache,
--- a/packages/server/src/job-locator.ts
+++ b/packages/server/src/job-locator.ts
@@ -22,7 +22,7 @@
 
 /** The places outside memory that may hold terminal states. */
 export interface SearchScope {
-	/** jobs' own keys, as long as the first record format is in use */
+	/** jobs' own keys, while the first record format is in use */
 	ownKeys: boolean
 	/** whether full reads have left terminal states under own keys out of memory; otherwise memory holds all of them */
 	hasOmittedStates: boolean
--- a/packages/server/src/job-submission.ts
+++ b/packages/server/src/job-submission.ts
@@ -57,9 +57,9 @@
 			waiting.push(respond)
 			return
 		}
-		const refusal = this.refusalReason(spec)
-		if (refusal !== null) {
-			this.runCall(this.refuseUnlessKnown(uid, refusal), respond)
+		const rejection = this.rejectionReason(spec)
+		if (rejection !== null) {
+			this.runCall(this.rejectUnlessKnown(uid, rejection), respond)
 			return
 		}
 		if (!this.context.isStoreReachable()) {
@@ -93,18 +93,18 @@
 			for (const respondToOne of this.waitingResponses.get(uid) ?? []) respondToOne(reply)
 			this.waitingResponses.delete(uid)
 		}
-		this.context.checks.admit(spec, (refusal, released) => {
-			if (refusal === null) return this.accept(spec, released, respondToAll)
-			this.context.log('info', 'submission rejected', { uid, why: refusal })
-			this.runCall(this.refuseUnlessKnown(uid, refusal), respondToAll)
+		this.context.checks.admit(spec, (rejection, released) => {
+			if (rejection === null) return this.accept(spec, released, respondToAll)
+			this.context.log('info', 'submission rejected', { uid, why: rejection })
+			this.runCall(this.rejectUnlessKnown(uid, rejection), respondToAll)
 		})
 	}
 
 	/** Responds with 422, or with the job's status if another controller accepted the job earlier. */
-	private refuseUnlessKnown(uid: string, refusal: string): Effect.Effect<HttpReply> {
-		const refuseUnknown = (status: HttpReply) =>
-			status.status === 404 ? { status: 422, body: { error: refusal } } : status
-		return this.statusReader.read(uid).pipe(Effect.map(refuseUnknown))
+	private rejectUnlessKnown(uid: string, rejection: string): Effect.Effect<HttpReply> {
+		const rejectUnknown = (status: HttpReply) =>
+			status.status === 404 ? { status: 422, body: { error: rejection } } : status
+		return this.statusReader.read(uid).pipe(Effect.map(rejectUnknown))
 	}
 
 	/** Queues an admitted job; `released`: the checks that released the job when they admitted it. */
@@ -151,7 +151,7 @@
 	}
 
 	/** Returns why a job can never run in this cluster; null if it can. */
-	private refusalReason(spec: JobSpec): string | null {
+	private rejectionReason(spec: JobSpec): string | null {
 		const team = this.context.config.settings.deployment.teams.find(({ name }) => name === spec.team)
 		if (team === undefined) return `unknown team ${spec.team}`
 		if (!canEverRun(spec, this.context.machineTypes())) return 'no allowed machine type has room for one task'
--- a/packages/server/src/machine-type-catalog.ts
+++ b/packages/server/src/machine-type-catalog.ts
@@ -6,7 +6,7 @@
 import { Effect } from 'effect'
 import type { ControllerContext } from './controller-context.js'
 
-/** Pause in controller leases before the retry of a fetch that returned no types. */
+/** Delay in controller leases before the retry of a fetch that returned no types. */
 const RETRY_LEASES = 0.2
 /** Interval between refreshes in controller leases: types change rarely, and cloud calls are rate-limited. */
 const REFRESH_LEASES = 8
--- a/packages/server/src/outgoing-clients.ts
+++ b/packages/server/src/outgoing-clients.ts
@@ -7,8 +7,8 @@
 /** Keep-alive connections to one service or peer: one in this many sockets, but at least the minimum. */
 const SOCKETS_PER_KEEP_ALIVE_CONNECTION = 16
 const MIN_KEEP_ALIVE_CONNECTIONS = 4
-/** Maximum number of connections to one machine; they are not kept alive, see `workerClient`. */
-const CONNECTIONS_PER_WORKER = 2
+/** Maximum number of connections to one machine; they are not kept alive, see `machineClient`. */
+const CONNECTIONS_PER_MACHINE = 2
 /** Timeout of a call to the state service in controller leases: a lease has time for three attempts to renew it. */
 const STORE_TIMEOUT_LEASES = 0.3
 /** Timeout of a call to the cloud in controller leases. */
@@ -21,7 +21,7 @@
 	/** for the state service, the cloud and peers */
 	httpClient: HttpClient
 	/** for machines, each of which is called rarely: keep-alive connections to hundreds would use up the sockets */
-	workerClient: HttpClient
+	machineClient: HttpClient
 	storeClient: StoreClient
 	writeQueue: WriteQueue
 	cloud: CloudClient
@@ -45,7 +45,7 @@
 		Math.floor(limits.maxSockets / SOCKETS_PER_KEEP_ALIVE_CONNECTION),
 	)
 	const httpClient = replacement ?? createHttpClient(keepAliveConnections)
-	const workerClient = replacement ?? createHttpClient(CONNECTIONS_PER_WORKER, false)
+	const machineClient = replacement ?? createHttpClient(CONNECTIONS_PER_MACHINE, false)
 	const storeTimeoutMs = limits.controllerLeaseMs * STORE_TIMEOUT_LEASES
 	const storeClient = createStoreClient(httpClient, settings.services.state, storeTimeoutMs, onStoreContact)
 	const { write_rps, txn_ops } = settings.deployment.state
@@ -64,5 +64,5 @@
 		cloudTimeoutMs,
 		now,
 	)
-	return { httpClient, workerClient, storeClient, writeQueue, cloud }
+	return { httpClient, machineClient: machineClient, storeClient, writeQueue, cloud }
 }
--- a/packages/server/src/periodic-tasks.ts
+++ b/packages/server/src/periodic-tasks.ts
@@ -20,7 +20,7 @@
 	/** deletion of obsolete records and archival */
 	cleanUp(): void
 	/** probe of unreachable machines */
-	probeWorkers(): void
+	probeMachines(): void
 }
 
 /** Starts the timers; the caller clears them. */
@@ -31,5 +31,5 @@
 	setInterval(() => tasks.tick(), Math.min(MAX_TICK_MS, heartbeatMs / TICKS_PER_HEARTBEAT)),
 	setInterval(() => tasks.gossip(), controllerLeaseMs * GOSSIP_LEASES),
 	setInterval(() => tasks.cleanUp(), controllerLeaseMs * CLEAN_UP_LEASES),
-	setInterval(() => tasks.probeWorkers(), controllerLeaseMs * PROBE_LEASES),
+	setInterval(() => tasks.probeMachines(), controllerLeaseMs * PROBE_LEASES),
 ]
--- a/packages/server/src/record-dispatcher.ts
+++ b/packages/server/src/record-dispatcher.ts
@@ -135,7 +135,7 @@
 	private recordCancellation(uid: string): void {
 		const { jobs, cancellations } = this.consumers.context
 		const terminal = jobs.terminalRecord(uid)
-		// The registry stores the final state before it reports the change, so the record must exist.
+		// The registry stores the terminal state before it reports the change, so the record must exist.
 		if (terminal === undefined) throw new Error(`no terminal record of the cancelled job ${uid}`)
 		cancellations.record(uid, terminal.revision)
 	}
--- a/packages/server/src/record-migration.ts
+++ b/packages/server/src/record-migration.ts
@@ -20,7 +20,7 @@
 const KEYS_PER_READ = 200
 /** Operations of a transaction besides the moved states: the page, and the condition on the shard's owner. */
 const RESERVED_OPERATIONS = 2
-/** Pause between two reads, as a share of the controller lease. */
+/** Delay between two reads, as a share of the controller lease. */
 const READ_PAUSE_LEASE_SHARE = 0.2
 
 /** Prefix of the first format's keys in the state service. */
--- a/packages/server/src/record-reads.ts
+++ b/packages/server/src/record-reads.ts
@@ -1,4 +1,4 @@
-/** Waits for the watch cache to reach a revision or the present state of the state service. */
+/** Waits for the watch cache to reach a revision or the current state of the state service. */
 import type { StoreClient, WatchCache } from '@heathroad/store'
 import { Effect } from 'effect'
 import { USER_REQUEST_TIMEOUT_MS } from './controller-context.js'
@@ -37,7 +37,7 @@
 		Effect.runFork(this.linearizableRead().pipe(Effect.map(done)))
 	}
 
-	/** Brings the cache up to date, then calls back; if the read fails, calls back after a pause. */
+	/** Brings the cache up to date, then calls back; if the read fails, calls back after a delay. */
 	refreshCache(done: () => void): void {
 		const onRead = (ok: boolean) => {
 			if (ok) done()
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -36,7 +36,7 @@
 import { createShardDependencies } from './shard-dependencies.js'
 import { ShardRouter } from './shard-router.js'
 import { isUserPath, UserApi } from './user-api.js'
-import { WorkerProbe } from './worker-probe.js'
+import { MachineProbe } from './worker-probe.js'
 
 /** Number of cancellations kept for owners that cannot reach the state service; they fit in one message. */
 const MAX_LOGGED_CANCELLATIONS = 2000
@@ -45,7 +45,7 @@
  * reads is for the watch and another third for users' requests; writes and leases have the rest.
  */
 const READ_GAP_DIVIDEND_MS = 3000
-/** Pause of the watch after a failure, in controller leases. */
+/** Delay of the next watch after a failed one, in controller leases. */
 const WATCH_RETRY_LEASES = 0.06
 /** Time in controller leases for which the state service counts as reachable after a response. */
 const STORE_REACHABLE_LEASES = 0.6
@@ -58,7 +58,7 @@
 export class Service implements ControllerContext {
 	private readonly shards = new Map<number, Shard>()
 	private readonly httpClient: HttpClient
-	private readonly workerClient: HttpClient
+	private readonly machineClient: HttpClient
 	private readonly storeClient: StoreClient
 	readonly cache: WatchCache
 	readonly writeQueue: WriteQueue
@@ -87,7 +87,7 @@
 	private readonly drain: Drain
 	private readonly localStatus: LocalStatus
 	private readonly recordDispatcher: RecordDispatcher
-	private readonly workerProbe: WorkerProbe
+	private readonly machineProbe: MachineProbe
 	private readonly userApi: UserApi
 	private readonly handlePublicRequest: RequestHandler
 	private fibers: Fiber.Fiber<unknown, unknown>[] = []
@@ -106,7 +106,7 @@
 	) {
 		const clients = createOutgoingClients(config, now, httpClient, (ok) => this.membership.onStoreContact(ok))
 		this.httpClient = clients.httpClient
-		this.workerClient = clients.workerClient
+		this.machineClient = clients.machineClient
 		this.storeClient = clients.storeClient
 		this.writeQueue = clients.writeQueue
 		this.cloud = clients.cloud
@@ -124,7 +124,7 @@
 		this.jobLocator = new JobLocator(this, USER_REQUEST_TIMEOUT_MS)
 		this.recordDispatcher = this.createRecordDispatcher()
 		this.shardRouter = new ShardRouter(this)
-		this.workerProbe = new WorkerProbe(this, this.workerClient)
+		this.machineProbe = new MachineProbe(this, this.machineClient)
 		this.userApi = new UserApi(this)
 		this.handlePublicRequest = publicRequestHandler({
 			heartbeats: new HeartbeatRouter(this, this.localStatus, (done) => this.afterLinearizableRead(done)),
@@ -234,7 +234,7 @@
 				deleteObsoleteRecords(this, this.shards)
 				this.archive.tick()
 			},
-			probeWorkers: () => this.workerProbe.tick(),
+			probeMachines: () => this.machineProbe.tick(),
 		})
 		this.timers.push(...timers)
 		this.membership.gossip()
@@ -326,7 +326,7 @@
 			localStatus: this.localStatus,
 			releases: this.releases,
 			cloud: this.cloud,
-			workerClient: this.workerClient,
+			machineClient: this.machineClient,
 			afterLinearizableRead: (done) => this.afterLinearizableRead(done),
 		})
 		this.shards.set(shardId, new Shard(shardId, fencingToken, this.config, dependencies))
--- a/packages/server/src/shard-dependencies.ts
+++ b/packages/server/src/shard-dependencies.ts
@@ -19,7 +19,7 @@
 	releases: ReleaseRegistry
 	cloud: CloudClient
 	/** client for calls to machines */
-	workerClient: HttpClient
+	machineClient: HttpClient
 	/** Calls back once everything durable before the call is in the watch cache, or with false. */
 	afterLinearizableRead(done: (ok: boolean) => void): void
 }
@@ -100,12 +100,12 @@
 const machineDependencies = ({
 	context,
 	cloud,
-	workerClient,
+	machineClient,
 }: ControllerComponents): MachineDependencies => ({
 	sendCommands: (address, fencingToken, agentEpoch, commands, done) => {
 		const timeoutMs = context.config.limits.heartbeatMs * COMMAND_TIMEOUT_HEARTBEATS
 		const body = encodeCommands(fencingToken, commands, agentEpoch)
-		const reply = workerClient
+		const reply = machineClient
 			.request(address, 'POST', '/commands', body, timeoutMs)
 			.pipe(Effect.match({ onFailure: () => null, onSuccess: (answer) => answer }))
 		// Status 0: no response.
@@ -114,7 +114,7 @@
 		)
 	},
 	rent: (request, done) => runThen(cloud.rent(request), done),
-	releaseMachines: (ids, done) => runThen(cloud.returnMachines(ids), done),
+	releaseMachines: (ids, done) => runThen(cloud.releaseMachines(ids), done),
 	availableCloudCalls: () => cloud.availableCalls(),
 	machineTypes: () => context.machineTypes(),
 	offerAvailability: context.offerAvailability,
--- a/packages/server/src/shard-router.ts
+++ b/packages/server/src/shard-router.ts
@@ -145,7 +145,7 @@
 
 	/**
 	 * Returns each shard's load for a job: its CPUs, and the unfinished work ahead of the job plus the job itself, which
-	 * `homeShard` already includes. Work of lower priority counts only where it runs: a guest's huge `idle` array waits
+	 * `homeShard` already includes. Work of lower priority counts only where it runs: a huge `idle` job array waits
 	 * behind the job, and counting it in full would send all new work to the one shard without it, however few machines
 	 * that shard has (incident 12).
 	 */
--- a/packages/server/src/submission-queue.ts
+++ b/packages/server/src/submission-queue.ts
@@ -195,7 +195,7 @@
 		this.writeInFlight = {
 			priority: WritePriority.user,
 			deadline: Math.min(...this.pending.map(({ deadline }) => deadline)),
-			// May be called again for the same location; the batch is then chosen anew from the pending submissions.
+			// May be called again for the same location; the batch is then chosen again from the pending submissions.
 			build: (): TransactionContent | null => {
 				batch = this.nextBatch()
 				location ??= this.nextLocation()
--- a/packages/server/src/worker-probe.ts
+++ b/packages/server/src/worker-probe.ts
@@ -5,16 +5,16 @@
 
 /** Number of consecutive probes that must be answered before machines count as reachable. */
 const REQUIRED_ANSWERS = 3
-/** Timeout of a probe in controller leases: as long as the interval between two probes. */
+/** Timeout of a probe in controller leases, equal to the interval between two probes. */
 const PROBE_TIMEOUT_LEASES = 0.2
 
 /** Probes one machine at a time while this controller is partitioned from the machines. */
-export class WorkerProbe {
+export class MachineProbe {
 	private consecutiveAnswers = 0
 
 	constructor(
 		private readonly context: ControllerContext,
-		private readonly workerClient: HttpClient,
+		private readonly machineClient: HttpClient,
 	) {}
 
 	/** Probes a random machine; does nothing unless this controller is partitioned from the machines. */
@@ -31,7 +31,7 @@
 		}
 		const address = addresses[Math.floor(Math.random() * addresses.length)]
 		const timeoutMs = config.limits.controllerLeaseMs * PROBE_TIMEOUT_LEASES
-		const reply = this.workerClient.request(address, 'GET', '/inspect', undefined, timeoutMs)
+		const reply = this.machineClient.request(address, 'GET', '/inspect', undefined, timeoutMs)
 		const isAnswered = Effect.match(reply, {
 			onFailure: () => false,
 			onSuccess: (answer) => answer.status === 200,
--- a/packages/store/src/request-pacer.ts
+++ b/packages/store/src/request-pacer.ts
@@ -6,7 +6,7 @@
 
 	/**
 	 * @param intervalMs minimum time between the starts of two slots
-	 * @param now steady clock, in ms
+	 * @param now monotonic clock, in ms
 	 */
 	constructor(
 		private readonly intervalMs: number,
--- a/packages/store/src/token-bucket.ts
+++ b/packages/store/src/token-bucket.ts
@@ -20,7 +20,7 @@
 		return this.available
 	}
 
-	/** Adds the tokens gained since the last refill; `now`: steady time, in ms. */
+	/** Adds the tokens gained since the last refill; `now`: monotonic time, in ms. */
 	refill(now: number): void {
 		const gained = ((now - this.refilledAt) / 1000) * this.tokensPerS
 		this.available = Math.min(this.tokensPerS, this.available + gained)
--- a/packages/store/src/watch-cache.ts
+++ b/packages/store/src/watch-cache.ts
@@ -15,7 +15,7 @@
 export interface CacheEntry {
 	data: unknown
 	modRevision: number
-	/** Steady time at which the change arrived; undefined if a full read found it, in which case its age is unknown. */
+	/** Monotonic time at which the change arrived; undefined if a full read found it, in which case its age is unknown. */
 	arrivedAt?: number
 }
 
@@ -53,7 +53,7 @@
 	readonly entries = new Map<string, CacheEntry>()
 	/** Revision up to which all changes have been applied; -1 if nothing has been read yet. */
 	revision = -1
-	/** Steady time at which the latest successful read was sent: everything durable by then is in the cache. */
+	/** Monotonic time at which the latest successful read was sent: everything durable by then is in the cache. */
 	private knownAsOf = Number.NEGATIVE_INFINITY
 	/** Called when `revision` has advanced. */
 	onRevisionAdvanced: () => void = () => {}
@@ -73,7 +73,7 @@
 	 * need (incident 9).
 	 *
 	 * @param intervalMs minimum interval of linearizable reads, and delay between a watch's response and the next watch
-	 * @param now steady clock, in ms
+	 * @param now monotonic clock, in ms
 	 */
 	constructor(
 		private readonly onChange: CacheListener,
--- a/packages/store/src/write-queue.ts
+++ b/packages/store/src/write-queue.ts
@@ -40,7 +40,7 @@
 	priority: number
 	/** Builds the content when the write is dequeued, from the latest data; null if the write is obsolete. */
 	build: () => TransactionContent | null
-	/** Steady time after which the write is refused instead of sent. */
+	/** Monotonic time after which the write is refused instead of sent. */
 	deadline: number
 	onResult: (result: WriteResult) => void
 }
@@ -68,7 +68,7 @@
 	private timer: ReturnType<typeof setTimeout> | null = null
 	private dequeueScheduled = false
 
-	/** @param now steady clock, in ms */
+	/** @param now monotonic clock, in ms */
 	constructor(
 		private readonly client: StoreClient,
 		private readonly limits: WriteQueueLimits,
--- a/tests/cloud.test.ts
+++ b/tests/cloud.test.ts
@@ -18,7 +18,7 @@
 	]
 	for (const { name, calls, atMs, available } of cases) {
 		now = atMs
-		for (let i = 0; i < calls; i++) Effect.runFork(cloud.returnMachines(['i-000001']))
+		for (let i = 0; i < calls; i++) Effect.runFork(cloud.releaseMachines(['i-000001']))
 		assert.equal(cloud.availableCalls(), available, name)
 	}
 })
--- a/tests/golden-formats.test.ts
+++ b/tests/golden-formats.test.ts
@@ -252,7 +252,7 @@
 	const rental: RentalRequest = { name: 'r1-9-1', machineType: 'box', zone: 'a', spot: true, count: 3 }
 	const requests = await requestsOf({ status: 200, body: {} }, (httpClient) => {
 		const cloud = new CloudClient(httpClient, 'cloud:1', 1000, 1000, () => 0)
-		return Effect.all([cloud.fetchMachineTypes(), cloud.rent(rental), cloud.returnMachines(['i-000001'])])
+		return Effect.all([cloud.fetchMachineTypes(), cloud.rent(rental), cloud.releaseMachines(['i-000001'])])
 	})
 	assertGolden('cloud: requests', requests)
 	const [type] = values.machineTypes
--- a/tests/placement.test.ts
+++ b/tests/placement.test.ts
@@ -382,6 +382,6 @@
 		const bootTimes = new BootTimeEstimator()
 		for (const afterMs of testCase.bootedAfterMs) bootTimes.observe(boxType, afterMs)
 		assert.equal(Math.round(bootTimes.giveUpAfterMs(boxType) / 1000), testCase.want, testCase.name)
-		assert.ok(bootTimes.returnAfterMs(boxType) > bootTimes.giveUpAfterMs(boxType), testCase.name)
+		assert.ok(bootTimes.releaseAfterMs(boxType) > bootTimes.giveUpAfterMs(boxType), testCase.name)
 	}
 })
