--- a/packages/controller/src/job-run.ts
+++ b/packages/controller/src/job-run.ts
@@ -25,7 +25,7 @@
 	taskCountByZone = new Map<string, number>()
 	/** done or cancelled */
 	isTerminal = false
-	/** the next write of its record, queued or in progress */
+	/** the next write of its record, queued or in flight */
 	pendingWrite: QueuedWrite | null = null
 	lastWrittenAt = 0
 	/** no task starts before this time */
--- a/packages/controller/src/machine-group-writer.ts
+++ b/packages/controller/src/machine-group-writer.ts
@@ -22,7 +22,7 @@
 	removedMachineIds: Set<string>
 	/** machines that the cloud returned for the rental; null: no response yet */
 	rentedMachineIds: readonly string[] | null
-	/** the queued or running write that includes these changes */
+	/** the write, queued or in flight, that includes these changes */
 	write: QueuedWrite | null
 }
 
--- a/packages/controller/src/model.ts
+++ b/packages/controller/src/model.ts
@@ -89,7 +89,7 @@
 	reservedFor: JobRun | null
 	/** failed attempts here since its last success, by job */
 	failuresByJob: Map<JobRun, number>
-	/** a probe request is in progress */
+	/** a probe request is in flight */
 	probing: boolean
 	freeResources: { cpus: number; gpus: number; ramGb: number }
 }
--- a/packages/controller/src/progress-writer.ts
+++ b/packages/controller/src/progress-writer.ts
@@ -130,7 +130,7 @@
 		})
 	}
 
-	/** Writes the terminal state if the job completed while an earlier write was in progress. */
+	/** Writes the terminal state if the job completed while an earlier write was in flight. */
 	private writeIfCompleted(job: JobRun): void {
 		if (job.pendingWrite === null && this.isComplete(job)) this.write(job)
 	}
--- a/packages/controller/src/release-writer.ts
+++ b/packages/controller/src/release-writer.ts
@@ -25,7 +25,7 @@
 		this.releasedJobs.delete(job)
 	}
 
-	/** Starts a write of the marks that are not durable yet, unless one is in progress. Requires the controller lease. */
+	/** Starts a write of the marks that are not durable yet, unless one is in flight. Requires the controller lease. */
 	flush(): void {
 		if (this.isWriting || this.releasedJobs.size === 0 || this.state.stopped) return
 		if (this.state.dependencies.leadership() !== 'lease') return
--- a/packages/controller/src/shard-dependencies.ts
+++ b/packages/controller/src/shard-dependencies.ts
@@ -34,7 +34,7 @@
 	refreshCache(done: () => void): void
 	/** calls `done` once all writes durable before the call are in the cache; `ok` is false if not confirmed in time */
 	linearizableRead(done: (ok: boolean) => void): void
-	/** store revision that the watch cache has reached */
+	/** revision of the state service that the watch cache has reached */
 	revision(): number
 }
 
--- a/packages/policy/src/instance-offers.ts
+++ b/packages/policy/src/instance-offers.ts
@@ -32,7 +32,7 @@
 const SECONDS_PER_HOUR = 3600
 
 /**
- * Seconds from the rental request to the end of a task on an offer, and the task's share of the machine's price for
+ * Seconds from the rental request until a task on an offer finishes, and the task's share of the machine's price for
  * that time. Leaves out the boot time on a `booted` machine, and the image fetch if it has the image (`hasImage`).
  */
 export const offerCost = (
--- a/packages/policy/src/placement.ts
+++ b/packages/policy/src/placement.ts
@@ -47,7 +47,7 @@
 	hasParentOutput: boolean
 	/** it holds the job's image */
 	hasImage: boolean
-	/** time until the task would end, in seconds */
+	/** time until the task would finish, in seconds */
 	seconds: number
 	/** cost of the task on it */
 	cost: number
--- a/packages/server/src/archival-policy.ts
+++ b/packages/server/src/archival-policy.ts
@@ -16,7 +16,7 @@
  *
  * @param waitingRevisions revisions of the terminal states on this controller's closed pages
  * @param archivalEpoch revision at which the current epoch began
- * @param elapsedMs time since this controller learned of the current epoch
+ * @param elapsedMs time since this controller received the current epoch
  */
 export const mayAdvanceArchivalEpoch = (
 	waitingRevisions: readonly number[],
--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -68,7 +68,7 @@
 	readonly jobs: JobRegistry
 	/** the jobs that admission checks have released */
 	private readonly releases = new ReleaseRegistry()
-	/** the operators' admission checks; set by plugins before the start */
+	/** the operators' admission checks; set by plug-ins before the start */
 	checks: AdmissionChecks = NO_CHECKS
 	/** handles operators' requests at the internal address; null: the response is 404 */
 	adminHandler: AdminHandler | null = null
