--- a/packages/controller/src/release-writer.ts
+++ b/packages/controller/src/release-writer.ts
@@ -25,14 +25,14 @@
 		this.releasedJobs.delete(job)
 	}
 
-	/** Starts a write of the marks that are not durable yet, unless one is in progress. Requires the controller lease. */
+	/** Starts a write of the marks that are not durable yet, unless one is in flight. Requires the controller lease. */
 	flush(): void {
 		if (this.isWriting || this.releasedJobs.size === 0 || this.state.stopped) return
 		if (this.state.dependencies.leadership() !== 'lease') return
 		this.isWriting = true
 		let content: TransactionContent | null = null
 		this.state.dependencies.enqueueWrite({
-			// A user is waiting for the start, just as others are for outcomes.
+			// Users wait for the start of a released job as they do for outcomes.
 			priority: WritePriority.outcome,
 			build: () => {
 				content = this.buildContent()
