--- a/packages/server/src/service.ts
+++ b/packages/server/src/service.ts
@@ -26,6 +26,7 @@
 import { type HttpRequest, type RequestHandler, type Respond, startHttpServer } from './http-server.js'
 import { JobLocator } from './job-locator.js'
 import { LocalStatus } from './local-status.js'
+import { MachineProbe } from './machine-probe.js'
 import { MachineTypeCatalog } from './machine-type-catalog.js'
 import { deleteObsoleteRecords } from './obsolete-records.js'
 import { collectOperatorStats, openJobsOfTeam } from './operator-stats.js'
@@ -36,7 +37,6 @@
 import { createShardDependencies } from './shard-dependencies.js'
 import { ShardRouter } from './shard-router.js'
 import { isUserPath, UserApi } from './user-api.js'
-import { MachineProbe } from './worker-probe.js'
 
 /** Number of cancellations kept for owners that cannot reach the state service; they fit in one message. */
 const MAX_LOGGED_CANCELLATIONS = 2000
