--- a/packages/inspect/src/snapshot-import.ts
+++ b/packages/inspect/src/snapshot-import.ts
@@ -33,8 +33,8 @@
 const withFirstRevision = <Item extends object>(item: Item) => ({ ...item, revision: FIRST_REVISION })
 
 /**
- * Returns the data to write for a key; undefined: the key is omitted. The other state service counts revisions anew, so
- * jobs that became terminal before the import get the first revision, which makes them older than all later changes.
+ * Returns the data to write for a key; undefined: the key is omitted. The other state service starts its revisions
+ * again, so jobs that became terminal before the import get the first revision, which is older than all later changes.
  * Shard owners are omitted, and so is the installation's name, which invalidates cursors with the old revisions.
  */
 const importedData = (key: string, data: unknown): unknown => {
--- a/packages/lab/src/controller-process.ts
+++ b/packages/lab/src/controller-process.ts
@@ -153,7 +153,7 @@
 	deployment: {
 		zones: ['a', 'b'],
 		teams: [{ name: 'core', cpus: 0, gpus: 0, cpus_max: 0, gpus_max: 0 }],
-		workers: { report_s: workers.reportS, lease_s: workers.leaseS, cancel_s: workers.cancelS },
+		workers: { report_s: workers.heartbeatIntervalS, lease_s: workers.leaseS, cancel_s: workers.cancelS },
 		state: { rps: limits.rps, write_rps: limits.writeRps, value_kb: 8, txn_ops: 8 },
 		cloud: { rps: 4, list_lag_s: 3 },
 		resources: { cpu: 0.34, memory_mb: 146, fd_limit: 900 },
--- a/packages/lab/src/experiment-run.ts
+++ b/packages/lab/src/experiment-run.ts
@@ -16,7 +16,7 @@
 
 export type { RequestKind } from './request-recorder.js'
 
-const WORKER_TIMES: WorkerTimes = { reportS: 1, leaseS: 10, cancelS: 30 }
+const WORKER_TIMES: WorkerTimes = { heartbeatIntervalS: 1, leaseS: 10, cancelS: 30 }
 /** Maximum size of an archive page's value, in bytes. */
 const ARCHIVE_VALUE_BYTES = 8192
 /** Number of archived jobs that users poll. */
@@ -71,7 +71,7 @@
 	private readonly archived: ArchivedJob[]
 	private controllers: ControllerProcess[] = []
 	/** reset just before the controllers start, as generating a long history takes seconds */
-	private begunMs = performance.now()
+	private startedMs = performance.now()
 
 	constructor(
 		private readonly experiment: Experiment,
@@ -113,7 +113,7 @@
 	}
 
 	private elapsedMs(): number {
-		return performance.now() - this.begunMs
+		return performance.now() - this.startedMs
 	}
 
 	private async start(): Promise<void> {
@@ -127,7 +127,7 @@
 			workers: WORKER_TIMES,
 		})
 		this.fleet.bootMachines(experiment.machines)
-		this.begunMs = performance.now()
+		this.startedMs = performance.now()
 		for (const controller of this.controllers) controller.start()
 	}
 
--- a/packages/lab/src/experiment.ts
+++ b/packages/lab/src/experiment.ts
@@ -138,7 +138,7 @@
  * - `at.40 = drain 0 2`: at 40 s controller 0 is drained; it starts again 2 s after its process exits
  * - `at.60 = outage 10`: from 60 s on the state service is down for 10 s
  * - `at.70 = upgrade 30`: from 70 s on a new version of the plug-ins is installed every second for 30 s
- * @throws BadExperiment
+ * @throws InvalidExperiment
  */
 export const readExperiment = (path: string): Experiment => {
 	let text: string
--- a/packages/lab/src/lab-fleet.ts
+++ b/packages/lab/src/lab-fleet.ts
@@ -116,7 +116,7 @@
 		return {
 			clock,
 			invariants,
-			heartbeatIntervalMs: times.reportS * 1000,
+			heartbeatIntervalMs: times.heartbeatIntervalS * 1000,
 			leaseMs: times.leaseS * 1000,
 			controllers: controllerAddresses().map((_, index) => `${CONTROLLER_NAME_PREFIX}${index}`),
 			task: (task) => {
--- a/packages/lab/src/start-measurement.ts
+++ b/packages/lab/src/start-measurement.ts
@@ -66,8 +66,8 @@
 	client: HttpClient,
 	maxS: number,
 ): Promise<number | null> => {
-	const begunMs = performance.now()
-	const elapsedS = () => (performance.now() - begunMs) / 1000
+	const startedMs = performance.now()
+	const elapsedS = () => (performance.now() - startedMs) / 1000
 	controller.start()
 	while (controller.isRunning && elapsedS() < maxS) {
 		const healthy = await isHealthy(client, controller.address)
@@ -100,7 +100,7 @@
 		state: stateServer.port,
 		cloud: cloudServer.port,
 		limits: STATE_LIMITS,
-		workers: { reportS: 1, leaseS: 10, cancelS: 30 },
+		workers: { heartbeatIntervalS: 1, leaseS: 10, cancelS: 30 },
 	})
 	const client = createHttpClient(2)
 	try {
--- a/packages/testkit/src/double-outage.ts
+++ b/packages/testkit/src/double-outage.ts
@@ -38,7 +38,7 @@
 	furtherFaults: [],
 	drift: true,
 	archivesJobs: true,
-	workerTimes: { reportS: 2.5, leaseS: 15.25, cancelS: 35.25 },
+	workerTimes: { heartbeatIntervalS: 2.5, leaseS: 15.25, cancelS: 35.25 },
 }
 
 /** Start of the outage, in seconds. */
@@ -63,7 +63,7 @@
 		faults: outageFaults(outage),
 		controllers: outage.controllers,
 		drift: outage.drift,
-		report: outage.workerTimes,
+		workerTimes: outage.workerTimes,
 		history: outage.archivesJobs ? undefined : null,
 		capacity: MACHINES,
 		up: MACHINES,
@@ -137,9 +137,9 @@
 		furtherFaults,
 		archivesJobs: random() < 0.5,
 		workerTimes: pick([
-			{ reportS: 2.5, leaseS: 15.25, cancelS: 35.25 },
-			{ reportS: 1, leaseS: 10, cancelS: 30 },
-			{ reportS: 4, leaseS: 26, cancelS: 46 },
+			{ heartbeatIntervalS: 2.5, leaseS: 15.25, cancelS: 35.25 },
+			{ heartbeatIntervalS: 1, leaseS: 10, cancelS: 30 },
+			{ heartbeatIntervalS: 4, leaseS: 26, cancelS: 46 },
 		]),
 	})
 }
--- a/packages/testkit/src/mass-restart.ts
+++ b/packages/testkit/src/mass-restart.ts
@@ -38,7 +38,7 @@
 }
 
 /** Intervals of heartbeats and durations of leases. */
-const WORKER_TIMES = { reportS: 3, leaseS: 15, cancelS: 35 }
+const WORKER_TIMES = { heartbeatIntervalS: 3, leaseS: 15, cancelS: 35 }
 /** Machines in a machine group; a scale-out adds no more at once. */
 const MACHINES_PER_GROUP = 50
 /** Tasks in a job; each uses one CPU. */
@@ -136,7 +136,7 @@
 				controllers,
 				jobs,
 				faults: [{ atS: CRASH.atS, kind: 'crash', who, forS: CRASH.downS }],
-				report: WORKER_TIMES,
+				workerTimes: WORKER_TIMES,
 				up: machines,
 				capacity: 0,
 				stateLimits: true,
--- a/packages/testkit/src/random-migration-days.ts
+++ b/packages/testkit/src/random-migration-days.ts
@@ -19,7 +19,7 @@
 
 /** Keeps the seeds apart from those of other kinds of days. */
 const SEED_OFFSET = 4_000_000
-/** When the controller crashes whose absence delays the format change, and when it boots again, in seconds. */
+/** Crash and restart times of the controller whose absence delays the format change, in seconds. */
 const BLOCKING_OUTAGE = { fromS: 0.6, upS: { min: 55, max: 85 } }
 /** Jobs are submitted until this long before the migration, in seconds, so that they finish before it. */
 const LAST_JOB_LEAD_S = 25
@@ -38,7 +38,7 @@
 /** Time after the last fault for jobs to finish and for unanswered queries to be detected, in seconds. */
 const QUIET_PERIOD_S = 100
 /** Short agent leases, and so short controller leases: archival epochs last only seconds. */
-const SHORT_WORKER_TIMES = { reportS: 0.5, leaseS: 6, cancelS: 14 }
+const SHORT_WORKER_TIMES = { heartbeatIntervalS: 0.5, leaseS: 6, cancelS: 14 }
 /** A batch of this few states is archived as soon as the archival rules permit. */
 const SMALL_ARCHIVE_BATCH = 4
 
@@ -134,7 +134,7 @@
 		capacity: 6,
 		up: 6,
 		drift: random() < 0.5,
-		report: random() < 0.5 ? SHORT_WORKER_TIMES : DEFAULT_WORKER_TIMES,
+		workerTimes: random() < 0.5 ? SHORT_WORKER_TIMES : DEFAULT_WORKER_TIMES,
 		history: historyOf(draws),
 	}
 }
--- a/packages/testkit/src/simulated-controllers.ts
+++ b/packages/testkit/src/simulated-controllers.ts
@@ -154,7 +154,7 @@
 		this.nodes[controller] = node
 		this.observeSubmissions(node)
 		this.dependencies.onStarted(controller, node)
-		// An incarnation that crashed before it began must not begin afterwards: it would keep running and acting forever.
+		// An incarnation that crashed before it began must not begin afterwards: nothing would ever stop it.
 		const begin = () => {
 			if (this.nodes[controller] === node) node.begin()
 		}
@@ -228,7 +228,7 @@
 					class: jobClass,
 					within_s: withinS,
 				})),
-				workers: { report_s: times.reportS, lease_s: times.leaseS, cancel_s: times.cancelS },
+				workers: { report_s: times.heartbeatIntervalS, lease_s: times.leaseS, cancel_s: times.cancelS },
 				state: { ...STATE_LIMITS, value_kb: 8, txn_ops: 8 },
 				cloud: { rps: day.cloudRps ?? DEFAULT_CLOUD_RPS, list_lag_s: 3 },
 				resources: { cpu: 0.34, memory_mb: 146, fd_limit: 900 },
--- a/packages/testkit/src/simulated-day.ts
+++ b/packages/testkit/src/simulated-day.ts
@@ -67,7 +67,7 @@
 /** Timing of heartbeats, agent leases and cancellations. */
 export interface WorkerTimes {
 	/** heartbeat interval, in seconds */
-	reportS: number
+	heartbeatIntervalS: number
 	/** duration of the agent lease, in seconds */
 	leaseS: number
 	/** how long tasks of a cancelled job may still run, in seconds */
@@ -95,7 +95,7 @@
 	/** guarantees of teams, in CPUs; the teams named here exist beside `core` */
 	guarantees?: ReadonlyMap<string, number>
 	/** default: `DEFAULT_WORKER_TIMES` */
-	report?: WorkerTimes
+	workerTimes?: WorkerTimes
 	/** number of controllers; default: three */
 	controllers?: number
 	/** machines of each kind (spot, on-demand) that the cloud has in each zone; default: four */
@@ -121,7 +121,7 @@
 export const DEFAULT_FAULT_S = 5
 
 /** Default timing of heartbeats, agent leases and cancellations. */
-export const DEFAULT_WORKER_TIMES: WorkerTimes = { reportS: 1, leaseS: 10, cancelS: 30 }
+export const DEFAULT_WORKER_TIMES: WorkerTimes = { heartbeatIntervalS: 1, leaseS: 10, cancelS: 30 }
 
 /** Archival in small batches: what takes hours in production happens within minutes of a simulated day. */
 export const SMALL_HISTORY: HistorySettings = { archiveBatchSize: 10, writeRateShare: 0.5, pageCacheMb: 0.1 }
--- a/packages/testkit/src/simulated-machines.ts
+++ b/packages/testkit/src/simulated-machines.ts
@@ -111,7 +111,7 @@
 		return {
 			clock,
 			invariants,
-			heartbeatIntervalMs: times.reportS * 1000,
+			heartbeatIntervalMs: times.heartbeatIntervalS * 1000,
 			leaseMs: times.leaseS * 1000,
 			controllers,
 			task: (task) => {
--- a/packages/testkit/src/simulation.ts
+++ b/packages/testkit/src/simulation.ts
@@ -56,7 +56,7 @@
 	private readonly controllers: SimulatedControllers
 	private readonly balancer: FakeLoadBalancer
 	/** controllers whose reads of the state service get no response, unlike their other requests */
-	private readonly watchless = new Set<number>()
+	private readonly stateReadsLost = new Set<number>()
 	/** controllers whose watches get late responses, unlike their other requests */
 	private readonly lateWatchers = new Set<number>()
 	private readonly specs = new Map<string, JobSpec>()
@@ -79,7 +79,7 @@
 		clock?: Clock,
 	) {
 		this.clock = clock ?? new VirtualClock(day.seed)
-		this.times = day.report ?? DEFAULT_WORKER_TIMES
+		this.times = day.workerTimes ?? DEFAULT_WORKER_TIMES
 		this.messageFaults = new RandomFaults(this.clock)
 		this.network = new SimulatedNetwork(this.clock, this.messageFaults, {
 			share: day.loss ?? 0,
@@ -185,7 +185,7 @@
 
 	private faultTargets(): FaultTargets {
 		const { clock, controllers, machines, network, messageFaults, state, cloud, workload } = this
-		const { watchless, lateWatchers } = this
+		const { stateReadsLost, lateWatchers } = this
 		return {
 			clock,
 			controllers,
@@ -195,7 +195,7 @@
 			state,
 			cloud,
 			workload,
-			stateReadsLost: watchless,
+			stateReadsLost,
 			lateWatchers,
 		}
 	}
@@ -211,7 +211,7 @@
 			reply: (response) => this.invariants.observeStatus(UNKNOWN_JOB, response?.status ?? 0, null, null),
 		})
 		this.invariants.checkCancelledTasks()
-		const samples = Math.ceil(this.times.reportS * FREE_CAPACITY_HEARTBEATS)
+		const samples = Math.ceil(this.times.heartbeatIntervalS * FREE_CAPACITY_HEARTBEATS)
 		this.invariants.checkWaitingJobs(this.machines.available(), samples)
 		this.clock.after(CHECK_INTERVAL_MS, () => this.checkInvariants())
 	}
@@ -246,8 +246,17 @@
 	}
 
 	private httpClient(controller: number) {
-		const { clock, network, messageFaults, state, cloud, machines, watchless, lateWatchers, controllers } =
-			this
+		const {
+			clock,
+			network,
+			messageFaults,
+			state,
+			cloud,
+			machines,
+			stateReadsLost,
+			lateWatchers,
+			controllers,
+		} = this
 		return controllerHttpClient(
 			{
 				clock,
@@ -256,7 +265,7 @@
 				state,
 				cloud,
 				machines,
-				stateReadsLost: watchless,
+				stateReadsLost,
 				lateWatchers,
 				peerAt: (address) => controllers.peerAt(address),
 				aliveCheck: (peer) => controllers.aliveCheck(peer),
--- a/packages/testkit/src/stream-checks.ts
+++ b/packages/testkit/src/stream-checks.ts
@@ -102,7 +102,7 @@
 				untilS: 0,
 				jobs: [],
 				faults: [],
-				report: { reportS: 0.5, leaseS: 6, cancelS: 14 },
+				workerTimes: { heartbeatIntervalS: 0.5, leaseS: 6, cancelS: 14 },
 				up: MACHINES,
 				capacity: 0,
 			},
--- a/packages/testkit/src/stream-measurement.ts
+++ b/packages/testkit/src/stream-measurement.ts
@@ -103,7 +103,7 @@
 				controllers: 1,
 				up: MACHINES,
 				capacity: 0,
-				report: { reportS: 0.5, leaseS: 6, cancelS: 14 },
+				workerTimes: { heartbeatIntervalS: 0.5, leaseS: 6, cancelS: 14 },
 			},
 			this.clock,
 		)
--- a/packages/testkit/src/user-workload.ts
+++ b/packages/testkit/src/user-workload.ts
@@ -228,7 +228,7 @@
 		})
 	}
 
-	/** After a new state: queries all controllers within ms or repeats the submission there, and may cancel the job. */
+	/** After a new state: queries all controllers within milliseconds, or repeats the submission there, and may cancel the job. */
 	private sendQueryBurst(uid: string, state: string): void {
 		const spec = this.specs.get(uid)
 		if (spec === undefined || !this.randomFaults.happens('closeLooks')) return
--- a/scripts/compare-scores.mjs
+++ b/scripts/compare-scores.mjs
@@ -1,4 +1,4 @@
-/** Largest fall of a score that is no regression: the users call a smaller difference noise. */
+/** Largest decrease of a score that is not a regression: the users consider smaller differences noise. */
 export const ALLOWED_FALL = 0.03
 /** Tolerance for rounding errors. */
 const EPSILON = 1e-9
--- a/scripts/hunt-days.mjs
+++ b/scripts/hunt-days.mjs
@@ -6,7 +6,7 @@
 import { parseArgs } from 'node:util'
 import { isMainThread, parentPort, Worker, workerData } from 'node:worker_threads'
 
-/** A day takes a second or two; one that takes this long does not end. */
+/** A day takes a second or two; one that takes this long is considered hung. */
 const DAY_TIMEOUT_S = 60
 /** Maximum number of broken rules that are printed for each day. */
 const MAX_PRINTED_VIOLATIONS = 3
@@ -65,7 +65,7 @@
 			totals.events[event] = (totals.events[event] ?? 0) + count
 		const problems = [
 			...violations.slice(0, MAX_PRINTED_VIOLATIONS),
-			...unfinished.map((uid) => `${uid} never ended`),
+			...unfinished.map((uid) => `${uid} never finished`),
 		]
 		if (problems.length > 0) report(seed, problems.join('; '))
 	}
--- a/scripts/known-red.mjs
+++ b/scripts/known-red.mjs
@@ -34,7 +34,7 @@
 }
 
 /**
- * Decides whether a test run passes. It fails if a test failed that is not known to, or if a known test was not run.
+ * Decides whether a test run passes. It fails if an unlisted test failed or a listed one was not run.
  * @param {readonly KnownRed[]} known
  * @param {readonly TestResult[]} results
  * @returns {{ ok: boolean, lines: string[] }} `lines`: the report to print
--- a/scripts/measure-history.mjs
+++ b/scripts/measure-history.mjs
@@ -24,7 +24,7 @@
 	samples: Number(values.marks),
 	seed: Number(values.seed),
 })
-process.stdout.write('  jobs  followed  archive keys  held  changes/job  for outcomes  for the archive\n')
+process.stdout.write('  jobs   watched  archive keys  held  changes/job  for outcomes  for the archive\n')
 for (const { jobs, watchedKeys, archiveKeys, changes, heldTerminalStates } of growth.samples) {
 	const perJob = (count, width) => (count / jobs).toFixed(2).padStart(width)
 	const columns = [
@@ -38,6 +38,6 @@
 	]
 	process.stdout.write(`${columns.join('  ')}\n`)
 }
-process.stdout.write(`${growth.violations.length} rules broken, ${growth.unfinished} jobs not over\n`)
+process.stdout.write(`${growth.violations.length} rules broken, ${growth.unfinished} jobs not terminal\n`)
 for (const violation of growth.violations.slice(0, 10)) process.stderr.write(`${violation}\n`)
 process.exit(growth.violations.length > 0 ? 1 : 0)
--- a/scripts/measure-plugins.mjs
+++ b/scripts/measure-plugins.mjs
@@ -122,9 +122,9 @@
 	const times = build({ highestTrackableValue: MAX_CALL_US, numberOfSignificantValueDigits: 3 })
 	const cpuBefore = process.cpuUsage()
 	for (let index = 0; index < calls; index++) {
-		const begunMs = performance.now()
+		const startedMs = performance.now()
 		await call()
-		times.recordValue(Math.max(1, Math.round((performance.now() - begunMs) * 1000)))
+		times.recordValue(Math.max(1, Math.round((performance.now() - startedMs) * 1000)))
 	}
 	const { user, system } = process.cpuUsage(cpuBefore)
 	const [p50, p90, p99, maxUs] = [50, 90, 99, 100].map((point) => times.getValueAtPercentile(point))
--- a/scripts/trace-days.mjs
+++ b/scripts/trace-days.mjs
@@ -12,7 +12,7 @@
 import { build } from 'esbuild'
 import { shared } from './bundle.mjs'
 
-/** A day takes seconds; one that takes this long does not end. */
+/** A day takes seconds; one that takes this long is considered hung. */
 const DAY_TIMEOUT_MS = 120_000
 const KINDS = ['any', 'plugins', 'gap', 'meetings', 'migration', 'streams']
 const TRACE_DAY_SCRIPT = fileURLToPath(new URL('trace-day.mjs', import.meta.url))
@@ -97,11 +97,11 @@
 	process.exit(0)
 }
 
-const begun = performance.now()
+const startedMs = performance.now()
 const digests = await runDays(positiveInteger('from'), positiveInteger('to'), positiveInteger('jobs'))
 for (const [seed, { messages, sha256 }] of digests)
 	process.stdout.write(`seed ${seed}: ${messages} messages ${sha256}\n`)
-const seconds = ((performance.now() - begun) / 1000).toFixed(1)
+const seconds = ((performance.now() - startedMs) / 1000).toFixed(1)
 process.stdout.write(`${digests.size} days of the kind ${values.kind} in ${seconds} s\n`)
 if (values.out !== undefined) writeDigests(values.out, digests)
 if (values.check !== undefined) {
--- a/tests/client.test.ts
+++ b/tests/client.test.ts
@@ -232,7 +232,10 @@
 	assert.ok(code !== undefined)
 	const clock = new RealClock()
 	const cluster = { seed: 1, untilS: 0, jobs: [], faults: [], controllers: 1, up: 4, capacity: 0 }
-	const simulation = new Simulation({ ...cluster, report: { reportS: 0.5, leaseS: 6, cancelS: 14 } }, clock)
+	const simulation = new Simulation(
+		{ ...cluster, workerTimes: { heartbeatIntervalS: 0.5, leaseS: 6, cancelS: 14 } },
+		clock,
+	)
 	const port = await new Promise<number>((resolve) => {
 		simulation.onStarted = (_, service) => {
 			void startHttpServer('127.0.0.1:0', limits, (call, reply) => service.handleRequest(call, reply)).then(
--- a/tests/compound-user-faults.test.ts
+++ b/tests/compound-user-faults.test.ts
@@ -311,7 +311,7 @@
 		`${simulation.state.rejectedRequests} requests above the rate limit`,
 	)
 	assert.ok(longestAcceptanceMs < 2000, `accepted after ${longestAcceptanceMs} ms`)
-	// Accepted batches are as many at the end as in the first part of the load.
+	// The number of accepted batches does not grow under load.
 	const [early, late] = [batchCounts.slice(0, 5), batchCounts.slice(-5)].map((counts) => Math.max(...counts))
 	assert.ok(late <= early * 1.3, `accepted batches: ${batchCounts}`)
 })
--- a/tests/crash-days.ts
+++ b/tests/crash-days.ts
@@ -43,7 +43,7 @@
 		untilS: UNTIL_S,
 		jobs: jobsOf(seed),
 		faults: crashesOf(seed),
-		report: { reportS: 0.5, leaseS: 6, cancelS: 14 },
+		workerTimes: { heartbeatIntervalS: 0.5, leaseS: 6, cancelS: 14 },
 		up: MACHINES,
 		capacity: 0,
 	})
--- a/tests/double-outage.test.ts
+++ b/tests/double-outage.test.ts
@@ -12,7 +12,7 @@
 import { WatchCache } from '@heathroad/store'
 import { arrayJob, type DoubleOutage, doubleOutageDay, plainSettings, Simulation } from '@heathroad/testkit'
 
-const fiveControllers = { controllers: 5, workerTimes: { reportS: 4, leaseS: 26, cancelS: 46 } }
+const fiveControllers = { controllers: 5, workerTimes: { heartbeatIntervalS: 4, leaseS: 26, cancelS: 46 } }
 const standstill = { atS: -0.6, kind: 'freeze', who: [0], forS: 50 } as const
 
 const cases: { name: string; outage: Partial<DoubleOutage>; seed: number }[] = [
@@ -97,7 +97,7 @@
 		const outage = {
 			rejectedControllers: [],
 			outageS: 0,
-			workerTimes: { reportS: 1, leaseS: 10, cancelS },
+			workerTimes: { heartbeatIntervalS: 1, leaseS: 10, cancelS },
 			archivesJobs: false,
 		}
 		const simulation = new Simulation(doubleOutageDay(8, outage))
@@ -146,7 +146,7 @@
 			cancellationConfirmDelayMs: confirmAfterMs,
 		} = limits
 		const label = `lease ${lease_s} s, cancellation ${cancel_s} s`
-		// An owner that does not learn of the cancellation acts for `staleMs` at most: then its lease or promise has ended.
+		// An owner that does not learn of the cancellation acts for up to `staleMs`: then its lease or promise has ended.
 		assert.ok(ownerLeaseMs <= staleMs && promiseMs * 1.002 <= staleMs, label)
 		assert.ok(staleMs + leaseMs <= cancel_s * 1000 + confirmAfterMs, label)
 		assert.ok(confirmAfterMs <= maxMs, `${label}: ${confirmAfterMs} ms`)
--- a/tests/events.test.ts
+++ b/tests/events.test.ts
@@ -120,7 +120,7 @@
 		}
 		const resume = () => {
 			controller = controllers[randomBelow(3)]
-			// As controllers do a linearizable read before they resume a stream.
+			// Controllers do a linearizable read before they resume a stream.
 			controller.read()
 			if (cursor === '') for (const uid of terminalStates.keys()) terminalStates.delete(uid)
 			subscription = controller.subscribe(selection, cursor)
--- a/tests/golden-interfaces.test.ts
+++ b/tests/golden-interfaces.test.ts
@@ -69,7 +69,10 @@
 /** A simulation in real time of one controller with two archived jobs. */
 const simulationWithArchive = (clock: RealClock): Simulation => {
 	const day = { seed: 1, untilS: 0, jobs: [], faults: [], controllers: 1, up: 4, capacity: 0 }
-	const simulation = new Simulation({ ...day, report: { reportS: 0.5, leaseS: 6, cancelS: 14 } }, clock)
+	const simulation = new Simulation(
+		{ ...day, workerTimes: { heartbeatIntervalS: 0.5, leaseS: 6, cancelS: 14 } },
+		clock,
+	)
 	simulation.state.put('heathroad/installation', INSTALLATION)
 	simulation.state.put('heathroad/history', { form: 2, turn: 1, legacy: false })
 	const packed = packJobs([
--- a/tests/grpc.test.ts
+++ b/tests/grpc.test.ts
@@ -42,7 +42,10 @@
 ): Promise<void> => {
 	const clock = new RealClock()
 	const cluster = { seed: 1, untilS: 0, jobs: [], faults: [], controllers: 1, up: 4, capacity: 0 }
-	const simulation = new Simulation({ ...cluster, report: { reportS: 0.5, leaseS: 6, cancelS: 14 } }, clock)
+	const simulation = new Simulation(
+		{ ...cluster, workerTimes: { heartbeatIntervalS: 0.5, leaseS: 6, cancelS: 14 } },
+		clock,
+	)
 	let server: GrpcServer | null = null
 	let started: Promise<number> = Promise.resolve(0)
 	simulation.onStarted = (_, node) => {
--- a/tests/invariant-checker.test.ts
+++ b/tests/invariant-checker.test.ts
@@ -31,10 +31,10 @@
 	const other = 'job-000002'
 	setup.invariants.jobSubmitted(arrayJob(other))
 	setup.invariants.observeStatus(other, 201, 'pending', null)
-	for (let s = fromS, asked = 0; s <= toS; s += 3, asked++) {
+	for (let s = fromS, queryCount = 0; s <= toS; s += 3, queryCount++) {
 		leaveUnanswered(setup, s, s)
-		const before = Math.floor((asked * answered) / 100)
-		setup.invariants.observeQuery(other, Math.floor(((asked + 1) * answered) / 100) > before)
+		const before = Math.floor((queryCount * answered) / 100)
+		setup.invariants.observeQuery(other, Math.floor(((queryCount + 1) * answered) / 100) > before)
 	}
 }
 /** Both tasks of the job run and complete, and a user learns that the job is done. */
--- a/tests/lab.test.ts
+++ b/tests/lab.test.ts
@@ -74,7 +74,7 @@
 
 test('a controller starts alike on none and on many finished jobs, archived or of the first form', async (t) => {
 	const main = 'target/main.cjs'
-	if (!existsSync(main)) return t.skip('there is no build')
+	if (!existsSync(main)) return t.skip('main.cjs is not built')
 	const build = { main, ini: 'deploy/history.ini' }
 	const empty = await measureStart(build, 2, 0, false)
 	const archived = await measureStart(build, 2, 30_000, false)
--- a/tests/mixed-versions.test.ts
+++ b/tests/mixed-versions.test.ts
@@ -130,9 +130,9 @@
 
 test('the previous client gets each terminal event once from real servers that restart, though each stream is interrupted', async (t) => {
 	const clock = new RealClock(1)
-	const report = { reportS: 0.5, leaseS: 6, cancelS: 14 }
+	const workerTimes = { heartbeatIntervalS: 0.5, leaseS: 6, cancelS: 14 }
 	const simulation = new Simulation(
-		{ seed: 1, untilS: 0, jobs: [], faults: [], report, up: 8, capacity: 0 },
+		{ seed: 1, untilS: 0, jobs: [], faults: [], workerTimes, up: 8, capacity: 0 },
 		clock,
 	)
 	const servers = new GrpcServers(simulation, CONTROLLERS)
--- a/tests/outages.test.ts
+++ b/tests/outages.test.ts
@@ -19,35 +19,35 @@
 	return releases
 }
 
-/** time at which the machines are partitioned from the controllers */
+/** Time at which the machines are partitioned from the controllers */
 const PARTITION_START_S = 45
 
 const partitions: {
 	name: string
-	report: { reportS: number; leaseS: number; cancelS: number }
+	workerTimes: { heartbeatIntervalS: number; leaseS: number; cancelS: number }
 	forS: number
 }[] = [
 	// Two agent leases: the silent machines have lost their tasks by then, but are not yet given up.
 	{
 		name: 'kept during the partition (incident 15)',
-		report: { reportS: 1, leaseS: 10, cancelS: 30 },
+		workerTimes: { heartbeatIntervalS: 1, leaseS: 10, cancelS: 30 },
 		forS: 20,
 	},
-	// They reconnect one by one over a heartbeat interval: the last of them are not released for being few.
+	// They reconnect one by one over a heartbeat interval: the last of them must not be released because they are few.
 	{
 		name: 'kept while they reconnect (incident 19)',
-		report: { reportS: 4, leaseS: 16, cancelS: 40 },
+		workerTimes: { heartbeatIntervalS: 4, leaseS: 16, cancelS: 40 },
 		forS: 40,
 	},
 ]
 
-for (const { name, report, forS } of partitions)
+for (const { name, workerTimes, forS } of partitions)
 	test(`machines that are partitioned together are ${name}`, async () => {
 		const simulation = new Simulation({
 			seed: 41,
 			untilS: 320,
 			capacity: 12,
-			report,
+			workerTimes,
 			jobs: Array.from({ length: 24 }, (_, i) => ({
 				atS: 1 + i * 0.5,
 				spec: arrayJob(`job-0008${String(i).padStart(2, '0')}`, { tasks: 16, expectedS: 40 }),
@@ -63,7 +63,7 @@
 		assert.deepEqual(simulation.invariants.violations, [])
 		assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job finishes')
 		// A shard releases its silent machines if they are fewer than two fifths of all: such releases are allowed.
-		const untilS = PARTITION_START_S + forS + report.reportS * 1.5
+		const untilS = PARTITION_START_S + forS + workerTimes.heartbeatIntervalS * 1.5
 		const releasedEarly = silentReleases
 			.filter(({ atS }) => atS > PARTITION_START_S && atS < untilS)
 			.reduce((sum, { machines }) => sum + machines, 0)
@@ -115,7 +115,7 @@
 		untilS: 110,
 		controllers: 5,
 		capacity: 150,
-		report: { reportS: 4, leaseS: 26, cancelS: 46 },
+		workerTimes: { heartbeatIntervalS: 4, leaseS: 26, cancelS: 46 },
 		jobs: Array.from({ length: 40 }, (_, i) => ({
 			atS: 1 + i * 0.1,
 			spec: arrayJob(`job-0009${String(i).padStart(2, '0')}`, { tasks: 130, expectedS: 45 }),
--- a/tests/placement.test.ts
+++ b/tests/placement.test.ts
@@ -366,7 +366,7 @@
 	}
 })
 
-test('the times after which a booting machine is given up, and returned', () => {
+test('the times after which a booting machine is given up, and released', () => {
 	const boxType = machineType('box', 1, { bootS: 10 })
 	const cases: { name: string; bootedAfterMs: number[]; want: number }[] = [
 		{ name: 'no boots observed: slightly more than the longest usual boot', bootedAfterMs: [], want: 18 },
--- a/tests/previous-versions.ts
+++ b/tests/previous-versions.ts
@@ -41,7 +41,7 @@
 		{ cancelAfter = () => Number.POSITIVE_INFINITY, signal }: ReadOptions = {},
 	): Promise<'complete' | 'interrupted'> {
 		const metadata = new Metadata()
-		metadata.set('watch-id', 'a watch of before')
+		metadata.set('watch-id', 'a watch of the previous version')
 		const call = client.Watch({ uids: [...this.uids], cursor: this.cursor }, metadata)
 		const headersArrived = this.headersOrError(call)
 		const cancel = (): void => call.cancel()
@@ -138,7 +138,7 @@
 		return { phase: 'present', revision: this.revision, uid: '' }
 	}
 
-	/** The position of the job's event in a stream that starts here; null: received as delivered before. */
+	/** The position of the job's event in a stream that starts here; null: the cursor counts it as delivered. */
 	private positionOf(uid: string, start: StreamPosition): StreamPosition | null {
 		const revision = this.terminalRevisions.get(uid) ?? 0
 		if (start.phase === 'present' && revision <= start.revision)
--- a/tests/proof-of-absence.test.ts
+++ b/tests/proof-of-absence.test.ts
@@ -424,7 +424,7 @@
 	},
 ]
 
-test('a status needs no more reads of the state service than before lookups allowed for moving states', async () => {
+test('a status request needs no more reads of the state service than before lookups handled moving states', async () => {
 	const costs: string[] = []
 	for (const { name, uid = FINISHED, isCold = false, prepare = () => {} } of STATUS_READ_COSTS) {
 		const scenario = new MovingStateScenario({ ...NO_MOVE, isCold }, { uid })
--- a/tests/simulation-scenarios.test.ts
+++ b/tests/simulation-scenarios.test.ts
@@ -41,7 +41,7 @@
 		seed,
 		untilS: 90,
 		jobs: mixedJobs(24, 1.5),
-		report: { reportS: 1, leaseS: AGENT_LEASE_S, cancelS: 60 },
+		workerTimes: { heartbeatIntervalS: 1, leaseS: AGENT_LEASE_S, cancelS: 60 },
 		faults: [
 			{ atS: 40, kind: 'machineDies' },
 			{ atS: 41, kind: 'crash', who: [0, 1, 2], forS: 1 },
@@ -102,7 +102,7 @@
 	assert.ok(wide > 10 && wide < 60, `the wide job of 120 tasks failed ${wide} times in 80 s`)
 })
 
-test('a crashed machine is released in its turn while scale-out uses up the rate of cloud calls', async () => {
+test('a crashed machine is released soon although scale-out uses up the rate of cloud calls', async () => {
 	const simulation = new Simulation({
 		seed: 29,
 		untilS: 48,
@@ -192,7 +192,7 @@
 	assert.deepEqual(simulation.invariants.unfinishedJobs(), [], 'every job reaches a terminal state')
 	const machines = count.get('machine booted') ?? 0
 	assert.ok(machines > 150, `${machines} machines booted`)
-	// Three changes per machine and two per job, as they once were, exceed the state service's write rate.
+	// Three changes per machine and two per job, as in earlier versions, exceed the state service's write rate.
 	const fleet = simulation.state.countChanges('fleet/')
 	const changes = fleet.set + fleet.deleted
 	assert.ok(changes < machines * 2, `${changes} changes to the records of ${machines} machines`)
--- a/tests/stream-check-days.ts
+++ b/tests/stream-check-days.ts
@@ -155,7 +155,7 @@
 		untilS: UNTIL_S,
 		jobs: submissionsOf(uids, `job-${FIRST_SENTINEL_JOB + seed}`),
 		faults: crashes,
-		report: { reportS: 0.5, leaseS: 6, cancelS: 14 },
+		workerTimes: { heartbeatIntervalS: 0.5, leaseS: 6, cancelS: 14 },
 		up: MACHINES,
 		capacity: 0,
 	})
--- a/tests/stream-resumption.test.ts
+++ b/tests/stream-resumption.test.ts
@@ -179,10 +179,10 @@
 
 /** What happens to the event of `LOST_JOB` while the reader's connection lasts. */
 const outcomeOf = (stream: Stream | null): string => {
-	if (stream === null) return 'does not begin'
-	if (stream.terminalJobs.includes(LOST_JOB)) return 'told'
-	if (stream.endReasons.length > 0) return 'ends'
-	return stream.subscription.isComplete ? 'complete without it' : 'waits for ever'
+	if (stream === null) return 'not opened'
+	if (stream.terminalJobs.includes(LOST_JOB)) return 'delivered'
+	if (stream.endReasons.length > 0) return 'ended'
+	return stream.subscription.isComplete ? 'complete without it' : 'waits forever'
 }
 
 /**
@@ -192,7 +192,7 @@
 for (const interleaving of INTERLEAVINGS)
 	test(`an open stream by ids delivers each durable terminal state, or ends: ${interleaving.name}`, async () => {
 		const outcome = outcomeOf((await runInterleaving(interleaving)).stream)
-		assert.ok(['told', 'ends', 'does not begin'].includes(outcome), outcome)
+		assert.ok(['delivered', 'ended', 'not opened'].includes(outcome), outcome)
 	})
 
 /**
@@ -278,10 +278,10 @@
 /** As `outcomeOf`, for a reader by team that resumes at the same controller if its stream ended. */
 const outcomeForTeam = async (controller: SteppedController, stream: Stream): Promise<string> => {
 	const outcome = outcomeOf(stream)
-	if (outcome !== 'ends' || stream.endReasons.includes('too far behind')) return outcome
+	if (outcome !== 'ended' || stream.endReasons.includes('too far behind')) return outcome
 	const resumed = await controller.open(TEAM, stream.subscription.cursor())
 	if (resumed instanceof Stream)
-		return resumed.take().terminalJobs.includes(LOST_JOB) ? 'told' : 'resumed without it'
+		return resumed.take().terminalJobs.includes(LOST_JOB) ? 'delivered' : 'resumed without it'
 	return String(resumed)
 }
 
@@ -290,8 +290,8 @@
 		const { controller, stream } = await runInterleaving(interleaving)
 		assert.ok(stream !== null)
 		const outcome = await outcomeForTeam(controller, stream)
-		// 'ends': the reader is too far behind.
-		assert.ok(['told', 'ends', 'out of range'].includes(outcome), outcome)
+		// 'ended': the reader is too far behind.
+		assert.ok(['delivered', 'ended', 'out of range'].includes(outcome), outcome)
 	})
 
 /** Resumes the stream of a team, opened at a controller that knows every state, at one that has just booted. */
