--- a/packages/inspect/src/archive-checker.ts
+++ b/packages/inspect/src/archive-checker.ts
@@ -92,7 +92,7 @@
 		const uid = jobIdOf(job.ordinal)
 		if (!covers(page, job.ordinal)) this.report(key, `holds ${uid}, which is not of its range`)
 		if (this.bottomPagesAbove.some((above) => covers(above, job.ordinal) && !containsJob(above, job.ordinal)))
-			this.report(key, `holds ${uid}, which nobody looks for here: the record above moved nothing down`)
+			this.report(key, `holds ${uid}, which nobody looks for here: the record above handed nothing down`)
 		this.jobOccurrences.add(uid, archivedOccurrence(key, job))
 	}
 }
