--- a/packages/inspect/src/snapshot-import.ts
+++ b/packages/inspect/src/snapshot-import.ts
@@ -169,7 +169,7 @@
 			// A transaction without a response may have been applied: the next run learns that from the progress key.
 			if (result._tag !== 'RequestRejected' || tries >= this.limits.maxTries)
 				throw new ServiceUnavailable(
-					`stopped after ${this.keysWritten} keys (${result._tag}); repeat the same import to continue from there`,
+					`stopped behind ${this.keysWritten} keys (${result._tag}); the same import goes on from there`,
 				)
 			await sleep(RETRY_STEP_MS * tries)
 		}
--- a/packages/inspect/src/walk.ts
+++ b/packages/inspect/src/walk.ts
@@ -86,7 +86,7 @@
 			changes === null
 				? Effect.fail(
 						new ServiceUnavailable(
-							'the state service compacted changes while the state was read: try at a quieter time',
+							'the state changed more than it keeps while it was read: try at a quieter time',
 						),
 					)
 				: Effect.succeed(changes),
